--- a/src/thornspool/domain/paths/__init__.py
+++ b/src/thornspool/domain/paths/__init__.py
@@ -1,1 +1,1 @@
-"""Paths of requests over the layer ranges that engines hold."""
+"""Search for request paths over the layer ranges of engines."""
--- a/src/thornspool/domain/paths/bounds.py
+++ b/src/thornspool/domain/paths/bounds.py
@@ -1,9 +1,10 @@
-"""Least costs of paths, known before any search.
+"""Lower bounds for the cost of a path in each failure domain.
 
 A search of every failure domain of a large fleet takes longer than a request
-may wait. The fastest holder of each layer bounds what any path there can cost,
-and that changes only with the list of engines. So a domain is searched only
-where it could be cheaper than what is found.
+may wait. The fastest engine of each layer bounds the cost of any path in its
+domain from below, and the bounds change only with the list of engines. A
+domain is therefore searched only if its bound is below the cost of the best
+path found so far.
 """
 
 from __future__ import annotations
@@ -21,22 +22,33 @@
 
 @attrs.frozen
 class Bound:
-    """Least times of a path in a failure domain.
+    """Lower bound for the time of a path in one failure domain.
 
     Attributes
     ----------
     read_ms : float
-        Milliseconds a token of the prompt; infinite where layers have no
-        holder.
+        Milliseconds for each token of the prompt; infinite if no engine holds
+        some layer.
     decode_ms : float
-        Milliseconds a token of the answer.
+        Milliseconds for each token of the answer.
     """
 
     read_ms: float
     decode_ms: float
 
     def compute_cost(self, prompt: float, answer: float) -> float:
-        """Return the least milliseconds of a request."""
+        """Return the lower bound for a request.
+
+        Parameters
+        ----------
+        prompt, answer : float
+            Tokens of the prompt and of the answer.
+
+        Returns
+        -------
+        float
+            Milliseconds.
+        """
         return prompt * self.read_ms + answer * self.decode_ms
 
 
@@ -48,33 +60,42 @@
     Parameters
     ----------
     model : fleet.Model
-        Speeds.
+        Number of layers, and speeds.
     engines : iterable of fleet.Server
-        All engines that may be used; with fewer the bounds still hold.
+        All engines that a path may use. The bounds remain valid if a search
+        uses fewer of them.
 
     Returns
     -------
     dict of str to Bound
         By failure domain.
     """
-    read: dict[str, list[float]] = {}
-    decode: dict[str, list[float]] = {}
-    for one in engines:
-        accelerator = model.accelerators.get(one.kind)
-        if one.layers is None or accelerator is None:
+    read_factors: dict[str, list[float]] = {}
+    step_factors: dict[str, list[float]] = {}
+    for engine in engines:
+        accelerator = model.accelerators.get(engine.kind)
+        if engine.layers is None or accelerator is None:
             continue
-        reads = read.setdefault(one.failure_domain, [math.inf] * model.layers)
-        steps = decode.setdefault(
-            one.failure_domain, [math.inf] * model.layers
+        domain_reads = read_factors.setdefault(
+            engine.failure_domain, [math.inf] * model.layers
+        )
+        domain_steps = step_factors.setdefault(
+            engine.failure_domain, [math.inf] * model.layers
         )
         for layer in range(
-            one.layers.first, min(one.layers.end, model.layers)
+            engine.layers.first, min(engine.layers.end, model.layers)
         ):
-            reads[layer] = min(reads[layer], accelerator.read_factor)
-            steps[layer] = min(steps[layer], accelerator.step_factor)
+            domain_reads[layer] = min(
+                domain_reads[layer], accelerator.read_factor
+            )
+            domain_steps[layer] = min(
+                domain_steps[layer], accelerator.step_factor
+            )
     read_ms = 1000.0 / model.read_per_s / model.layers
     step_ms = model.step_ms / model.layers
     return {
-        domain: Bound(sum(factors) * read_ms, sum(decode[domain]) * step_ms)
-        for domain, factors in read.items()
+        domain: Bound(
+            sum(factors) * read_ms, sum(step_factors[domain]) * step_ms
+        )
+        for domain, factors in read_factors.items()
     }
--- a/src/thornspool/domain/paths/choice.py
+++ b/src/thornspool/domain/paths/choice.py
@@ -1,4 +1,4 @@
-"""Which path a request takes among all failure domains."""
+"""Choice of the path for a request among all failure domains."""
 
 from __future__ import annotations
 
@@ -22,25 +22,27 @@
 
     from thornspool.domain.fleet import messages as fleet
 
-REMOTE_COST_MS = 800.0
-"""Cost of a path that begins in another failure domain than the entry.
+REMOTE_DOMAIN_COST_MS = 800.0
+"""Cost of a path that begins outside the failure domain of this entry.
 
-The events of a usual stream, 10 kB, cross then, and bytes between domains
-are what the users pay most for. It is a third of the time of a usual
-request, so that an entry turns to another domain when its own is slower by
-that much or its memory fills to about 0.4.
+All events of the stream, about 10 kB for a usual request, then cross the link
+between the domains, and traffic between domains is the largest cost for the
+users. The value is a third of the time of a usual request: an entry uses
+another domain if the local one is slower by that much, or if its memory is
+about 0.4 full.
 """
 
-LEAVING_LAYER_MS = 300.0
-"""Cost of a layer on a server that leaves, besides its time.
+DRAINING_LAYER_COST_MS = 300.0
+"""Additional cost of each layer that runs on a draining engine.
 
-It may end before the answer does, so any other path is better: three layers
-of it cost more than a path in another domain (``REMOTE_COST_MS``).
+The engine may shut down before the answer is complete, so any other path is
+preferred: three such layers cost more than a path in another failure domain
+(``REMOTE_DOMAIN_COST_MS``).
 """
 
 
 class Lack(enum.Enum):
-    """Why there is no path."""
+    """Reason why no path exists."""
 
     NO_ROOM = 'no_room'
     NOT_COVERED = 'not_covered'
@@ -48,12 +50,12 @@
 
 @attrs.frozen
 class Need:
-    """What a request needs of a path.
+    """Size of a request.
 
     Attributes
     ----------
     prompt_tokens, answer_tokens : float
-        Tokens to read and expected tokens to write.
+        Tokens of the prompt, and expected tokens of the answer.
     """
 
     prompt_tokens: float
@@ -61,150 +63,186 @@
 
     @property
     def tokens(self) -> float:
-        """Tokens for which memory is taken."""
+        """Tokens for which memory is reserved."""
         return self.prompt_tokens + self.answer_tokens
 
 
 @attrs.frozen
 class Situation:
-    """State of the engines at the moment of a choice.
+    """State of the engines of a service when a path is chosen.
 
     Attributes
     ----------
     model : fleet.Model
         Sizes and speeds.
     engines : tuple of fleet.Server
-        Engines that may be used.
-    leaving : frozenset of str
-        Those of them that will end soon.
-    taken : reservations.Reservations
-        Memory that requests hold.
-    slowness : mapping of str to float
-        Measured times against expected ones, by engine.
-    domain : str
+        Engines that a path may use.
+    draining : frozenset of str
+        Names of the engines that will shut down soon.
+    reserved : reservations.Reservations
+        Memory reserved for requests.
+    slowdowns : mapping of str to float
+        Slowdown factor (measured time divided by expected time) by engine;
+        1 for an engine without one.
+    local_domain : str
         Failure domain of this entry.
-    noise : callable
-        Random numbers from 0 to under 1.
+    draw_random : callable
+        Returns a random number of at least 0 and below 1.
     may_cross : bool
-        Whether a path may change its failure domain in the middle, where
-        no domain has a whole one.
+        Whether a path may change its failure domain between two hops if no
+        domain has a complete path.
     bounds : mapping of str to bounds_module.Bound
-        Least costs by failure domain; a domain without one is searched.
+        Lower bounds for costs by failure domain. A domain without a bound is
+        always searched.
     """
 
     model: fleet.Model
     engines: tuple[fleet.Server, ...]
-    leaving: frozenset[str]
-    taken: reservations.Reservations
-    slowness: Mapping[str, float]
-    domain: str
-    noise: Callable[[], float]
+    draining: frozenset[str]
+    reserved: reservations.Reservations
+    slowdowns: Mapping[str, float]
+    local_domain: str
+    draw_random: Callable[[], float]
     may_cross: bool = True
     bounds: Mapping[str, bounds_module.Bound] = attrs.field(factory=dict)
 
 
-NOISE_SHARE = 0.1
-"""Random part of an engine's cost.
+COST_JITTER_SHARE = 0.1
+"""Largest random share that is added to the cost of an engine.
 
-All entries see the same loads some 200 ms late; without it they would all
-turn to the same engine at once.
+All entries receive the same loads about 200 ms late. Without jitter they
+would all choose the same engine at the same moment.
 """
 
 
 def choose_path(situation: Situation, need: Need) -> search.Path | Lack:
-    """Choose the cheapest path with room, within one domain if possible."""
-    path = _find_any(situation, need)
+    """Choose the cheapest path with enough free capacity.
+
+    A path within one failure domain is preferred to one that crosses domains.
+
+    Parameters
+    ----------
+    situation : Situation
+        State of the engines.
+    need : Need
+        Size of the request.
+
+    Returns
+    -------
+    search.Path or Lack
+        The path, or the reason why none exists.
+    """
+    path = _find_path(situation, need)
     if path is not None:
         return path
-    unbounded = [
-        search.Offer(one, 1.0, situation.model.layers)
-        for one in situation.engines
+    unlimited = [
+        search.Candidate(engine, 1.0, situation.model.layers)
+        for engine in situation.engines
     ]
-    if search.find_path(unbounded, situation.model.layers) is None:
+    if search.find_path(unlimited, situation.model.layers) is None:
         return Lack.NOT_COVERED
     return Lack.NO_ROOM
 
 
-def _find_any(situation: Situation, need: Need) -> search.Path | None:
+def _find_path(situation: Situation, need: Need) -> search.Path | None:
+    """Search the local failure domain, then the others, then across them."""
     layers = situation.model.layers
     domains: dict[str, list[fleet.Server]] = {}
-    for one in situation.engines:
-        domains.setdefault(one.failure_domain, []).append(one)
+    for engine in situation.engines:
+        domains.setdefault(engine.failure_domain, []).append(engine)
     best: search.Path | None = None
-    best_cost = math.inf
-    for domain in sorted(domains, key=lambda one: one != situation.domain):
-        extra = 0.0 if domain == situation.domain else REMOTE_COST_MS
-        if _bound_cost(situation, need, domain) + extra >= best_cost:
+    best_cost_ms = math.inf
+    for domain in sorted(
+        domains, key=lambda name: name != situation.local_domain
+    ):
+        extra_ms = (
+            0.0 if domain == situation.local_domain else REMOTE_DOMAIN_COST_MS
+        )
+        if _compute_bound(situation, need, domain) + extra_ms >= best_cost_ms:
             continue
         path = search.find_path(
-            make_offers(situation, need, domains[domain]), layers
+            build_candidates(situation, need, domains[domain]), layers
         )
-        if path is not None and path.cost_ms + extra < best_cost:
-            best, best_cost = path, path.cost_ms + extra
+        if path is not None and path.cost_ms + extra_ms < best_cost_ms:
+            best, best_cost_ms = path, path.cost_ms + extra_ms
     if best is not None or not situation.may_cross:
         return best
     return search.find_path(
-        make_offers(situation, need, situation.engines), layers
+        build_candidates(situation, need, situation.engines), layers
     )
 
 
-def _bound_cost(situation: Situation, need: Need, domain: str) -> float:
-    """Return a cost that no path in a failure domain falls below."""
+def _compute_bound(situation: Situation, need: Need, domain: str) -> float:
+    """Return a lower bound for the cost of a path in a failure domain."""
     bound = situation.bounds.get(domain)
     if bound is None:
         return 0.0
     return bound.compute_cost(need.prompt_tokens, need.answer_tokens)
 
 
-def make_offers(
+def build_candidates(
     situation: Situation, need: Need, engines: Iterable[fleet.Server]
-) -> Iterable[search.Offer]:
-    """Tell what each of some engines can do for a request."""
+) -> Iterable[search.Candidate]:
+    """Yield a candidate for each engine with memory for requests.
+
+    Parameters
+    ----------
+    situation : Situation
+        State of the engines.
+    need : Need
+        Size of the request.
+    engines : iterable of fleet.Server
+        Engines to consider; those without layers or without memory for
+        requests are skipped.
+    """
     model = situation.model
     for engine in engines:
         if engine.layers is None or engine.layers.end > model.layers:
             continue
-        room = model.compute_room(engine.kind, engine.layers.count)
-        if room <= 0:
+        capacity = model.compute_room(engine.kind, engine.layers.count)
+        if capacity <= 0:
             continue
-        taken = situation.taken.compute_taken(engine.id)
-        left = room * reservations.FILL_LIMIT - taken
-        slowness = situation.slowness.get(engine.id, 1.0)
-        cost = search.estimate_layer_cost(
+        reserved = situation.reserved.compute_taken(engine.id)
+        free = capacity * reservations.MAX_RESERVED_SHARE - reserved
+        slowdown = situation.slowdowns.get(engine.id, 1.0)
+        cost_ms = search.estimate_layer_cost(
             model,
             engine.kind,
             (need.prompt_tokens, need.answer_tokens),
-            situation.taken.running.get(engine.id, 0),
-            taken / room,
-            slowness,
+            situation.reserved.request_counts.get(engine.id, 0),
+            reserved / capacity,
+            slowdown,
         )
-        cost *= 1.0 + NOISE_SHARE * situation.noise()
-        if engine.id in situation.leaving:
-            cost += LEAVING_LAYER_MS
-        yield search.Offer(
+        cost_ms *= 1.0 + COST_JITTER_SHARE * situation.draw_random()
+        if engine.id in situation.draining:
+            cost_ms += DRAINING_LAYER_COST_MS
+        yield search.Candidate(
             engine,
-            cost,
-            int(max(0.0, left) / max(1.0, need.tokens)),
+            cost_ms,
+            int(max(0.0, free) / max(1.0, need.tokens)),
             search.estimate_wait(
                 model,
                 engine.kind,
-                situation.taken.reading.get(engine.id, 0.0),
-                slowness,
+                situation.reserved.prefill_backlog.get(engine.id, 0.0),
+                slowdown,
             ),
         )
 
 
-def _draw_cost(
-    offer: search.Offer, noise: Callable[[], float]
-) -> search.Offer:
-    """Draw a cost by which the cheapest of some engines is often a fast one.
+def _randomize_cost(
+    candidate: search.Candidate, draw_random: Callable[[], float]
+) -> search.Candidate:
+    """Multiply the cost of a candidate by an exponential random factor.
 
-    All streams of a lost engine look for its layers at the same moment, and
-    a single holder would read their prompts one after the other. With
-    exponential factors each holder is the cheapest in proportion to its speed.
+    All streams of a lost engine need a replacement for its layers at the same
+    moment. If all chose the same engine, it would prefill their prompts one
+    after the other. With exponential factors, each engine is the cheapest
+    with a probability proportional to its speed.
     """
-    factor = -math.log(1.0 - noise())
-    return attrs.evolve(offer, layer_cost_ms=offer.layer_cost_ms * factor)
+    factor = -math.log(1.0 - draw_random())
+    return attrs.evolve(
+        candidate, layer_cost_ms=candidate.layer_cost_ms * factor
+    )
 
 
 def choose_repair(
@@ -215,46 +253,54 @@
 ) -> tuple[search.Hop, ...] | None:
     """Replace the lost engines of a path within its failure domain.
 
-    The engines that stay keep what they hold of the request, so that only
-    the layers of those that were lost are read again.
+    The remaining engines retain the cache of the request, so only the layers
+    of the lost engines are prefilled again.
 
     Parameters
     ----------
     situation : Situation
-        Engines that may take a part.
+        State of the engines that may replace the lost ones.
     need : Need
-        Tokens of the request.
+        Size of the request.
     hops : sequence of search.Hop
-        The path; its first engine stays.
+        The current path, whose first engine is not lost.
     lost : container of str
-        Engines that have to go.
+        Names of the engines to replace.
 
     Returns
     -------
     tuple of search.Hop or None
-        The whole path; None where the domain does not hold the layers.
+        The complete new path; None if the failure domain cannot replace the
+        layers, or if the path would have too many hops.
     """
     domain = hops[0].server.failure_domain
     used = {hop.server.id for hop in hops}
-    offers = [
-        _draw_cost(one, situation.noise)
-        for one in make_offers(situation, need, situation.engines)
-        if one.server.failure_domain == domain and one.server.id not in used
+    candidates = [
+        _randomize_cost(candidate, situation.draw_random)
+        for candidate in build_candidates(situation, need, situation.engines)
+        if candidate.server.failure_domain == domain
+        and candidate.server.id not in used
     ]
     repaired: list[search.Hop] = []
     for is_lost, group in itertools.groupby(
         hops, key=lambda hop: hop.server.id in lost
     ):
-        part = list(group)
+        section = list(group)
         if not is_lost:
-            repaired.extend(part)
+            repaired.extend(section)
             continue
-        path = search.find_path(offers, part[-1].end, part[0].first, domain)
+        path = search.find_path(
+            candidates, section[-1].end, section[0].first, domain
+        )
         if path is None:
             return None
         repaired.extend(path.hops)
-        taken = {hop.server.id for hop in path.hops}
-        offers = [one for one in offers if one.server.id not in taken]
+        replacements = {hop.server.id for hop in path.hops}
+        candidates = [
+            candidate
+            for candidate in candidates
+            if candidate.server.id not in replacements
+        ]
     if len(repaired) > search.MAX_HOPS:
         return None
     return tuple(repaired)
@@ -263,12 +309,30 @@
 def choose_rest(
     situation: Situation, need: Need, kept: search.Hop
 ) -> search.Path | None:
-    """Choose the rest of a path behind a first hop that stays."""
-    offers = [
-        one
-        for one in make_offers(situation, need, situation.engines)
-        if one.server.id != kept.server.id
+    """Choose the hops that follow a first hop which is retained.
+
+    Parameters
+    ----------
+    situation : Situation
+        State of the engines.
+    need : Need
+        Size of the request.
+    kept : search.Hop
+        The first hop, which is not part of the result.
+
+    Returns
+    -------
+    search.Path or None
+        None if the remaining layers cannot be served.
+    """
+    candidates = [
+        candidate
+        for candidate in build_candidates(situation, need, situation.engines)
+        if candidate.server.id != kept.server.id
     ]
     return search.find_path(
-        offers, situation.model.layers, kept.end, kept.server.failure_domain
+        candidates,
+        situation.model.layers,
+        kept.end,
+        kept.server.failure_domain,
     )
--- a/src/thornspool/domain/paths/reservations.py
+++ b/src/thornspool/domain/paths/reservations.py
@@ -1,9 +1,10 @@
-"""Memory for tokens, reserved on every engine of a path.
+"""Reservation of token memory on every engine of a path.
 
-An engine that runs out of memory preempts its newest request in the middle
-of its stream and reads it again; the caller sees a pause of seconds. So a
-request takes room for its prompt and its expected answer on all engines of
-its path before it is sent, and what peers have taken is counted in.
+An engine that runs out of memory preempts its newest request in the middle of
+the stream and prefills it again, which delays the stream by seconds. A request
+therefore reserves memory for its prompt and its expected answer on all engines
+of its path before it is sent. Reservations reported by peers are included in
+the totals.
 """
 
 from __future__ import annotations
@@ -19,74 +20,101 @@
 
     from thornspool.domain.paths import search
 
-FILL_LIMIT = 0.9
-"""Share of an engine's room that reservations may take.
+MAX_RESERVED_SHARE = 0.9
+"""Share of an engine's request memory that reservations may use.
 
-The rest covers answers that grow longer than expected: the expected length
-is right at the median only.
+The rest covers answers that are longer than expected: the expected length is
+exact only at the median.
 """
 
 
 @attrs.define
 class Reservations:
-    """Token-layers and requests taken, by engine; those of others by mark.
+    """Memory and requests reserved on the engines.
 
     Attributes
     ----------
-    reading : dict of str to float
-        Token-layers that engines have still to read for own requests.
+    own : dict of str to float
+        Token-layers (tokens times layers) reserved by this entry, by engine.
+    request_counts : dict of str to int
+        Requests of this entry, by engine.
+    prefill_backlog : dict of str to float
+        Token-layers that engines have not yet prefilled for requests of this
+        entry, by engine.
+    others : dict of int to float
+        Token-layers reserved by other entries, by server hash.
     """
 
     own: dict[str, float] = attrs.field(factory=dict)
-    running: dict[str, int] = attrs.field(factory=dict)
-    reading: dict[str, float] = attrs.field(factory=dict)
+    request_counts: dict[str, int] = attrs.field(factory=dict)
+    prefill_backlog: dict[str, float] = attrs.field(factory=dict)
     others: dict[int, float] = attrs.field(factory=dict)
 
     def take(self, hops: Iterable[search.Hop], tokens: float) -> None:
-        """Reserve room on each engine of a path."""
+        """Reserve memory on each engine of a path.
+
+        Parameters
+        ----------
+        hops : iterable of search.Hop
+            The path.
+        tokens : float
+            Tokens of the prompt and of the expected answer.
+        """
         for hop in hops:
             name = hop.server.id
             self.own[name] = self.own.get(name, 0.0) + tokens * hop.count
-            self.running[name] = self.running.get(name, 0) + 1
+            self.request_counts[name] = self.request_counts.get(name, 0) + 1
 
     def free(self, hops: Iterable[search.Hop], tokens: float) -> None:
-        """Give back what was reserved by the same arguments."""
+        """Release what ``take`` reserved for the same arguments."""
         for hop in hops:
             name = hop.server.id
-            left = self.own.get(name, 0.0) - tokens * hop.count
-            self.running[name] = max(0, self.running.get(name, 0) - 1)
-            if self.running[name] == 0:
-                self.running.pop(name)
+            remaining = self.own.get(name, 0.0) - tokens * hop.count
+            self.request_counts[name] = max(
+                0, self.request_counts.get(name, 0) - 1
+            )
+            if self.request_counts[name] == 0:
+                self.request_counts.pop(name)
                 self.own.pop(name, None)
             else:
-                self.own[name] = max(0.0, left)
+                self.own[name] = max(0.0, remaining)
 
     def begin_reading(self, hops: Iterable[search.Hop], tokens: float) -> None:
-        """Note a prompt that each engine of a path has to read."""
+        """Add a prompt to the prefill backlog of each engine of a path.
+
+        Parameters
+        ----------
+        hops : iterable of search.Hop
+            The path.
+        tokens : float
+            Tokens to prefill.
+        """
         for hop in hops:
             name = hop.server.id
-            self.reading[name] = (
-                self.reading.get(name, 0.0) + tokens * hop.count
+            self.prefill_backlog[name] = (
+                self.prefill_backlog.get(name, 0.0) + tokens * hop.count
             )
 
     def end_reading(self, hops: Iterable[search.Hop], tokens: float) -> None:
-        """Note that it has been read, or is not needed any more."""
+        """Remove a prompt that is prefilled or no longer needed."""
         for hop in hops:
             name = hop.server.id
-            left = self.reading.get(name, 0.0) - tokens * hop.count
-            if left > 0:
-                self.reading[name] = left
+            remaining = (
+                self.prefill_backlog.get(name, 0.0) - tokens * hop.count
+            )
+            if remaining > 0:
+                self.prefill_backlog[name] = remaining
             else:
-                self.reading.pop(name, None)
+                self.prefill_backlog.pop(name, None)
 
     def list_marked(self) -> dict[int, float]:
-        """List what this entry has taken, by mark."""
+        """List the token-layers reserved by this entry, by server hash."""
         return {
             marks.compute_mark(name): amount
             for name, amount in self.own.items()
         }
 
     def compute_taken(self, name: str) -> float:
-        """Return the token-layers taken on an engine by all entries."""
+        """Return the token-layers reserved on an engine by all entries."""
         others = self.others.get(marks.compute_mark(name), 0.0)
         return self.own.get(name, 0.0) + others
--- a/src/thornspool/domain/paths/search.py
+++ b/src/thornspool/domain/paths/search.py
@@ -1,8 +1,9 @@
-"""The cheapest path over layer ranges, cut wherever ranges overlap.
+"""Search for the cheapest path over overlapping layer ranges.
 
-An engine runs any part of what it holds, so a path may leave a range early
-and enter the next one late. A search over the ends of all ranges finds the
-cuts; it is exact for the costs given.
+An engine can run any part of the range that it holds, so a path may leave one
+range before its end and enter the next one after its start. The search splits
+ranges only where some range starts or ends and where the memory of an engine
+runs out; it is exact for the given costs.
 """
 
 from __future__ import annotations
@@ -19,27 +20,36 @@
     from thornspool.domain.fleet import messages as fleet
 
 MAX_HOPS = 32
-"""Engines a path may name; the engines refuse longer ones."""
+"""Maximum number of engines on a path; the engines refuse longer paths."""
 
 HOP_COST_MS = 15.0
-"""Cost of one more engine on a path, in milliseconds a request: the hand-over
-of each token."""
+"""Cost of an additional engine on a path, in milliseconds per request: the
+handover of each token."""
 
-STEEP_FROM = 0.45
-"""Share of an engine's memory from which its cost grows steeply; half of
-what reservations may take."""
+STEEP_COST_SHARE = 0.45
+"""Reserved share of an engine's memory above which its cost grows steeply;
+half of what reservations may use."""
 
-STEEP_WIDTH = 0.09
-"""Share by which the cost doubles first; at 0.72 it is ten times as high."""
+STEEP_COST_WIDTH = 0.09
+"""Increase of the reserved share after which the cost has doubled; at a share
+of 0.72 the cost is ten times as high."""
 
 CROSSING_COST_MS = 2_000.0
-"""Cost in milliseconds of entering another failure domain in the middle of a
-path: the activations of a whole prompt cross a link that all share."""
+"""Cost of entering another failure domain between two hops: the activations of
+the whole prompt cross a link that all requests share."""
 
 
 @attrs.frozen
 class Hop:
-    """One engine of a path with the layers that it runs."""
+    """One engine of a path with the layers that it runs.
+
+    Attributes
+    ----------
+    server : fleet.Server
+        The engine.
+    first, end : int
+        First layer, and the layer behind the last one.
+    """
 
     server: fleet.Server
     first: int
@@ -52,19 +62,20 @@
 
 
 @attrs.frozen
-class Offer:
-    """What an engine can do for one request now.
+class Candidate:
+    """An engine that may become a hop, with its costs for one request.
 
     Attributes
     ----------
     server : fleet.Server
         An engine that holds layers.
     layer_cost_ms : float
-        Expected milliseconds of the whole request for one layer.
+        Expected milliseconds of the whole request per layer.
     max_layers : int
-        Layers for which it has room for the request's tokens.
+        Layers for which the engine has free capacity for the request.
     wait_ms : float
-        Time that it needs for the prompts that it has still to read.
+        Milliseconds until the engine has prefilled the prompts in its
+        backlog.
     """
 
     server: fleet.Server
@@ -75,188 +86,243 @@
 
 @attrs.frozen
 class Path:
-    """Engines that run every layer once and in order."""
+    """Engines that together run every layer once and in order.
+
+    Attributes
+    ----------
+    hops : tuple of Hop
+        In the order of their layers.
+    cost_ms : float
+        Expected milliseconds of the request, including penalties.
+    """
 
     hops: tuple[Hop, ...]
     cost_ms: float
 
 
-_Chain = tuple[float, tuple[Hop, ...]]
+_PartialPath = tuple[float, tuple[Hop, ...]]
 
 
 def find_path(
-    offers: Iterable[Offer],
+    candidates: Iterable[Candidate],
     layers: int,
     start: int = 0,
     start_domain: str = '',
 ) -> Path | None:
     """Find the cheapest path over all layers.
 
-    Engines are taken in the order in which their ranges end, each at most
-    once: an engine that stood twice on a path would refuse it.
+    The search considers engines in the order in which their ranges end, each
+    at most once, because an engine refuses a path that names it twice.
 
     Parameters
     ----------
-    offers : iterable of Offer
-        Engines to use.
+    candidates : iterable of Candidate
+        Engines that the path may use.
     layers : int
         Layers of the model.
     start : int, optional
         First layer that the path has to run.
     start_domain : str, optional
-        Failure domain that it comes from; empty for none.
+        Failure domain of the preceding hop; empty if there is none.
 
     Returns
     -------
     Path or None
-        None when some layer can't be covered.
+        None if some layer cannot be served.
     """
     ordered = sorted(
-        (one for one in offers if one.server.layers is not None),
-        key=lambda one: (_range_of(one).end, one.server.id),
+        (one for one in candidates if one.server.layers is not None),
+        key=lambda one: (_get_range(one).end, one.server.id),
     )
-    cuts = sorted(
+    split_points = sorted(
         {start, layers}
-        | {_range_of(one).first for one in ordered}
-        | {_range_of(one).end for one in ordered}
+        | {_get_range(one).first for one in ordered}
+        | {_get_range(one).end for one in ordered}
     )
-    chains: dict[tuple[int, str], _Chain] = {(start, start_domain): (0.0, ())}
-    for offer in ordered:
-        for key, chain in _extend_chains(chains, offer, cuts):
-            if key not in chains or chain[0] < chains[key][0]:
-                chains[key] = chain
-    whole = [chain for (at, _), chain in chains.items() if at == layers]
-    if not whole:
+    cheapest: dict[tuple[int, str], _PartialPath] = {
+        (start, start_domain): (0.0, ())
+    }
+    for candidate in ordered:
+        for key, partial in _extend_paths(cheapest, candidate, split_points):
+            if key not in cheapest or partial[0] < cheapest[key][0]:
+                cheapest[key] = partial
+    complete = [
+        partial for (end, _), partial in cheapest.items() if end == layers
+    ]
+    if not complete:
         return None
-    cost, hops = min(whole, key=lambda one: one[0])
-    return Path(hops, cost)
+    cost_ms, hops = min(complete, key=lambda partial: partial[0])
+    return Path(hops, cost_ms)
 
 
-def _range_of(offer: Offer) -> fleet.LayerRange:
-    held = offer.server.layers
+def _get_range(candidate: Candidate) -> fleet.LayerRange:
+    held = candidate.server.layers
     assert held is not None
     return held
 
 
-def _extend_chains(
-    chains: dict[tuple[int, str], _Chain],
-    offer: Offer,
-    cuts: Sequence[int],
-) -> list[tuple[tuple[int, str], _Chain]]:
-    """Return the chains that end with a hop on this engine."""
-    held = _range_of(offer)
-    domain = offer.server.failure_domain
-    found = []
-    for (at, last_domain), (cost, hops) in chains.items():
-        if not held.first <= at < held.end or len(hops) >= MAX_HOPS:
-            continue
-        entry = HOP_COST_MS + offer.wait_ms
-        if last_domain not in {'', domain}:
-            entry += CROSSING_COST_MS
-        furthest = min(held.end, at + offer.max_layers)
-        for cut in _list_cuts(cuts, at, furthest):
-            hop = Hop(offer.server, at, cut)
-            total = cost + entry + hop.count * offer.layer_cost_ms
-            found.append(((cut, domain), (total, (*hops, hop))))
-    return found
+def _extend_paths(
+    cheapest: dict[tuple[int, str], _PartialPath],
+    candidate: Candidate,
+    split_points: Sequence[int],
+) -> list[tuple[tuple[int, str], _PartialPath]]:
+    """Return the partial paths that end with a hop on a candidate.
 
+    Parameters
+    ----------
+    cheapest : dict
+        Cheapest partial path by the layer at which it ends and by the failure
+        domain of its last hop.
+    candidate : Candidate
+        Engine of the new hop.
+    split_points : sequence of int
+        Layers at which some range starts or ends, in order.
 
-def _list_cuts(cuts: Sequence[int], at: int, furthest: int) -> list[int]:
-    if furthest <= at:
+    Returns
+    -------
+    list
+        Keys and values in the form of ``cheapest``.
+    """
+    held = _get_range(candidate)
+    domain = candidate.server.failure_domain
+    extended = []
+    for (start, last_domain), (cost_ms, hops) in cheapest.items():
+        if not held.first <= start < held.end or len(hops) >= MAX_HOPS:
+            continue
+        hop_cost_ms = HOP_COST_MS + candidate.wait_ms
+        if last_domain not in {'', domain}:
+            hop_cost_ms += CROSSING_COST_MS
+        max_end = min(held.end, start + candidate.max_layers)
+        for end in _list_ends(split_points, start, max_end):
+            hop = Hop(candidate.server, start, end)
+            total_ms = (
+                cost_ms + hop_cost_ms + hop.count * candidate.layer_cost_ms
+            )
+            extended.append(((end, domain), (total_ms, (*hops, hop))))
+    return extended
+
+
+def _list_ends(
+    split_points: Sequence[int], start: int, max_end: int
+) -> list[int]:
+    """List the layers at which a hop may end."""
+    if max_end <= start:
         return []
-    listed = [cut for cut in cuts if at < cut <= furthest]
-    if not listed or listed[-1] != furthest:
-        listed.append(furthest)
-    return listed
+    ends = [point for point in split_points if start < point <= max_end]
+    if not ends or ends[-1] != max_end:
+        ends.append(max_end)
+    return ends
 
 
 def estimate_layer_cost(
     model: fleet.Model,
     kind: str,
     tokens: tuple[float, float],
-    running: float,
-    used_share: float,
-    slowness: float,
+    request_count: float,
+    reserved_share: float,
+    slowdown: float,
 ) -> float:
-    """Estimate the cost of one layer of a request on an engine.
+    """Estimate the cost of a request per layer on an engine.
 
     Parameters
     ----------
     model : fleet.Model
-        Its speeds.
+        Speeds and number of layers.
     kind : str
         Kind of accelerator.
     tokens : tuple of float
         Prompt tokens and expected answer tokens.
-    running : float
-        Requests that run there.
-    used_share : float
-        Share of its memory for requests that is taken.
-    slowness : float
-        Measured times of it against expected ones; 1 for as expected.
+    request_count : float
+        Requests that run on the engine.
+    reserved_share : float
+        Share of its request memory that is reserved.
+    slowdown : float
+        Slowdown factor of the engine; 1 if it is as fast as expected.
 
     Returns
     -------
     float
-        Milliseconds; grows without bound as memory fills, so that requests
-        turn to emptier engines well before one has to be preempted.
+        Milliseconds. They grow steeply as memory fills, so that requests move
+        to engines with more free capacity well before an engine has to preempt
+        one; infinite for an unknown kind.
     """
     accelerator = model.accelerators.get(kind)
     if accelerator is None:
         return math.inf
     prompt, answer = tokens
     read_ms = prompt * 1000.0 / model.read_per_s * accelerator.read_factor
-    step_ms = model.step_ms + model.per_sequence_ms * running
+    step_ms = model.step_ms + model.per_sequence_ms * request_count
     decode_ms = answer * step_ms * accelerator.step_factor
-    weight = weigh_filling(used_share)
-    return (read_ms + decode_ms) / model.layers * slowness * weight
+    weight = compute_memory_weight(reserved_share)
+    return (read_ms + decode_ms) / model.layers * slowdown * weight
 
 
 def estimate_wait(
-    model: fleet.Model, kind: str, token_layers: float, slowness: float
+    model: fleet.Model, kind: str, token_layers: float, slowdown: float
 ) -> float:
-    """Estimate how long an engine reads before it turns to a new prompt.
+    """Estimate the time until an engine has prefilled its backlog.
 
     Parameters
     ----------
     model : fleet.Model
-        Its speeds.
+        Speeds and number of layers.
     kind : str
         Kind of accelerator.
     token_layers : float
-        Tokens to read times layers that they pass.
-    slowness : float
-        Measured times of it against expected ones.
+        Tokens to prefill, times the layers that process them.
+    slowdown : float
+        Slowdown factor of the engine; 1 if it is as fast as expected.
 
     Returns
     -------
     float
-        Milliseconds.
+        Milliseconds; infinite for an unknown kind.
     """
     accelerator = model.accelerators.get(kind)
     if accelerator is None:
         return math.inf
     token_ms = 1000.0 / model.read_per_s * accelerator.read_factor
-    return token_layers * token_ms / model.layers * slowness
+    return token_layers * token_ms / model.layers * slowdown
+
+
+def compute_memory_weight(reserved_share: float) -> float:
+    """Compute the factor by which reserved memory raises an engine's cost.
 
+    Reservations of other entries are received late, and all entries prefer the
+    same fast engine. The factor therefore grows faster with the reserved share
+    than any two kinds of accelerator differ in speed, which keeps a fast
+    engine from filling up while slower ones are empty.
 
-def weigh_filling(used_share: float) -> float:
-    """Weigh an engine's cost by the share of its memory that is taken.
+    Parameters
+    ----------
+    reserved_share : float
+        Share of the engine's request memory that is reserved.
 
-    What others have taken is known late, and all entries like the same fast
-    engine best. So the cost grows steeply as memory fills, faster than any
-    two kinds of accelerator differ, and a fast engine is not filled to the
-    last while slower ones are empty.
+    Returns
+    -------
+    float
+        1 for an engine without reservations.
     """
-    used = min(1.0, used_share)
-    weight = 1.0 + 3.0 * used**2
-    if used > STEEP_FROM:
-        weight *= 1.0 + ((used - STEEP_FROM) / STEEP_WIDTH) ** 2
+    share = min(1.0, reserved_share)
+    weight = 1.0 + 3.0 * share**2
+    if share > STEEP_COST_SHARE:
+        weight *= 1.0 + ((share - STEEP_COST_SHARE) / STEEP_COST_WIDTH) ** 2
     return weight
 
 
 def describe_path(hops: Sequence[Hop]) -> str:
-    """Describe a path for the log: its domains, engines and layers."""
+    """Return the failure domains, engines and layers of a path for the log.
+
+    Parameters
+    ----------
+    hops : sequence of Hop
+        The path.
+
+    Returns
+    -------
+    str
+        Such as ``a>b:a-1=0-40,b-2=40-80``.
+    """
     domains: list[str] = []
     for hop in hops:
         domain = hop.server.failure_domain
--- a/src/thornspool/domain/paths/silence.py
+++ b/src/thornspool/domain/paths/silence.py
@@ -1,13 +1,13 @@
-"""Silent streams name the engines that may be lost.
+"""Detection of lost engines from stalled streams.
 
-Answers the loss of an engine under load. All streams through it pause at
-once, so that it can be asked long before any single pause is unusual. A few
-streams may pause by chance, and a slow engine slows its streams too: silence
-chooses whom to ask, and only the answer tells.
+When an engine is lost under load, all streams through it stall at once, which
+shows before the idle time of any single stream is unusual. A few streams may
+also stall by chance, and a slow engine delays its streams too. Stalls
+therefore only select the engines to probe; the result of the probe decides.
 
-Where an entry has many streams, the engines stand out that silent ones share.
-In a large fleet an entry has one or two streams at a time; there every engine
-is in doubt through which none of them moves.
+On an entry with many streams, the suspects are the engines that several
+stalled streams share. In a large fleet an entry serves only one or two streams
+at a time; every engine all of whose streams are stalled is then a suspect.
 """
 
 from __future__ import annotations
@@ -21,112 +21,129 @@
     from collections.abc import Iterable
 
 LEAST_STREAMS = 3
-"""Silent streams that point at what they share."""
+"""Minimum number of stalled streams that make an engine which they share a
+suspect."""
 
-SILENT_SHARE = 0.5
-"""Share of the streams of an engine that have to be silent."""
+MIN_STALLED_SHARE = 0.5
+"""Minimum share of an engine's streams that are stalled if it is a suspect."""
 
-LOST_SHARE = 0.5
-"""Share of the engines asked at once that may be lost together; where more
-are silent, it is the link of the host that asks."""
+MAX_LOST_SHARE = 0.5
+"""Maximum share of the engines probed at once that may be lost together. If
+more of them do not reply, the link of the probing host has failed."""
 
 UNUSUAL_PAUSES = 1.6
-"""Usual pauses of a stream from which it counts as silent."""
+"""Idle time, in event intervals of a stream, from which it is stalled."""
 
 OVERDUE_PAUSES = 1.25
-"""Usual pauses of a stream after which its silence confirms a suspicion."""
+"""Idle time, in event intervals of a stream, that confirms a suspicion."""
 
-MIN_USUAL_MS = 30.0
-"""Least pause that counts as usual; shorter ones vary with the load of the
-hosts and links on the way."""
+MIN_EVENT_INTERVAL_MS = 30.0
+"""Lower limit of a recorded event interval; shorter intervals vary with the
+load of the hosts and links between engine and entry."""
 
-MAX_USUAL_MS = 200.0
-"""Longest pause that counts as usual, so that a stream that has stood still
-does not hide its next pause."""
+MAX_EVENT_INTERVAL_MS = 200.0
+"""Upper limit of a recorded event interval. Without it, one stall would raise
+the mean so far that the next stall of the stream is not detected."""
 
 UNKNOWN_MS = 200.0
-"""Usual pause where no stream has shown one yet."""
+"""Event interval that is assumed before the first one is recorded."""
 
-FLEET_WEIGHT = 0.02
-"""Weight of one pause in the mean of an entry: some fifty pauses back."""
+ENTRY_INTERVAL_WEIGHT = 0.02
+"""Weight of one event interval in the mean over all streams of an entry, which
+thus covers about fifty intervals."""
 
 STREAM_WEIGHT = 0.2
-"""Weight of one pause in the mean of a stream: some five pauses back."""
+"""Weight of one event interval in the mean of one stream, which thus covers
+about five intervals."""
 
 
 @attrs.define
 class UsualPause:
-    """Mean pause between events.
+    """Exponential moving average of the event interval.
 
     Attributes
     ----------
     weight : float
-        Weight of the newest pause.
+        Weight of the latest interval, from 0 to 1.
     mean_ms : float or None
-        None before the first pause.
+        None before the first interval.
     """
 
-    weight: float = FLEET_WEIGHT
+    weight: float = ENTRY_INTERVAL_WEIGHT
     mean_ms: float | None = None
 
-    def note(self, pause_ms: float) -> None:
-        """Note one pause."""
-        pause_ms = min(MAX_USUAL_MS, max(MIN_USUAL_MS, pause_ms))
+    def note(self, interval_ms: float) -> None:
+        """Record one event interval.
+
+        Parameters
+        ----------
+        interval_ms : float
+            Milliseconds between two events.
+        """
+        interval_ms = min(
+            MAX_EVENT_INTERVAL_MS, max(MIN_EVENT_INTERVAL_MS, interval_ms)
+        )
         if self.mean_ms is None:
-            self.mean_ms = pause_ms
+            self.mean_ms = interval_ms
         else:
-            self.mean_ms += self.weight * (pause_ms - self.mean_ms)
+            self.mean_ms += self.weight * (interval_ms - self.mean_ms)
 
 
-def is_credible(asked: int, silent: int) -> bool:
-    """Tell whether engines that gave no answer are lost.
+def is_credible(probed: int, unanswered: int) -> bool:
+    """Return whether engines that did not reply to a probe count as lost.
 
-    A host that is cut off finds all of them silent. Its word would have the
-    whole fleet leave out every engine of a path.
+    A host that is cut off from the network gets no reply from any engine. If
+    its reports counted, the whole fleet would exclude every engine of a path.
 
     Parameters
     ----------
-    asked : int
-        Engines that were asked at the same moment.
-    silent : int
-        Those of them that gave no answer.
+    probed : int
+        Engines that were probed at the same moment.
+    unanswered : int
+        Engines among them that did not reply.
+
+    Returns
+    -------
+    bool
+        False if so many did not reply that the link of this host has failed.
     """
-    return asked <= 1 or silent <= LOST_SHARE * asked
+    return probed <= 1 or unanswered <= MAX_LOST_SHARE * probed
 
 
 def find_doubtful(
     streams: Iterable[tuple[Iterable[str], float]],
 ) -> list[str]:
-    """Find the engines that silent streams point at.
+    """Find the engines that may have caused the stalls of streams.
 
     Parameters
     ----------
     streams : iterable of tuple of iterable of str and float
-        Engines of each stream that has begun, and its silence in usual
-        pauses of its own.
+        For each stream that has begun, the names of its engines and its idle
+        time in its own event intervals.
 
     Returns
     -------
     list of str
-        Those that a group of silent streams shares, else those through which
-        no stream moves; those of most silent streams first.
+        Engines that several stalled streams share; if there are none, the
+        engines all of whose streams are stalled. Engines with the most
+        stalled streams come first.
     """
-    silent: collections.Counter[str] = collections.Counter()
-    seen: collections.Counter[str] = collections.Counter()
-    silent_streams = 0
-    for engines, pauses in streams:
+    stalled: collections.Counter[str] = collections.Counter()
+    total: collections.Counter[str] = collections.Counter()
+    stalled_streams = 0
+    for engines, idle_intervals in streams:
         names = list(engines)
-        seen.update(names)
-        if pauses >= UNUSUAL_PAUSES:
-            silent_streams += 1
-            silent.update(names)
+        total.update(names)
+        if idle_intervals >= UNUSUAL_PAUSES:
+            stalled_streams += 1
+            stalled.update(names)
     shared = [
         name
-        for name, count in silent.most_common()
-        if count >= LEAST_STREAMS and count >= SILENT_SHARE * seen[name]
+        for name, count in stalled.most_common()
+        if count >= LEAST_STREAMS and count >= MIN_STALLED_SHARE * total[name]
     ]
-    if shared and silent_streams >= LEAST_STREAMS:
+    if shared and stalled_streams >= LEAST_STREAMS:
         return shared
     return [
-        name for name, count in silent.most_common() if count == seen[name]
+        name for name, count in stalled.most_common() if count == total[name]
     ]
--- a/tests/domain/paths/__init__.py
+++ b/tests/domain/paths/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package domain paths."""
+"""Tests of the search for request paths."""
--- a/tests/domain/paths/test_choice.py
+++ b/tests/domain/paths/test_choice.py
@@ -1,4 +1,4 @@
-"""Tests of the choice among failure domains."""
+"""Tests of the choice of a path among failure domains."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 RANGES = ((0, 27), (27, 54), (54, 80))
 
 
-def build_situation(taken, domain='a', kinds=('large', 'large')):
-    """Build two domains beside the entry's own one, which is lost."""
+def build_situation(reserved, domain='a', kinds=('large', 'large')):
+    """Build two remote domains; the local one has no engines."""
     engines = [
         builders.build_engine(f'{name}-{number}', kind, first, end)
         for name, kind in zip('bc', kinds, strict=True)
@@ -27,46 +27,49 @@
         MODEL,
         tuple(engines),
         frozenset(),
-        taken,
+        reserved,
         {},
         domain,
         random.Random(1).random,
     )
 
 
-class ReadingWaveTest(unittest.TestCase):
-    """A failure domain is lost, and all its streams are read again."""
+class PrefillBurstTest(unittest.TestCase):
+    """A failure domain is lost; the others prefill all its streams at once."""
 
-    def place(self, count, **changes):
-        """Send streams at once; returns how many each domain reads."""
-        taken = reservations.Reservations()
-        placed = collections.Counter()
+    def count_by_domain(self, count, **changes):
+        """Choose paths for a burst; return the streams of each domain."""
+        reserved = reservations.Reservations()
+        counts = collections.Counter()
         for _ in range(count):
-            path = choice.choose_path(build_situation(taken, **changes), NEED)
-            # Memory is left out: it would spread them as well, only later.
-            taken.begin_reading(path.hops, NEED.prompt_tokens)
-            placed[path.hops[0].server.failure_domain] += 1
-        return placed
-
-    def test_the_wave_is_spread_over_the_domains(self):
-        """Guards against one domain that reads all prompts."""
-        placed = self.place(20)
-        self.assertGreaterEqual(min(placed['b'], placed['c']), 7)
-
-    def test_a_faster_domain_reads_more(self):
-        placed = self.place(20, kinds=('large', 'medium'))
-        self.assertGreater(placed['b'], placed['c'])
-
-    def test_what_was_read_does_not_count(self):
-        taken = reservations.Reservations()
-        path = choice.choose_path(build_situation(taken), NEED)
-        taken.begin_reading(path.hops, 760.0)
-        taken.end_reading(path.hops, 760.0)
-        self.assertEqual({}, taken.reading)
+            path = choice.choose_path(
+                build_situation(reserved, **changes), NEED
+            )
+            # No memory is reserved: that would spread the streams too, but
+            # later than the prefill backlog.
+            reserved.begin_reading(path.hops, NEED.prompt_tokens)
+            counts[path.hops[0].server.failure_domain] += 1
+        return counts
+
+    def test_a_burst_is_spread_over_the_domains(self):
+        """Guards against a burst that one domain has to prefill alone."""
+        counts = self.count_by_domain(20)
+        self.assertGreaterEqual(min(counts['b'], counts['c']), 7)
+
+    def test_a_faster_domain_gets_more_streams(self):
+        counts = self.count_by_domain(20, kinds=('large', 'medium'))
+        self.assertGreater(counts['b'], counts['c'])
+
+    def test_prefilled_prompts_leave_the_backlog(self):
+        reserved = reservations.Reservations()
+        path = choice.choose_path(build_situation(reserved), NEED)
+        reserved.begin_reading(path.hops, 760.0)
+        reserved.end_reading(path.hops, 760.0)
+        self.assertEqual({}, reserved.prefill_backlog)
 
 
 class RepairTest(unittest.TestCase):
-    """Engines of a path are lost while its stream runs."""
+    """Engines of a path are lost while its stream is in progress."""
 
     def setUp(self):
         self.engines = [
@@ -76,15 +79,15 @@
         ]
 
     def repair(self, lost, *others, seed=1):
-        """Repair the path over domain a; returns the parts of the new one."""
-        taken = reservations.Reservations()
+        """Repair the path in domain a; return the hops of the new path."""
+        reserved = reservations.Reservations()
         situation = choice.Situation(
             MODEL,
             tuple(
                 one for one in (*self.engines, *others) if one.id not in lost
             ),
             frozenset(),
-            taken,
+            reserved,
             {},
             'a',
             random.Random(seed).random,
@@ -96,14 +99,14 @@
         found = choice.choose_repair(situation, NEED, hops, lost)
         return found and [(hop.server.id, hop.first, hop.end) for hop in found]
 
-    def test_engines_that_stay_keep_their_layers(self):
+    def test_remaining_engines_retain_their_layers(self):
         other = builders.build_engine('a-9', 'large', 24, 58)
         self.assertEqual(
             [('a-0', 0, 27), ('a-9', 27, 54), ('a-2', 54, 80)],
             self.repair({'a-1'}, other),
         )
 
-    def test_two_engines_may_take_the_part_of_one(self):
+    def test_two_engines_may_replace_one(self):
         others = (
             builders.build_engine('a-8', 'medium', 25, 40),
             builders.build_engine('a-9', 'medium', 40, 54),
@@ -113,11 +116,11 @@
             self.repair({'a-1'}, *others)[:3],
         )
 
-    def test_another_domain_does_not_take_a_part(self):
+    def test_an_engine_is_not_replaced_from_another_domain(self):
         """Guards against prompts that cross the link between domains."""
         self.assertIsNone(self.repair({'a-1'}))
 
-    def test_neighbours_that_are_lost_together_are_replaced(self):
+    def test_adjacent_lost_engines_are_replaced_together(self):
         others = (
             builders.build_engine('a-8', 'large', 27, 54),
             builders.build_engine('a-9', 'large', 54, 80),
@@ -127,8 +130,8 @@
             self.repair({'a-1', 'a-2'}, *others),
         )
 
-    def test_streams_of_a_lost_engine_are_shared_out(self):
-        """Guards against one holder that reads the prompts of all streams."""
+    def test_streams_of_a_lost_engine_are_spread_over_its_replacements(self):
+        """Guards against one replacement that has to prefill all streams."""
         others = [
             builders.build_engine(f'a-{number}', 'large', 27, 54)
             for number in (7, 8, 9)
@@ -140,7 +143,7 @@
         self.assertEqual({'a-7', 'a-8', 'a-9'}, set(chosen))
         self.assertGreaterEqual(min(chosen.values()), 15)
 
-    def test_a_faster_holder_takes_more_of_them(self):
+    def test_a_faster_replacement_gets_more_streams(self):
         others = (
             builders.build_engine('a-8', 'large', 27, 46),
             builders.build_engine('a-9', 'medium', 27, 46),
--- a/tests/domain/paths/test_search.py
+++ b/tests/domain/paths/test_search.py
@@ -1,4 +1,4 @@
-"""Tests of paths over layer ranges."""
+"""Tests of the search for paths over layer ranges."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 MODEL = builders.build_model()
 LAYERS = 6
-OFFERS = strategies.lists(
+CANDIDATES = strategies.lists(
     strategies.tuples(
         strategies.integers(0, LAYERS - 1),
         strategies.integers(1, LAYERS),
@@ -30,9 +30,9 @@
 )
 
 
-def build_offers(drawn):
+def build_candidates(drawn):
     return [
-        search.Offer(
+        search.Candidate(
             builders.build_engine(f'{domain}-{number}', 'small', first, end),
             float(cost),
             most,
@@ -41,24 +41,26 @@
     ]
 
 
-def list_paths(offers, at=0):
-    """List every path with rising ends, by trying all."""
-    if at == LAYERS:
+def list_paths(candidates, start=0):
+    """Yield every path whose ranges have ascending ends, by enumeration."""
+    if start == LAYERS:
         yield ()
         return
-    for offer in offers:
-        held = offer.server.layers
-        if not held.first <= at < held.end:
+    for candidate in candidates:
+        held = candidate.server.layers
+        if not held.first <= start < held.end:
             continue
-        rest = [
+        later = [
             one
-            for one in offers
+            for one in candidates
             if (one.server.layers.end, one.server.id)
-            > (held.end, offer.server.id)
+            > (held.end, candidate.server.id)
         ]
-        for cut in range(at + 1, min(held.end, at + offer.max_layers) + 1):
-            for path in list_paths(rest, cut):
-                yield (search.Hop(offer.server, at, cut), *path)
+        for end in range(
+            start + 1, min(held.end, start + candidate.max_layers) + 1
+        ):
+            for path in list_paths(later, end):
+                yield (search.Hop(candidate.server, start, end), *path)
 
 
 def compute_cost(hops, costs):
@@ -73,42 +75,46 @@
 
 class SearchTest(unittest.TestCase):
     @hypothesis.settings(derandomize=True, deadline=None, database=None)
-    @hypothesis.given(OFFERS)
-    def test_paths_run_each_layer_once_and_name_no_engine_twice(self, drawn):
-        path = search.find_path(build_offers(drawn), LAYERS)
+    @hypothesis.given(CANDIDATES)
+    def test_paths_run_each_layer_once_and_use_no_engine_twice(self, drawn):
+        path = search.find_path(build_candidates(drawn), LAYERS)
         if path is None:
             return
-        at = 0
+        end = 0
         for hop in path.hops:
-            self.assertEqual(at, hop.first)
+            self.assertEqual(end, hop.first)
             self.assertLessEqual(hop.server.layers.first, hop.first)
             self.assertLessEqual(hop.end, hop.server.layers.end)
-            at = hop.end
-        self.assertEqual(LAYERS, at)
+            end = hop.end
+        self.assertEqual(LAYERS, end)
         names = [hop.server.id for hop in path.hops]
         self.assertEqual(len(names), len(set(names)))
 
     @hypothesis.settings(derandomize=True, deadline=None, database=None)
-    @hypothesis.given(OFFERS)
-    def test_no_cut_makes_a_cheaper_path(self, drawn):
-        offers = build_offers(drawn)
-        costs = {one.server.id: one.layer_cost_ms for one in offers}
-        path = search.find_path(offers, LAYERS)
-        every = [compute_cost(one, costs) for one in list_paths(offers)]
+    @hypothesis.given(CANDIDATES)
+    def test_the_path_is_the_cheapest_of_all(self, drawn):
+        candidates = build_candidates(drawn)
+        costs = {one.server.id: one.layer_cost_ms for one in candidates}
+        path = search.find_path(candidates, LAYERS)
+        all_costs = [
+            compute_cost(one, costs) for one in list_paths(candidates)
+        ]
         if path is None:
-            self.assertEqual([], every)
+            self.assertEqual([], all_costs)
         else:
-            self.assertAlmostEqual(min(every), path.cost_ms)
-
-    def test_path_ends_after_32_engines(self):
-        offers = [
-            search.Offer(
-                builders.build_engine(f'a-{at}', 'small', at, at + 1), 1.0, 1
+            self.assertAlmostEqual(min(all_costs), path.cost_ms)
+
+    def test_a_path_has_at_most_32_engines(self):
+        candidates = [
+            search.Candidate(
+                builders.build_engine(f'a-{layer}', 'small', layer, layer + 1),
+                1.0,
+                1,
             )
-            for at in range(40)
+            for layer in range(40)
         ]
-        self.assertIsNone(search.find_path(offers, 40))
-        self.assertIsNotNone(search.find_path(offers, 32))
+        self.assertIsNone(search.find_path(candidates, 40))
+        self.assertIsNotNone(search.find_path(candidates, 32))
 
 
 FLEETS = strategies.lists(
@@ -121,42 +127,47 @@
     ).filter(lambda drawn: drawn[2] < drawn[3]),
     max_size=10,
 )
-"""Failure domain, kind, quarters of the model held, share of memory taken."""
+"""Drawn engines.
+
+Failure domain, kind, range of layers in quarters of the model, and reserved
+share of the memory.
+"""
 
 
 class BoundsTest(unittest.TestCase):
     @hypothesis.given(FLEETS, strategies.floats(1, 4_000))
-    def test_bounds_change_no_choice(self, drawn, prompt):
-        """A failure domain that is not searched can't have a better path."""
-        taken = reservations.Reservations()
+    def test_bounds_do_not_change_the_chosen_path(self, drawn, prompt):
+        """Guards against skipped failure domains that have a cheaper path."""
+        reserved = reservations.Reservations()
         engines = []
         for number, (domain, kind, first, end, share) in enumerate(drawn):
             engine = builders.build_engine(
                 f'{domain}-{number}', kind, first * 20, end * 20
             )
             engines.append(engine)
-            room = MODEL.compute_room(kind, engine.layers.count)
-            taken.own[engine.id] = share * room
-            taken.running[engine.id] = 1
-        plain = choice.Situation(
+            capacity = MODEL.compute_room(kind, engine.layers.count)
+            reserved.own[engine.id] = share * capacity
+            reserved.request_counts[engine.id] = 1
+        unbounded = choice.Situation(
             MODEL,
             tuple(engines),
             frozenset(),
-            taken,
+            reserved,
             {engine.id: 2.0 for engine in engines[:2]},
             'a',
             lambda: 0.0,
         )
         bounded = attrs.evolve(
-            plain, bounds=bounds.compute_bounds(MODEL, engines)
+            unbounded, bounds=bounds.compute_bounds(MODEL, engines)
         )
         need = choice.Need(prompt, 170)
         self.assertEqual(
-            choice.choose_path(plain, need), choice.choose_path(bounded, need)
+            choice.choose_path(unbounded, need),
+            choice.choose_path(bounded, need),
         )
 
-    def test_only_the_own_domain_is_searched_while_none_is_better(self):
-        """All domains are alike, and lightly loaded."""
+    def test_only_the_local_domain_is_searched_while_none_is_cheaper(self):
+        """All domains have the same engines and no load."""
         engines = tuple(
             builders.build_engine(
                 f'{domain}-{part}', 'large', part * 20, part * 20 + 20
@@ -164,7 +175,7 @@
             for domain in 'abcd'
             for part in range(4)
         )
-        drawn = []
+        draws = []
         situation = choice.Situation(
             MODEL,
             engines,
@@ -172,21 +183,21 @@
             reservations.Reservations(),
             {},
             'c',
-            lambda: drawn.append(1) or 0.5,
+            lambda: draws.append(1) or 0.5,
             bounds=bounds.compute_bounds(MODEL, engines),
         )
         found = choice.choose_path(situation, choice.Need(760, 170))
         self.assertEqual('c', found.hops[0].server.failure_domain)
-        self.assertEqual(4, len(drawn))
+        self.assertEqual(4, len(draws))
 
 
 class ChoiceTest(unittest.TestCase):
-    def describe(self, engines, taken=None, leaving=(), domain='a'):
+    def build_situation(self, engines, reserved=None, draining=(), domain='a'):
         return choice.Situation(
             MODEL,
             tuple(engines),
-            frozenset(leaving),
-            taken or reservations.Reservations(),
+            frozenset(draining),
+            reserved or reservations.Reservations(),
             {},
             domain,
             lambda: 0.0,
@@ -202,88 +213,92 @@
             builders.build_engine('b-3', 'large', 54, 80),
         ]
 
-    def test_stays_in_one_domain(self):
+    def test_prefers_a_path_within_the_local_domain(self):
         found = choice.choose_path(
-            self.describe(self.build_replicas()), choice.Need(760, 170)
+            self.build_situation(self.build_replicas()), choice.Need(760, 170)
         )
         self.assertEqual(
             ['a-1', 'a-2', 'a-3'], [hop.server.id for hop in found.hops]
         )
 
-    def test_goes_to_another_domain_whole_when_its_own_has_a_hole(self):
-        """An engine of the entry's own domain is lost."""
+    def test_uses_one_remote_domain_if_the_local_one_has_a_coverage_gap(self):
+        """An engine of the local domain is lost."""
         engines = [one for one in self.build_replicas() if one.id != 'a-2']
         found = choice.choose_path(
-            self.describe(engines), choice.Need(760, 170)
+            self.build_situation(engines), choice.Need(760, 170)
         )
         self.assertEqual(
             ['b-1', 'b-2', 'b-3'], [hop.server.id for hop in found.hops]
         )
 
-    def test_crosses_only_where_no_domain_is_whole(self):
+    def test_crosses_domains_only_if_none_has_a_complete_path(self):
         engines = [
             one
             for one in self.build_replicas()
             if one.id not in {'a-2', 'b-3'}
         ]
         found = choice.choose_path(
-            self.describe(engines), choice.Need(760, 170)
+            self.build_situation(engines), choice.Need(760, 170)
         )
         self.assertEqual(
             ['b-1', 'b-2', 'a-3'], [hop.server.id for hop in found.hops]
         )
 
-    def test_tells_full_engines_from_missing_layers(self):
-        """All engines are full, or some layer has no holder."""
+    def test_the_reason_distinguishes_full_engines_from_missing_layers(self):
+        """An engine is full, or no engine holds some layer."""
         engines = self.build_replicas()[:3]
-        taken = reservations.Reservations()
-        mark = marks.compute_mark('a-2')
-        taken.others = {mark: 1e9}
+        reserved = reservations.Reservations()
+        server_hash = marks.compute_mark('a-2')
+        reserved.others = {server_hash: 1e9}
         need = choice.Need(760, 170)
         self.assertIs(
             choice.Lack.NO_ROOM,
-            choice.choose_path(self.describe(engines, taken), need),
+            choice.choose_path(self.build_situation(engines, reserved), need),
         )
         self.assertIs(
             choice.Lack.NOT_COVERED,
-            choice.choose_path(self.describe(engines[:2]), need),
+            choice.choose_path(self.build_situation(engines[:2]), need),
         )
 
-    def test_uses_an_engine_that_leaves_only_where_it_must(self):
+    def test_uses_a_draining_engine_only_if_there_is_no_other(self):
         engines = self.build_replicas()
         need = choice.Need(760, 170)
         found = choice.choose_path(
-            self.describe(engines, leaving={'a-1'}), need
+            self.build_situation(engines, draining={'a-1'}), need
         )
         self.assertNotIn('a-1', [hop.server.id for hop in found.hops])
         found = choice.choose_path(
-            self.describe(engines[:3], leaving={'a-1'}), need
+            self.build_situation(engines[:3], draining={'a-1'}), need
         )
         self.assertIn('a-1', [hop.server.id for hop in found.hops])
 
-    def test_never_takes_more_room_than_there_is(self):
-        """Requests come faster than they end."""
+    def test_never_reserves_more_than_the_capacity(self):
+        """Requests arrive, and none ends, until no path has free capacity."""
         engines = self.build_replicas()
-        taken = reservations.Reservations()
+        reserved = reservations.Reservations()
         need = choice.Need(760, 170)
-        situation = self.describe(engines, taken)
+        situation = self.build_situation(engines, reserved)
         admitted = 0
         while True:
             found = choice.choose_path(situation, need)
             if isinstance(found, choice.Lack):
                 break
-            taken.take(found.hops, need.tokens)
+            reserved.take(found.hops, need.tokens)
             admitted += 1
         self.assertIs(choice.Lack.NO_ROOM, found)
         self.assertGreater(admitted, 100)
         for engine in engines:
-            room = MODEL.compute_room(engine.kind, engine.layers.count)
-            self.assertLessEqual(taken.compute_taken(engine.id), room)
+            capacity = MODEL.compute_room(engine.kind, engine.layers.count)
+            self.assertLessEqual(reserved.compute_taken(engine.id), capacity)
+
 
+class MemoryWeightTest(unittest.TestCase):
+    def test_the_fastest_engine_does_not_fill_up_while_others_are_empty(self):
+        """Guards against preemptions on the fastest engine.
 
-class FillingTest(unittest.TestCase):
-    def test_the_fastest_engine_is_not_filled_while_others_are_empty(self):
-        """Many entries choose at once, by what they knew a second ago."""
+        Many entries choose paths at the same time, and their copies of the
+        reservations of others are about a second old.
+        """
         engines = [
             builders.build_engine('a-1', 'medium', 0, 8),
             builders.build_engine('a-2', 'small', 0, 8),
@@ -291,44 +306,44 @@
             builders.build_engine('a-4', 'large', 8, 44),
             builders.build_engine('a-5', 'large', 44, 80),
         ]
-        taken = reservations.Reservations()
+        reserved = reservations.Reservations()
         need = choice.Need(760, 170)
-        room = MODEL.compute_room('medium', 8)
-        while taken.compute_taken('a-1') < 0.55 * room:
-            taken.take([search.Hop(engines[0], 0, 8)], need.tokens)
+        capacity = MODEL.compute_room('medium', 8)
+        while reserved.compute_taken('a-1') < 0.55 * capacity:
+            reserved.take([search.Hop(engines[0], 0, 8)], need.tokens)
         situation = choice.Situation(
-            MODEL, tuple(engines), frozenset(), taken, {}, 'a', lambda: 0.5
+            MODEL, tuple(engines), frozenset(), reserved, {}, 'a', lambda: 0.5
         )
-        entered = []
+        first_engines = []
         for _ in range(12):
             found = choice.choose_path(situation, need)
-            taken.take(found.hops, need.tokens)
-            entered.append(found.hops[0].server.id)
-        self.assertLess(entered.count('a-1'), 6)
-        share = taken.compute_taken('a-1') / room
+            reserved.take(found.hops, need.tokens)
+            first_engines.append(found.hops[0].server.id)
+        self.assertLess(first_engines.count('a-1'), 6)
+        share = reserved.compute_taken('a-1') / capacity
         self.assertLess(share, 0.75)
 
-    def test_an_engine_that_is_half_empty_costs_what_its_speed_costs(self):
-        self.assertEqual(1.0, search.weigh_filling(0.0))
-        self.assertLess(search.weigh_filling(0.4), 1.5)
-        self.assertGreater(search.weigh_filling(0.8), 10 * 1.9)
+    def test_reserved_memory_hardly_matters_below_half_of_the_capacity(self):
+        self.assertEqual(1.0, search.compute_memory_weight(0.0))
+        self.assertLess(search.compute_memory_weight(0.4), 1.5)
+        self.assertGreater(search.compute_memory_weight(0.8), 10 * 1.9)
 
 
 class ReservationsTest(unittest.TestCase):
-    def test_frees_what_was_taken(self):
-        taken = reservations.Reservations()
+    def test_releases_what_was_reserved(self):
+        reserved = reservations.Reservations()
         hop = search.Hop(builders.build_engine('a-1', 'small', 0, 8), 0, 8)
-        taken.take([hop], 100.0)
-        taken.take([hop], 50.0)
-        taken.free([hop], 100.0)
-        self.assertEqual(400.0, taken.compute_taken('a-1'))
-        taken.free([hop], 50.0)
-        self.assertEqual({}, taken.own)
-
-    def test_counts_what_others_have_taken(self):
-        taken = reservations.Reservations()
-        mark = marks.compute_mark('a-1')
-        taken.others = {mark: 13.0}
-        self.assertEqual(13.0, taken.compute_taken('a-1'))
-        taken.others = {}
-        self.assertEqual(0.0, taken.compute_taken('a-1'))
+        reserved.take([hop], 100.0)
+        reserved.take([hop], 50.0)
+        reserved.free([hop], 100.0)
+        self.assertEqual(400.0, reserved.compute_taken('a-1'))
+        reserved.free([hop], 50.0)
+        self.assertEqual({}, reserved.own)
+
+    def test_includes_the_reservations_of_others(self):
+        reserved = reservations.Reservations()
+        server_hash = marks.compute_mark('a-1')
+        reserved.others = {server_hash: 13.0}
+        self.assertEqual(13.0, reserved.compute_taken('a-1'))
+        reserved.others = {}
+        self.assertEqual(0.0, reserved.compute_taken('a-1'))
--- a/tests/domain/paths/test_silence.py
+++ b/tests/domain/paths/test_silence.py
@@ -1,4 +1,4 @@
-"""Tests of which engines silent streams point at."""
+"""Tests of the detection of lost engines from stalled streams."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from thornspool.domain.paths import silence
 
 
-def build_streams(count, pauses, engines=('a-0', 'a-1')):
-    return [(engines, pauses)] * count
+def build_streams(count, idle_intervals, engines=('a-0', 'a-1')):
+    return [(engines, idle_intervals)] * count
 
 
-class FindDoubtfulTest(unittest.TestCase):
-    def test_streams_that_stop_together_name_what_they_share(self):
+class SuspectsTest(unittest.TestCase):
+    def test_engines_shared_by_several_stalled_streams_are_suspects(self):
         streams = [
             *build_streams(3, 2.0, ('a-0', 'a-1')),
             *build_streams(3, 2.0, ('a-2', 'a-1')),
@@ -20,42 +20,46 @@
         ]
         self.assertEqual(['a-1', 'a-0'], silence.find_doubtful(streams))
 
-    def test_a_lone_silent_stream_names_its_engines(self):
-        """Guards against crashes that an entry with few streams overlooks."""
+    def test_all_engines_of_a_single_stalled_stream_are_suspects(self):
+        """Guards against undetected crashes on an entry with few streams."""
         self.assertEqual(
             ['a-0', 'a-1'], silence.find_doubtful(build_streams(1, 2.0))
         )
 
-    def test_engines_of_two_silent_streams_come_first(self):
+    def test_engines_with_the_most_stalled_streams_come_first(self):
         streams = [
             *build_streams(1, 2.0, ('a-0', 'a-1')),
             *build_streams(1, 2.0, ('a-2', 'a-1')),
         ]
         self.assertEqual('a-1', silence.find_doubtful(streams)[0])
 
-    def test_an_engine_through_which_a_stream_moves_is_not_named(self):
-        """Guards against questions after each pause of a busy entry."""
+    def test_an_engine_with_an_active_stream_is_no_suspect(self):
+        """Guards against a probe after each stall on a busy entry."""
         streams = [
             *build_streams(2, 2.0, ('a-0', 'a-1')),
             *build_streams(1, 0.5, ('a-0', 'a-3')),
         ]
         self.assertEqual(['a-1'], silence.find_doubtful(streams))
 
-    def test_an_engine_most_of_whose_streams_move_is_not_named(self):
+    def test_an_engine_with_mostly_active_streams_is_no_suspect(self):
         streams = build_streams(3, 2.0) + build_streams(4, 0.5)
         self.assertEqual([], silence.find_doubtful(streams))
 
-    def test_usual_pauses_name_nobody(self):
+    def test_usual_event_intervals_yield_no_suspects(self):
         self.assertEqual([], silence.find_doubtful(build_streams(5, 1.2)))
 
-    def test_without_streams_nobody_is_named(self):
+    def test_without_streams_there_are_no_suspects(self):
         self.assertEqual([], silence.find_doubtful([]))
 
 
-class CredibleTest(unittest.TestCase):
-    def test_what_a_host_may_say_of_engines_that_did_not_answer(self):
-        """Guards against the word of a host that hears nobody."""
-        for asked, silent, credible in (
+class PlausibleLossTest(unittest.TestCase):
+    def test_engines_count_as_lost_if_at_most_half_do_not_reply(self):
+        """Guards against failure reports of an isolated host.
+
+        It gets no reply from any engine, and its reports would make the fleet
+        exclude all of them.
+        """
+        for probed, unanswered, is_plausible in (
             (1, 1, True),
             (2, 1, True),
             (2, 2, False),
@@ -64,31 +68,35 @@
             (12, 7, False),
             (12, 12, False),
         ):
-            with self.subTest(asked=asked, silent=silent):
-                self.assertIs(credible, silence.is_credible(asked, silent))
+            with self.subTest(probed=probed, unanswered=unanswered):
+                self.assertIs(
+                    is_plausible, silence.is_credible(probed, unanswered)
+                )
 
 
-class UsualPauseTest(unittest.TestCase):
-    def test_the_mean_follows_the_pauses_that_streams_show(self):
-        pause = silence.UsualPause()
-        self.assertIsNone(pause.mean_ms)
+class EventIntervalTest(unittest.TestCase):
+    def test_the_mean_follows_the_recorded_intervals(self):
+        interval = silence.UsualPause()
+        self.assertIsNone(interval.mean_ms)
         for _ in range(400):
-            pause.note(40)
-        self.assertAlmostEqual(40, pause.mean_ms, delta=1)
+            interval.note(40)
+        self.assertAlmostEqual(40, interval.mean_ms, delta=1)
         for _ in range(400):
-            pause.note(150)
-        self.assertAlmostEqual(150, pause.mean_ms, delta=1)
-
-    def test_a_stream_learns_its_rhythm_from_a_few_events(self):
-        pause = silence.UsualPause(silence.STREAM_WEIGHT)
-        for one in (120, *[45] * 12):
-            pause.note(one)
-        self.assertLess(pause.mean_ms, 60)
-
-    def test_the_mean_stays_within_its_limits(self):
-        pause = silence.UsualPause()
-        pause.note(1)
-        self.assertEqual(silence.MIN_USUAL_MS, pause.mean_ms)
+            interval.note(150)
+        self.assertAlmostEqual(150, interval.mean_ms, delta=1)
+
+    def test_the_mean_of_a_stream_adapts_within_a_few_events(self):
+        interval = silence.UsualPause(silence.STREAM_WEIGHT)
+        for interval_ms in (120, *[45] * 12):
+            interval.note(interval_ms)
+        self.assertLess(interval.mean_ms, 60)
+
+    def test_the_mean_stays_within_the_limits(self):
+        interval = silence.UsualPause()
+        interval.note(1)
+        self.assertEqual(silence.MIN_EVENT_INTERVAL_MS, interval.mean_ms)
         for _ in range(400):
-            pause.note(60_000)
-        self.assertAlmostEqual(silence.MAX_USUAL_MS, pause.mean_ms, delta=1)
+            interval.note(60_000)
+        self.assertAlmostEqual(
+            silence.MAX_EVENT_INTERVAL_MS, interval.mean_ms, delta=1
+        )
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -47,8 +47,8 @@
     'reading-queue': (
         Edit(
             f'{_PATHS}/search.py',
-            'entry = HOP_COST_MS + offer.wait_ms\n',
-            'entry = HOP_COST_MS\n',
+            'hop_cost_ms = HOP_COST_MS + candidate.wait_ms\n',
+            'hop_cost_ms = HOP_COST_MS\n',
         ),
     ),
     'overlap': (
@@ -105,15 +105,15 @@
     'drawn-holders': (
         Edit(
             f'{_PATHS}/choice.py',
-            'factor = -math.log(1.0 - noise())\n',
+            'factor = -math.log(1.0 - draw_random())\n',
             'factor = 1.0\n',
         ),
     ),
     'lone-streams': (
         Edit(
             f'{_PATHS}/silence.py',
-            'if shared and silent_streams >= LEAST_STREAMS:\n',
-            'if shared or silent_streams >= 0:\n',
+            'if shared and stalled_streams >= LEAST_STREAMS:\n',
+            'if shared or stalled_streams >= 0:\n',
         ),
     ),
     'rhythm-of-streams': (
@@ -185,26 +185,30 @@
     'paces': (Edit(f'{_FLEET}/paces.py', 'SLOW = 1.5\n', 'SLOW = 1e9\n'),),
     'noise-in-costs': (
         Edit(
-            f'{_PATHS}/choice.py', 'NOISE_SHARE = 0.1\n', 'NOISE_SHARE = 0.0\n'
+            f'{_PATHS}/choice.py',
+            'COST_JITTER_SHARE = 0.1\n',
+            'COST_JITTER_SHARE = 0.0\n',
         ),
     ),
     'crossing-bound': (
         Edit(
             f'{_PATHS}/crossings.py',
-            'USED_SHARE = 0.4\n',
-            'USED_SHARE = 1e9\n',
+            'MAX_LINK_SHARE = 0.4\n',
+            'MAX_LINK_SHARE = 1e9\n',
         ),
     ),
     'leaving-cost': (
         Edit(
             f'{_PATHS}/choice.py',
-            'LEAVING_LAYER_MS = 300.0\n',
-            'LEAVING_LAYER_MS = 0.0\n',
+            'DRAINING_LAYER_COST_MS = 300.0\n',
+            'DRAINING_LAYER_COST_MS = 0.0\n',
         ),
     ),
     'steep-cost-of-memory': (
         Edit(
-            f'{_PATHS}/search.py', 'STEEP_FROM = 0.45\n', 'STEEP_FROM = 9.0\n'
+            f'{_PATHS}/search.py',
+            'STEEP_COST_SHARE = 0.45\n',
+            'STEEP_COST_SHARE = 9.0\n',
         ),
     ),
     'repeats-for-begun-streams-first': (
