--- a/src/thornspool/domain/placement/__init__.py
+++ b/src/thornspool/domain/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Which layers each engine should hold, and the orders that lead there."""
+"""Placement of layer ranges on engines, and the orders that establish it."""
--- a/src/thornspool/domain/placement/layout.py
+++ b/src/thornspool/domain/placement/layout.py
@@ -1,11 +1,11 @@
-"""The ranges that engines of one failure domain should hold.
-
-Each domain holds whole replicas of its own, since activations that cross
-domains in the middle of a path cost more than anything else. Memory is
-split so that all engines run out of room for tokens at the same load:
-an engine gets as many layers as leave it room for a fixed number of tokens
-in each of them. Ranges then lie in sequence with equal overlap, so that a
-neighbour of a lost engine holds part of its layers already.
+"""Layout of layer ranges on the engines of one failure domain.
+
+Each domain holds complete replicas of the model, because activations that
+cross domains between two hops are more expensive than anything else. Layers
+are distributed so that all engines run out of token memory at the same load:
+each engine gets as many layers as leave memory for a fixed number of tokens
+per layer. The ranges follow each other with equal overlap, so that the
+neighbour of a lost engine already holds part of its layers.
 """
 
 from __future__ import annotations
@@ -21,74 +21,100 @@
     from collections.abc import Iterable
     from collections.abc import Sequence
 
-REQUESTS_AT_ONCE = 64
-"""Usual requests that a replica should have room for in each layer: twice
-those of a domain, which may have to stand in for another one."""
+TARGET_CONCURRENT_REQUESTS = 64
+"""Usual requests for which a replica should have capacity in each layer.
 
-MIN_ROOM_REQUESTS = 6
-"""Usual requests for which an extended engine must keep room.
+This is twice the load of a domain, because a domain may have to serve the
+requests of another one.
+"""
+
+MIN_CAPACITY_REQUESTS = 6
+"""Usual requests for which an engine must retain capacity when it gets more
+layers.
 
-With less room a mended domain takes so few requests that the load of the
-layers is not worth its time.
+With less, a repaired domain serves so few requests that the load of the layers
+is not worth its time.
 """
 
-MIN_REQUESTS_AT_ONCE = 4
-"""Least room for which a replica is worth placing."""
+MIN_CONCURRENT_REQUESTS = 4
+"""Minimum capacity, in usual requests, of a replica that is placed."""
 
 
 @attrs.frozen
-class Slot:
-    """An engine with the range that it should hold."""
+class Assignment:
+    """Engine and the range that it should hold.
+
+    Attributes
+    ----------
+    server : fleet.Server
+        The engine.
+    layers : fleet.LayerRange
+        Its planned range.
+    """
 
     server: fleet.Server
     layers: fleet.LayerRange
 
 
 def count_layers(
-    kind: str, model: fleet.Model, requests_at_once: float
+    kind: str, model: fleet.Model, concurrent_requests: float
 ) -> int:
-    """Count the layers that a kind can hold beside a load.
+    """Count the layers that fit on an accelerator in addition to a load.
 
     Parameters
     ----------
     kind : str
-        Kind of accelerator; one that the model doesn't know holds none.
+        Kind of accelerator.
     model : fleet.Model
         Sizes.
-    requests_at_once : float
-        Usual requests that must find room in each layer.
+    concurrent_requests : float
+        Usual requests for which each layer must have capacity.
+
+    Returns
+    -------
+    int
+        At most the layers of the model; 0 for an unknown kind.
     """
     accelerator = model.accelerators.get(kind)
     if accelerator is None:
         return 0
-    tokens = requests_at_once * (model.usual_prompt + model.usual_answer)
-    per_layer = model.layer_mb + tokens * model.layer_token_mb
-    return min(model.layers, math.floor(accelerator.memory_mb / per_layer))
+    tokens = concurrent_requests * (model.usual_prompt + model.usual_answer)
+    mb_per_layer = model.layer_mb + tokens * model.layer_token_mb
+    return min(model.layers, math.floor(accelerator.memory_mb / mb_per_layer))
 
 
-def compute_shares(
+def compute_layer_counts(
     engines: Sequence[fleet.Server],
     model: fleet.Model,
-    requests_at_once: float,
+    concurrent_requests: float,
 ) -> dict[str, int]:
-    """Compute how many layers each engine can hold beside a load.
+    """Compute how many layers each engine can hold in addition to a load.
+
+    Parameters
+    ----------
+    engines : sequence of fleet.Server
+        Engines of one failure domain.
+    model : fleet.Model
+        Sizes.
+    concurrent_requests : float
+        Usual requests for which each layer must have capacity.
 
     Returns
     -------
     dict of str to int
-        Layers by engine, without those that can hold none.
+        Layers by engine, without engines that can hold none.
     """
     counts = {
-        one.id: count_layers(one.kind, model, requests_at_once)
-        for one in engines
+        engine.id: count_layers(engine.kind, model, concurrent_requests)
+        for engine in engines
     }
     return {name: count for name, count in counts.items() if count > 0}
 
 
-def count_at_once(
+def count_concurrent_requests(
     ranges: Iterable[tuple[str, fleet.LayerRange]], model: fleet.Model
 ) -> float:
-    """Count the usual requests that find room at once in every layer.
+    """Count the usual requests for which every layer has capacity.
 
     Parameters
     ----------
@@ -96,129 +122,177 @@
         Kind of accelerator and layers of each engine.
     model : fleet.Model
         Sizes.
+
+    Returns
+    -------
+    float
+        Capacity of the layer that has the least.
     """
     tokens = model.usual_prompt + model.usual_answer
-    room = [0.0] * model.layers
+    capacity = [0.0] * model.layers
     for kind, held in ranges:
         requests = model.compute_room(kind, held.count) / held.count / tokens
         for layer in range(held.first, held.end):
-            room[layer] += requests
-    return min(room)
+            capacity[layer] += requests
+    return min(capacity)
 
 
-def choose_shares(
+def choose_layer_counts(
     engines: Sequence[fleet.Server], model: fleet.Model
 ) -> dict[str, int]:
-    """Compute the shares for the largest load that leaves a replica whole.
+    """Compute the layer counts for the largest load that allows a replica.
+
+    The load starts at ``TARGET_CONCURRENT_REQUESTS`` and is reduced until the
+    engines together can hold the model once.
+
+    Parameters
+    ----------
+    engines : sequence of fleet.Server
+        Engines of one failure domain.
+    model : fleet.Model
+        Sizes.
 
-    Starts from ``REQUESTS_AT_ONCE`` and goes down until the engines cover
-    the model once; empty when they can't.
+    Returns
+    -------
+    dict of str to int
+        Layers by engine; empty if the engines cannot hold a replica.
     """
-    wanted = float(REQUESTS_AT_ONCE)
-    while wanted >= MIN_REQUESTS_AT_ONCE:
-        shares = compute_shares(engines, model, wanted)
-        if sum(shares.values()) >= model.layers:
-            return shares
-        wanted *= 0.9
+    requests = float(TARGET_CONCURRENT_REQUESTS)
+    while requests >= MIN_CONCURRENT_REQUESTS:
+        layer_counts = compute_layer_counts(engines, model, requests)
+        if sum(layer_counts.values()) >= model.layers:
+            return layer_counts
+        requests *= 0.9
     return {}
 
 
-def lay_out(
-    ordered: Sequence[fleet.Server], shares: dict[str, int], layers: int
-) -> list[Slot]:
-    """Lay ranges out in sequence with equal overlap.
+def assign_ranges(
+    ordered: Sequence[fleet.Server], layer_counts: dict[str, int], layers: int
+) -> list[Assignment]:
+    """Assign consecutive ranges with equal overlap.
 
     Parameters
     ----------
     ordered : sequence of fleet.Server
         Engines in the order of their ranges.
-    shares : dict of str to int
-        Layers of each; their sum is at least ``layers``.
+    layer_counts : dict of str to int
+        Layers by engine; their sum is at least ``layers``.
     layers : int
         Layers of the model.
 
     Returns
     -------
-    list of Slot
+    list of Assignment
         Covers every layer.
     """
-    total = sum(shares[one.id] for one in ordered)
-    last = shares[ordered[-1].id]
-    stretch = 0.0
+    total = sum(layer_counts[engine.id] for engine in ordered)
+    last = layer_counts[ordered[-1].id]
+    scale = 0.0
     if total > last:
-        stretch = min(1.0, (layers - last) / (total - last))
-    slots = []
-    before = 0
-    for one in ordered:
-        first = math.floor(before * stretch)
-        end = min(layers, first + shares[one.id])
-        if one is ordered[-1]:
+        scale = min(1.0, (layers - last) / (total - last))
+    assignments = []
+    offset = 0
+    for engine in ordered:
+        first = math.floor(offset * scale)
+        end = min(layers, first + layer_counts[engine.id])
+        if engine is ordered[-1]:
             end = layers
-        slots.append(Slot(one, fleet.LayerRange(first, end)))
-        before += shares[one.id]
-    return slots
+        assignments.append(Assignment(engine, fleet.LayerRange(first, end)))
+        offset += layer_counts[engine.id]
+    return assignments
 
 
 def split_replicas(
     engines: Sequence[fleet.Server],
-    shares: dict[str, int],
+    layer_counts: dict[str, int],
     layers: int,
 ) -> list[list[fleet.Server]]:
     """Split the engines of a domain into groups of one replica each.
 
-    An engine that holds layers stays with those that hold the layers next
-    to its own only by chance; the split is by size and name, so that all
-    entries that plan from the same list find the same groups.
+    The split depends only on layer counts and names, so that all entries that
+    plan from the same list get the same groups. Whether engines with adjacent
+    ranges end up in the same group is left to chance.
+
+    Parameters
+    ----------
+    engines : sequence of fleet.Server
+        Engines of one failure domain.
+    layer_counts : dict of str to int
+        Layers by engine; engines without a count are left out.
+    layers : int
+        Layers of the model.
+
+    Returns
+    -------
+    list of list of fleet.Server
+        Groups with about the same number of layers.
     """
-    total = sum(shares.get(one.id, 0) for one in engines)
-    count = max(1, total // layers)
-    groups: list[list[fleet.Server]] = [[] for _ in range(count)]
-    sums = [0] * count
-    by_size = sorted(
-        (one for one in engines if one.id in shares),
-        key=lambda one: (-shares[one.id], one.id),
+    total = sum(layer_counts.get(engine.id, 0) for engine in engines)
+    group_count = max(1, total // layers)
+    groups: list[list[fleet.Server]] = [[] for _ in range(group_count)]
+    sums = [0] * group_count
+    largest_first = sorted(
+        (engine for engine in engines if engine.id in layer_counts),
+        key=lambda engine: (-layer_counts[engine.id], engine.id),
     )
-    for engine in by_size:
-        index = min(range(count), key=lambda at: (sums[at], at))
-        groups[index].append(engine)
-        sums[index] += shares[engine.id]
+    for engine in largest_first:
+        smallest = min(
+            range(group_count), key=lambda index: (sums[index], index)
+        )
+        groups[smallest].append(engine)
+        sums[smallest] += layer_counts[engine.id]
     return [group for group in groups if group]
 
 
 def order_engines(
-    engines: Sequence[fleet.Server], shares: dict[str, int], layers: int
+    engines: Sequence[fleet.Server], layer_counts: dict[str, int], layers: int
 ) -> list[fleet.Server]:
-    """Order engines so that few of those that hold layers must move.
+    """Order engines so that those that hold layers have to move little.
+
+    Engines that hold layers keep their order. Each empty engine is inserted
+    where the resulting ranges differ least from those that the others hold.
 
-    Engines that hold layers keep their order. Each empty one is put where
-    the ranges that follow fit best what the others hold.
+    Parameters
+    ----------
+    engines : sequence of fleet.Server
+        Engines of one replica.
+    layer_counts : dict of str to int
+        Layers by engine.
+    layers : int
+        Layers of the model.
     """
-    held = [one for one in engines if one.layers is not None]
-    ordered = sorted(held, key=lambda one: (_first_of(one), one.id))
-    empty = [one for one in engines if one.layers is None]
-    for engine in sorted(empty, key=lambda one: (-shares[one.id], one.id)):
+    holding = [engine for engine in engines if engine.layers is not None]
+    ordered = sorted(
+        holding, key=lambda engine: (_get_center(engine), engine.id)
+    )
+    empty = [engine for engine in engines if engine.layers is None]
+    for engine in sorted(
+        empty, key=lambda engine: (-layer_counts[engine.id], engine.id)
+    ):
         ordered = min(
             (
-                [*ordered[:at], engine, *ordered[at:]]
-                for at in range(len(ordered) + 1)
+                [*ordered[:index], engine, *ordered[index:]]
+                for index in range(len(ordered) + 1)
             ),
-            key=lambda trial: _measure_moves(trial, shares, layers),
+            key=lambda trial: _measure_moves(trial, layer_counts, layers),
         )
     return ordered
 
 
-def _first_of(engine: fleet.Server) -> float:
+def _get_center(engine: fleet.Server) -> float:
+    """Return the middle of the range that an engine holds."""
     if engine.layers is None:
         return math.inf
     return (engine.layers.first + engine.layers.end) / 2
 
 
 def _measure_moves(
-    ordered: Sequence[fleet.Server], shares: dict[str, int], layers: int
+    ordered: Sequence[fleet.Server], layer_counts: dict[str, int], layers: int
 ) -> float:
+    """Return the layers by which the ranges of an order would move."""
     moves = 0.0
-    for slot in lay_out(ordered, shares, layers):
-        held = slot.server.layers
+    for assignment in assign_ranges(ordered, layer_counts, layers):
+        held = assignment.server.layers
         if held is not None:
-            moves += abs(held.first - slot.layers.first)
+            moves += abs(held.first - assignment.layers.first)
     return moves
--- a/src/thornspool/domain/placement/moving.py
+++ b/src/thornspool/domain/placement/moving.py
@@ -1,8 +1,9 @@
-"""Move ranges to their places without a gap.
+"""Movement of ranges to their planned place without a coverage gap.
 
-What an engine gives up must be held by others all along, and what it takes
-must fit beside what it keeps. So a range moves in steps: it drops at one end
-what others hold by now, and grows at the other as far as its memory goes.
+Other engines must hold the layers that an engine unloads during the whole
+move, and the layers that it loads must fit beside those that it retains. A
+range therefore moves in steps: at one end it unloads layers that others hold,
+and at the other it grows as far as the memory allows.
 """
 
 from __future__ import annotations
@@ -16,105 +17,130 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Sequence
 
-SETTLED_DIFFERENCE = 2
-"""Layers by which a range that is not too long may miss its place.
+TOLERATED_DISTANCE_LAYERS = 2
+"""Distance from its planned place at which a range stays where it is, unless
+it is too long.
 
-A move of one layer costs an order and a load and gains nothing that a
-request would notice. One layer too many counts: two of them halve the room
-for requests on the smallest engines.
+A move by one layer costs an order and a load, and has no effect that a request
+would notice. A range that is too long by only one layer does move, because two
+extra layers halve the memory for requests on the smallest engines.
 """
 
 
 def move_ranges(
     holdings: Sequence[orders_module.Holding],
-    wanted: dict[str, fleet.LayerRange],
+    planned: dict[str, fleet.LayerRange],
     model: fleet.Model,
-    most: int,
+    max_moves: int,
 ) -> list[orders_module.Order]:
-    """Plan the next steps of ranges that are out of place.
+    """Plan the next steps of ranges that are not at their planned place.
 
     Parameters
     ----------
     holdings : sequence of orders_module.Holding
         Engines of one failure domain.
-    wanted : dict of str to fleet.LayerRange
-        Their places.
+    planned : dict of str to fleet.LayerRange
+        Planned ranges by engine.
     model : fleet.Model
         Sizes.
-    most : int
-        Most steps at once.
+    max_moves : int
+        Maximum number of orders.
+
+    Returns
+    -------
+    list of orders_module.Order
+        Ranges that are furthest from their place come first.
     """
     orders: list[orders_module.Order] = []
-    sure = {one.server.id: one.sure for one in holdings}
-    by_distance = sorted(
+    retained = {holding.server.id: holding.sure for holding in holdings}
+    furthest_first = sorted(
         (
-            one
-            for one in holdings
-            if one.wanted is None
-            and one.server.layers is not None
-            and one.server.id in wanted
+            holding
+            for holding in holdings
+            if holding.pending is None
+            and holding.server.layers is not None
+            and holding.server.id in planned
+        ),
+        key=lambda holding: (
+            -_measure_distance(holding, planned[holding.server.id])
         ),
-        key=lambda one: -_measure_distance(one, wanted[one.server.id]),
     )
-    for one in by_distance:
-        if len(orders) >= most:
+    for holding in furthest_first:
+        if len(orders) >= max_moves:
             break
-        target = wanted[one.server.id]
-        if _is_settled(one, target):
+        final = planned[holding.server.id]
+        if _is_in_place(holding, final):
             continue
-        step = _choose_step(one, target, sure, model)
-        if step != one.server.layers:
-            orders.append(orders_module.Order(one.server, step, 'move'))
-            sure[one.server.id] = orders_module.Holding(one.server, step).sure
+        step = _choose_step(holding, final, retained, model)
+        if step != holding.server.layers:
+            orders.append(orders_module.Order(holding.server, step, 'move'))
+            retained[holding.server.id] = orders_module.Holding(
+                holding.server, step
+            ).sure
     return orders
 
 
-def _held(one: orders_module.Holding) -> fleet.LayerRange:
-    held = one.server.layers
+def _get_range(holding: orders_module.Holding) -> fleet.LayerRange:
+    held = holding.server.layers
     assert held is not None
     return held
 
 
 def _measure_distance(
-    one: orders_module.Holding, target: fleet.LayerRange
+    holding: orders_module.Holding, final: fleet.LayerRange
 ) -> int:
-    held = _held(one)
-    return abs(target.first - held.first) + abs(target.end - held.end)
+    """Return the layers by which both ends of a range have to move."""
+    held = _get_range(holding)
+    return abs(final.first - held.first) + abs(final.end - held.end)
 
 
-def _is_settled(one: orders_module.Holding, target: fleet.LayerRange) -> bool:
-    if _held(one).count > target.count:
+def _is_in_place(
+    holding: orders_module.Holding, final: fleet.LayerRange
+) -> bool:
+    if _get_range(holding).count > final.count:
         return False
-    return _measure_distance(one, target) <= SETTLED_DIFFERENCE
+    return _measure_distance(holding, final) <= TOLERATED_DISTANCE_LAYERS
 
 
 def _choose_step(
-    one: orders_module.Holding,
-    target: fleet.LayerRange,
-    sure: dict[str, fleet.LayerRange | None],
+    holding: orders_module.Holding,
+    final: fleet.LayerRange,
+    retained: dict[str, fleet.LayerRange | None],
     model: fleet.Model,
 ) -> fleet.LayerRange:
-    """Choose the range nearest to the target that is safe and fits."""
-    held = _held(one)
+    """Choose the range nearest to the final one that is safe and fits.
+
+    Parameters
+    ----------
+    holding : orders_module.Holding
+        The engine, without an order in progress.
+    final : fleet.LayerRange
+        Its planned range.
+    retained : dict
+        Retained ranges of all engines of the domain, by engine.
+    model : fleet.Model
+        Sizes.
+    """
+    held = _get_range(holding)
     others = [
         found
-        for name, found in sure.items()
-        if name != one.server.id and found is not None
+        for name, found in retained.items()
+        if name != holding.server.id and found is not None
     ]
     if orders_module.covers(others, held):
-        return target
+        return final
     first, end = held.first, held.end
-    while first < min(target.first, end - 1) and orders_module.covers(
+    while first < min(final.first, end - 1) and orders_module.covers(
         others, fleet.LayerRange(held.first, first + 1)
     ):
         first += 1
-    while end > max(target.end, first + 1) and orders_module.covers(
+    while end > max(final.end, first + 1) and orders_module.covers(
         others, fleet.LayerRange(end - 1, held.end)
     ):
         end -= 1
-    most = layout.count_layers(
-        one.server.kind, model, layout.MIN_ROOM_REQUESTS
+    max_layers = layout.count_layers(
+        holding.server.kind, model, layout.MIN_CAPACITY_REQUESTS
     )
-    end = max(end, min(target.end, first + most))
-    first = min(first, max(target.first, end - most))
+    end = max(end, min(final.end, first + max_layers))
+    first = min(first, max(final.first, end - max_layers))
     return fleet.LayerRange(first, end)
--- a/src/thornspool/domain/placement/orders.py
+++ b/src/thornspool/domain/placement/orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines, and which layers are held."""
+"""Orders to engines, and the coverage of layers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,18 @@
 
 @attrs.frozen
 class Order:
-    """An engine is to hold a range."""
+    """Order to an engine to hold a range of layers.
+
+    Attributes
+    ----------
+    server : fleet.Server
+        The engine, with the range that it holds now.
+    layers : fleet.LayerRange
+        Range that it should hold.
+    reason : str
+        ``empty`` for an engine without layers, ``hole`` to close a coverage
+        gap, ``move`` for a step towards the planned layout.
+    """
 
     server: fleet.Server
     layers: fleet.LayerRange
@@ -23,57 +34,81 @@
 
 @attrs.frozen
 class Holding:
-    """What an engine holds or will hold when its order is done.
+    """Layers that an engine holds now and after its order in progress.
 
     Attributes
     ----------
     server : fleet.Server
         The engine as listed.
-    wanted : fleet.LayerRange or None
-        Range of an order that is in progress.
+    pending : fleet.LayerRange or None
+        Range of the order in progress; None without one.
     """
 
     server: fleet.Server
-    wanted: fleet.LayerRange | None = None
+    pending: fleet.LayerRange | None = None
 
     @property
     def sure(self) -> fleet.LayerRange | None:
-        """Layers that it holds now and will still hold after its order."""
+        """Retained range, which the engine holds before and after its order.
+
+        None if the engine retains no layer.
+        """
         held = self.server.layers
-        if held is None or self.wanted is None:
+        if held is None or self.pending is None:
             return held
-        first = max(held.first, self.wanted.first)
-        end = min(held.end, self.wanted.end)
+        first = max(held.first, self.pending.first)
+        end = min(held.end, self.pending.end)
         return fleet.LayerRange(first, end) if first < end else None
 
     @property
     def expected(self) -> fleet.LayerRange | None:
-        """Layers that it holds once its order is done."""
-        return self.wanted or self.server.layers
+        """Range that the engine holds once its order is complete."""
+        return self.pending or self.server.layers
 
 
 def find_holes(
     ranges: Iterable[fleet.LayerRange], layers: int
 ) -> list[fleet.LayerRange]:
-    """Find the layers that no range covers."""
-    holes = []
-    at = 0
-    for one in sorted(ranges):
-        if one.first > at:
-            holes.append(fleet.LayerRange(at, one.first))
-        at = max(at, one.end)
-    if at < layers:
-        holes.append(fleet.LayerRange(at, layers))
-    return holes
+    """Find the coverage gaps, which are the layers in no range.
+
+    Parameters
+    ----------
+    ranges : iterable of fleet.LayerRange
+        Ranges in any order.
+    layers : int
+        Layers of the model.
+
+    Returns
+    -------
+    list of fleet.LayerRange
+        In ascending order.
+    """
+    gaps = []
+    covered_end = 0
+    for held in sorted(ranges):
+        if held.first > covered_end:
+            gaps.append(fleet.LayerRange(covered_end, held.first))
+        covered_end = max(covered_end, held.end)
+    if covered_end < layers:
+        gaps.append(fleet.LayerRange(covered_end, layers))
+    return gaps
 
 
 def covers(
     ranges: Iterable[fleet.LayerRange], needed: fleet.LayerRange
 ) -> bool:
-    """Tell whether ranges hold every layer of another one."""
-    at = needed.first
-    for one in sorted(ranges):
-        if one.first > at:
+    """Return whether ranges together contain every layer of another range.
+
+    Parameters
+    ----------
+    ranges : iterable of fleet.LayerRange
+        Ranges in any order.
+    needed : fleet.LayerRange
+        Layers to find.
+    """
+    covered_end = needed.first
+    for held in sorted(ranges):
+        if held.first > covered_end:
             break
-        at = max(at, one.end)
-    return at >= needed.end
+        covered_end = max(covered_end, held.end)
+    return covered_end >= needed.end
--- a/src/thornspool/domain/placement/planning.py
+++ b/src/thornspool/domain/placement/planning.py
@@ -1,14 +1,16 @@
-"""The next orders that bring the engines towards their layout.
-
-Holes first: layers that no engine of a domain holds make every request of
-that domain go elsewhere. Neighbours with memory to spare extend over a hole
-at once, before anything is moved: a few layers load in under a second,
-while a whole range takes several. Where two neighbours have not the memory,
-the few engines beside the hole shift; where they have not, all engines of the
-domain go to their places in one step, as long as another domain serves
-meanwhile. Ranges that are only out of place move later, when
-the engines of the domain have not changed for a while, a few at a time in one
-domain, and never so that a layer loses its last holder.
+"""Planning of the next orders that bring the engines towards their layout.
+
+Coverage gaps come first: while a domain lacks a layer, other domains have to
+serve all its requests. Neighbours with spare memory extend over a gap at once,
+before any range moves: a few layers load in under a second, while a whole
+range takes several. If two neighbours do not have the memory, the few engines
+beside the gap shift. If they do not have it either, all engines of the domain
+change to their planned ranges in one step, provided that another domain serves
+in the meantime.
+
+Ranges that are merely out of place move later, once the engines of the domain
+have not changed for a while. Only a few move at a time, in one domain, and a
+layer never loses its last engine.
 """
 
 from __future__ import annotations
@@ -28,43 +30,46 @@
     from collections.abc import Sequence
 
 MAX_MOVES = 6
-"""Ranges moved at once in one domain; the store of weights serves six loads
-at full speed."""
+"""Maximum number of ranges moved at once in one domain; the store of weights
+serves six loads at full speed."""
 
 MAX_BALANCING_MOVES = 3
-"""Ranges moved at once, in all domains, where no layer is missing.
+"""Maximum number of ranges moved at once in all domains while no layer is
+missing.
 
-What an engine gives up waits for the requests that pass through it, and more
-moves at once would leave too few engines that take requests.
+Layers that an engine unloads first have to complete the requests that use
+them. More moves at once would leave too few engines that accept requests.
 """
 
 BALANCED_SHARE = 0.75
-"""Share of the requests at once that the best layout would hold, from which
-a domain is left as it is: a quarter more room is not worth the moves."""
+"""Share of the capacity of the best layout from which the ranges of a domain
+stay where they are: a quarter more capacity is not worth the moves."""
 
 STEADY_MS = 5_000
-"""Time without a change after which ranges are moved to their places.
+"""Time without a change of a domain's engines after which ranges move to their
+planned place.
 
-A crashed engine is back some 4 s later, and would undo the moves that its
-loss had caused; each of them makes an engine refuse requests for the layers
-that it gives up, and orders until the last of these has passed.
+A crashed engine is back after about 4 s, and its return would undo the moves
+that its loss had caused. In each move the engine refuses requests for the
+layers that it unloads, and further orders until the last of these requests is
+complete.
 """
 
 
 def plan_orders(
     holdings: Sequence[orders_module.Holding],
     model: fleet.Model,
-    steady: typing.Container[str] = (),
+    stable: typing.Container[str] = (),
 ) -> list[orders_module.Order]:
     """Plan the next orders for all failure domains.
 
     Parameters
     ----------
     holdings : sequence of orders_module.Holding
-        Live engines that stay, with their orders in progress.
+        Live engines that are not draining, with their orders in progress.
     model : fleet.Model
         Sizes.
-    steady : container of str, optional
+    stable : container of str, optional
         Domains whose engines have not changed for ``STEADY_MS``.
 
     Returns
@@ -73,350 +78,432 @@
         At most one for each engine without an order in progress.
     """
     domains: dict[str, list[orders_module.Holding]] = {}
-    for one in holdings:
-        domains.setdefault(one.server.failure_domain, []).append(one)
-    whole = {
-        name for name, found in domains.items() if _is_whole(found, model)
+    for holding in holdings:
+        domains.setdefault(holding.server.failure_domain, []).append(holding)
+    complete = {
+        name for name, local in domains.items() if _is_complete(local, model)
     }
-    kept = _Kept(holdings, model)
+    coverage = _FleetCoverage(holdings, model)
     plans = {
-        name: _DomainPlan(found, model, kept)
-        for name, found in domains.items()
+        name: _DomainPlan(local, model, coverage)
+        for name, local in domains.items()
     }
     orders: list[orders_module.Order] = []
     for name in sorted(plans):
-        chosen = plans[name].choose(bool(whole - {name}))
-        kept.note(chosen)
+        chosen = plans[name].choose_orders(bool(complete - {name}))
+        coverage.apply(chosen)
         orders.extend(chosen)
     if orders:
         return orders
-    candidates = [plans[name] for name in sorted(whole) if name in steady]
-    return _balance(candidates, _count_busy(holdings))
+    candidates = [plans[name] for name in sorted(complete) if name in stable]
+    return _balance(candidates, _count_pending(holdings))
 
 
-def _count_busy(holdings: Iterable[orders_module.Holding]) -> int:
-    return sum(one.wanted is not None for one in holdings)
+def _count_pending(holdings: Iterable[orders_module.Holding]) -> int:
+    return sum(holding.pending is not None for holding in holdings)
 
 
 def _balance(
-    plans: Iterable[_DomainPlan], busy: int
+    plans: Iterable[_DomainPlan], pending_count: int
 ) -> list[orders_module.Order]:
-    """Move a few ranges in the domain that gains most by it."""
-    most = MAX_BALANCING_MOVES - busy
-    if most <= 0:
+    """Move a few ranges in the domain that gains most capacity."""
+    max_moves = MAX_BALANCING_MOVES - pending_count
+    if max_moves <= 0:
         return []
     balances = [
         (plan.measure_balance(), number, plan)
         for number, plan in enumerate(plans)
     ]
-    for balance, _, plan in sorted(balances, key=lambda one: one[:2]):
-        orders = plan.move(most) if balance < BALANCED_SHARE else []
+    for balance, _, plan in sorted(balances, key=lambda item: item[:2]):
+        orders = (
+            plan.move_ranges(max_moves) if balance < BALANCED_SHARE else []
+        )
         if orders:
             return orders
     return []
 
 
-def _is_whole(
+def _is_complete(
     holdings: Iterable[orders_module.Holding], model: fleet.Model
 ) -> bool:
-    sure = [one.sure for one in holdings]
-    held = [one for one in sure if one is not None]
-    return not orders_module.find_holes(held, model.layers)
+    """Return whether engines retain every layer during their orders."""
+    retained = [holding.sure for holding in holdings]
+    ranges = [held for held in retained if held is not None]
+    return not orders_module.find_holes(ranges, model.layers)
 
 
-class _Kept:
-    """Layers that engines of any domain hold and will still hold.
+class _FleetCoverage:
+    """Layers that the engines of all domains retain during their orders.
 
-    Paths may cross domains where none is whole. Planned one by one, domains
-    gave up the same layers at the same time, and requests found no path
-    for as long as the loads took.
+    Paths may cross domains if no domain is complete. If each domain were
+    planned separately, several would unload the same layers at the same time,
+    and requests would find no path until the loads are complete.
     """
 
     def __init__(
         self, holdings: Iterable[orders_module.Holding], model: fleet.Model
     ) -> None:
         self._layers = model.layers
-        self._sure = {one.server.id: one.sure for one in holdings}
+        self._retained = {
+            holding.server.id: holding.sure for holding in holdings
+        }
 
     @property
-    def is_whole(self) -> bool:
-        """Whether every layer is held somewhere."""
-        return not self._find_holes(self._sure)
+    def is_complete(self) -> bool:
+        """Whether some engine of the fleet retains every layer."""
+        return not self._find_gaps(self._retained)
 
     def allows(self, orders: Iterable[orders_module.Order]) -> bool:
-        """Tell whether no layer loses its last holder by some orders."""
-        after = {**self._sure, **self._find_left(orders)}
-        return self._find_holes(after) == self._find_holes(self._sure)
+        """Return whether every layer keeps an engine during some orders."""
+        after = {**self._retained, **self._find_retained(orders)}
+        return self._find_gaps(after) == self._find_gaps(self._retained)
 
-    def note(self, orders: Iterable[orders_module.Order]) -> None:
-        """Note orders that are given."""
-        self._sure.update(self._find_left(orders))
+    def apply(self, orders: Iterable[orders_module.Order]) -> None:
+        """Record planned orders, for the domains that are planned next."""
+        self._retained.update(self._find_retained(orders))
 
-    def _find_left(
+    def _find_retained(
         self, orders: Iterable[orders_module.Order]
     ) -> dict[str, fleet.LayerRange | None]:
         return {
-            one.server.id: orders_module.Holding(one.server, one.layers).sure
-            for one in orders
+            order.server.id: orders_module.Holding(
+                order.server, order.layers
+            ).sure
+            for order in orders
         }
 
-    def _find_holes(
-        self, sure: dict[str, fleet.LayerRange | None]
+    def _find_gaps(
+        self, retained: dict[str, fleet.LayerRange | None]
     ) -> list[fleet.LayerRange]:
-        held = [one for one in sure.values() if one is not None]
-        return orders_module.find_holes(held, self._layers)
+        ranges = [held for held in retained.values() if held is not None]
+        return orders_module.find_holes(ranges, self._layers)
 
 
 class _DomainPlan:
-    """What the engines of one domain should hold."""
+    """Planned layout of one domain, and the orders that lead to it."""
 
     def __init__(
         self,
         holdings: list[orders_module.Holding],
         model: fleet.Model,
-        kept: _Kept,
+        coverage: _FleetCoverage,
     ) -> None:
         self._holdings = holdings
         self._model = model
-        self._kept = kept
-        self._wanted = _find_wanted(holdings, model)
-
-    def choose(self, others_serve: bool) -> list[orders_module.Order]:
-        """Choose the orders that fill empty engines and close holes."""
-        if not self._wanted:
+        self._coverage = coverage
+        self._planned = _plan_ranges(holdings, model)
+
+    def choose_orders(self, others_serve: bool) -> list[orders_module.Order]:
+        """Choose the orders that fill empty engines and close gaps.
+
+        Parameters
+        ----------
+        others_serve : bool
+            Whether another domain is complete.
+        """
+        if not self._planned:
             return []
-        placed = _place_empty(self._holdings, self._wanted)
+        placed = _fill_empty_engines(self._holdings, self._planned)
         held = [
-            one.expected for one in self._holdings if one.expected is not None
+            holding.expected
+            for holding in self._holdings
+            if holding.expected is not None
         ]
-        holes = [
-            hole
-            for hole in orders_module.find_holes(held, self._model.layers)
-            if not _is_filled_soon(hole, placed)
+        gaps = [
+            gap
+            for gap in orders_module.find_holes(held, self._model.layers)
+            if not _is_covered_by(gap, placed)
         ]
-        if not held or not holes:
+        if not held or not gaps:
             return placed
-        filled = _fill_holes(holes, self._holdings, placed, self._model)
-        if filled is not None:
-            return [*filled, *placed]
-        shifted = _shift_engines(holes, self._holdings, placed, self._model)
-        if shifted and (others_serve or self._kept.allows(shifted)):
+        extended = _close_gaps(gaps, self._holdings, placed, self._model)
+        if extended is not None:
+            return [*extended, *placed]
+        shifted = _shift_engines(gaps, self._holdings, placed, self._model)
+        if shifted and (others_serve or self._coverage.allows(shifted)):
             return [*shifted, *placed]
         if others_serve:
-            return [*_jump(self._holdings, self._wanted), *placed]
-        orders = [*self.move(MAX_MOVES), *placed]
-        if orders or self._kept.is_whole or self._is_busy():
+            return [*_move_at_once(self._holdings, self._planned), *placed]
+        orders = [*self.move_ranges(MAX_MOVES), *placed]
+        if orders or self._coverage.is_complete or self._has_pending():
             return orders
-        # Nobody is served, and no safe move is left: waiting on would leave
-        # the model without a path until an engine joins.
-        return shifted or _jump(self._holdings, self._wanted)
-
-    def move(self, most: int) -> list[orders_module.Order]:
-        """Move ranges towards their places while others cover them."""
+        # No domain serves, and no safe move is possible. Without an unsafe
+        # one, the model would have no path until an engine joins.
+        return shifted or _move_at_once(self._holdings, self._planned)
+
+    def move_ranges(self, max_moves: int) -> list[orders_module.Order]:
+        """Move ranges towards their planned place without a coverage gap.
+
+        Parameters
+        ----------
+        max_moves : int
+            Maximum number of orders.
+        """
         return moving.move_ranges(
-            self._holdings, self._wanted, self._model, most
+            self._holdings, self._planned, self._model, max_moves
         )
 
     def measure_balance(self) -> float:
-        """Return the requests at once held now against the best layout's."""
-        best = layout.count_at_once(
+        """Return the current capacity as a share of the best layout's."""
+        best = layout.count_concurrent_requests(
             [
-                (one.server.kind, self._wanted[one.server.id])
-                for one in self._holdings
-                if one.server.id in self._wanted
+                (holding.server.kind, self._planned[holding.server.id])
+                for holding in self._holdings
+                if holding.server.id in self._planned
             ],
             self._model,
         )
         if best <= 0:
             return 1.0
         held = [
-            (one.server.kind, one.expected)
-            for one in self._holdings
-            if one.expected is not None
+            (holding.server.kind, holding.expected)
+            for holding in self._holdings
+            if holding.expected is not None
         ]
-        return layout.count_at_once(held, self._model) / best
+        return layout.count_concurrent_requests(held, self._model) / best
 
-    def _is_busy(self) -> bool:
-        return any(one.wanted is not None for one in self._holdings)
+    def _has_pending(self) -> bool:
+        return any(holding.pending is not None for holding in self._holdings)
 
 
-def _find_wanted(
+def _plan_ranges(
     holdings: Sequence[orders_module.Holding], model: fleet.Model
 ) -> dict[str, fleet.LayerRange]:
-    """Find the range that each engine of a domain should hold."""
-    engines = [_as_expected(one) for one in holdings]
-    shares = layout.choose_shares(engines, model)
-    if not shares:
+    """Plan the range of each engine of a domain.
+
+    Returns
+    -------
+    dict of str to fleet.LayerRange
+        By engine; empty if the engines cannot hold a replica.
+    """
+    engines = [_apply_pending(holding) for holding in holdings]
+    layer_counts = layout.choose_layer_counts(engines, model)
+    if not layer_counts:
         return {}
-    slots: list[layout.Slot] = []
-    for group in layout.split_replicas(engines, shares, model.layers):
-        if sum(shares[one.id] for one in group) < model.layers:
+    assignments: list[layout.Assignment] = []
+    for group in layout.split_replicas(engines, layer_counts, model.layers):
+        if sum(layer_counts[engine.id] for engine in group) < model.layers:
             continue
-        ordered = layout.order_engines(group, shares, model.layers)
-        slots.extend(layout.lay_out(ordered, shares, model.layers))
-    return {slot.server.id: slot.layers for slot in slots}
+        ordered = layout.order_engines(group, layer_counts, model.layers)
+        assignments.extend(
+            layout.assign_ranges(ordered, layer_counts, model.layers)
+        )
+    return {one.server.id: one.layers for one in assignments}
 
 
-def _jump(
+def _move_at_once(
     holdings: Iterable[orders_module.Holding],
-    wanted: dict[str, fleet.LayerRange],
+    planned: dict[str, fleet.LayerRange],
 ) -> list[orders_module.Order]:
-    """Send every engine to its place, whatever layers are missing then."""
+    """Move all engines to their planned ranges, even if layers are missing."""
     return [
-        orders_module.Order(one.server, wanted[one.server.id], 'hole')
-        for one in holdings
-        if one.wanted is None
-        and one.server.layers is not None
-        and one.server.id in wanted
-        and one.server.layers != wanted[one.server.id]
+        orders_module.Order(holding.server, planned[holding.server.id], 'hole')
+        for holding in holdings
+        if holding.pending is None
+        and holding.server.layers is not None
+        and holding.server.id in planned
+        and holding.server.layers != planned[holding.server.id]
     ]
 
 
-def _as_expected(one: orders_module.Holding) -> fleet.Server:
-    return attrs.evolve(one.server, layers=one.expected)
+def _apply_pending(holding: orders_module.Holding) -> fleet.Server:
+    return attrs.evolve(holding.server, layers=holding.expected)
 
 
-def _place_empty(
+def _fill_empty_engines(
     holdings: Iterable[orders_module.Holding],
-    wanted: dict[str, fleet.LayerRange],
+    planned: dict[str, fleet.LayerRange],
 ) -> list[orders_module.Order]:
     return [
-        orders_module.Order(one.server, wanted[one.server.id], 'empty')
-        for one in holdings
-        if one.expected is None and one.server.id in wanted
+        orders_module.Order(
+            holding.server, planned[holding.server.id], 'empty'
+        )
+        for holding in holdings
+        if holding.expected is None and holding.server.id in planned
     ]
 
 
-def _fill_holes(
-    holes: Iterable[fleet.LayerRange],
+def _close_gaps(
+    gaps: Iterable[fleet.LayerRange],
     holdings: Sequence[orders_module.Holding],
     placed: list[orders_module.Order],
     model: fleet.Model,
 ) -> list[orders_module.Order] | None:
-    """Extend neighbours over holes; None where they have not the memory."""
-    filled: list[orders_module.Order] = []
-    taken = {order.server.id for order in placed}
-    for hole in holes:
-        orders = _extend_over(hole, holdings, taken, model)
+    """Extend neighbours over gaps; None if they do not have the memory."""
+    extended: list[orders_module.Order] = []
+    ordered = {order.server.id for order in placed}
+    for gap in gaps:
+        orders = _extend_over(gap, holdings, ordered, model)
         if orders is None:
             return None
-        filled.extend(orders)
-    return filled
+        extended.extend(orders)
+    return extended
 
 
 def _shift_engines(
-    holes: Iterable[fleet.LayerRange],
+    gaps: Iterable[fleet.LayerRange],
     holdings: Iterable[orders_module.Holding],
     placed: list[orders_module.Order],
     model: fleet.Model,
 ) -> list[orders_module.Order]:
-    """Shift the few engines beside holes; nothing where that can't close."""
-    taken = {order.server.id for order in placed}
-    free = {
-        one.server.id: one.server
-        for one in holdings
-        if one.wanted is None
-        and one.server.layers is not None
-        and one.server.id not in taken
+    """Shift the few engines beside gaps; empty if that cannot close them."""
+    ordered = {order.server.id for order in placed}
+    available = {
+        holding.server.id: holding.server
+        for holding in holdings
+        if holding.pending is None
+        and holding.server.layers is not None
+        and holding.server.id not in ordered
     }
-    ranges = shifting.shift_over(holes, list(free.values()), model)
+    ranges = shifting.shift_over(gaps, list(available.values()), model)
     return [
-        orders_module.Order(free[name], layers, 'hole')
+        orders_module.Order(available[name], layers, 'hole')
         for name, layers in (ranges or {}).items()
     ]
 
 
-def _is_filled_soon(
-    hole: fleet.LayerRange, orders: list[orders_module.Order]
+def _is_covered_by(
+    gap: fleet.LayerRange, orders: list[orders_module.Order]
 ) -> bool:
+    """Return whether orders load every layer of a gap."""
     ranges = [order.layers for order in orders]
     clipped = [
-        fleet.LayerRange(max(one.first, hole.first), min(one.end, hole.end))
+        fleet.LayerRange(max(one.first, gap.first), min(one.end, gap.end))
         for one in ranges
-        if one.first < hole.end and hole.first < one.end
+        if one.first < gap.end and gap.first < one.end
     ]
     shifted = [
-        fleet.LayerRange(one.first - hole.first, one.end - hole.first)
+        fleet.LayerRange(one.first - gap.first, one.end - gap.first)
         for one in clipped
     ]
-    return not orders_module.find_holes(shifted, hole.count)
+    return not orders_module.find_holes(shifted, gap.count)
 
 
 def _extend_over(
-    hole: fleet.LayerRange,
+    gap: fleet.LayerRange,
     holdings: Sequence[orders_module.Holding],
-    taken: set[str],
+    ordered: set[str],
     model: fleet.Model,
 ) -> list[orders_module.Order] | None:
-    if _waits_beside(hole, holdings):
-        # A neighbour is busy with an order; the hole is looked at again
-        # when it is done.
+    """Extend the neighbours of one gap over it.
+
+    Parameters
+    ----------
+    gap : fleet.LayerRange
+        Layers that no engine of the domain holds.
+    holdings : sequence of orders_module.Holding
+        Engines of the domain.
+    ordered : set of str
+        Engines that already get another order; those of the result are added.
+    model : fleet.Model
+        Sizes.
+
+    Returns
+    -------
+    list of orders_module.Order or None
+        None if the neighbours do not have enough memory.
+    """
+    if _has_pending_neighbour(gap, holdings):
+        # A neighbour has an order in progress. The gap is planned again when
+        # that order is complete.
         return []
-    free = [
-        one
-        for one in holdings
-        if one.wanted is None
-        and one.server.layers is not None
-        and one.server.id not in taken
+    available = [
+        holding
+        for holding in holdings
+        if holding.pending is None
+        and holding.server.layers is not None
+        and holding.server.id not in ordered
     ]
-    below = _choose_neighbour(free, model, lambda held: held.end, hole.first)
-    above = _choose_neighbour(free, model, lambda held: held.first, hole.end)
-    room_below = _count_spare(below, model)
-    room_above = _count_spare(above, model)
-    if room_below + room_above < hole.count:
+    below = _choose_neighbour(
+        available, model, lambda held: held.end, gap.first
+    )
+    above = _choose_neighbour(
+        available, model, lambda held: held.first, gap.end
+    )
+    spare_below = _count_spare_layers(below, model)
+    spare_above = _count_spare_layers(above, model)
+    if spare_below + spare_above < gap.count:
         return None
-    share = hole.count * room_below / (room_below + room_above)
-    up = min(room_below, max(hole.count - room_above, round(share)))
+    share = gap.count * spare_below / (spare_below + spare_above)
+    lower_count = min(spare_below, max(gap.count - spare_above, round(share)))
     orders = []
-    if below is not None and up > 0:
-        held = _held(below)
-        wide = fleet.LayerRange(held.first, hole.first + up)
-        orders.append(orders_module.Order(below.server, wide, 'hole'))
-    if above is not None and up < hole.count:
-        held = _held(above)
-        wide = fleet.LayerRange(hole.first + up, held.end)
-        orders.append(orders_module.Order(above.server, wide, 'hole'))
-    taken.update(order.server.id for order in orders)
+    if below is not None and lower_count > 0:
+        held = _get_range(below)
+        extended = fleet.LayerRange(held.first, gap.first + lower_count)
+        orders.append(orders_module.Order(below.server, extended, 'hole'))
+    if above is not None and lower_count < gap.count:
+        held = _get_range(above)
+        extended = fleet.LayerRange(gap.first + lower_count, held.end)
+        orders.append(orders_module.Order(above.server, extended, 'hole'))
+    ordered.update(order.server.id for order in orders)
     return orders
 
 
-def _waits_beside(
-    hole: fleet.LayerRange, holdings: Iterable[orders_module.Holding]
+def _has_pending_neighbour(
+    gap: fleet.LayerRange, holdings: Iterable[orders_module.Holding]
 ) -> bool:
+    """Return whether an order in progress leads to the edge of a gap."""
     return any(
-        one.wanted is not None
-        and (one.wanted.end == hole.first or one.wanted.first == hole.end)
-        for one in holdings
+        holding.pending is not None
+        and (
+            holding.pending.end == gap.first
+            or holding.pending.first == gap.end
+        )
+        for holding in holdings
     )
 
 
-def _held(one: orders_module.Holding) -> fleet.LayerRange:
-    held = one.server.layers
+def _get_range(holding: orders_module.Holding) -> fleet.LayerRange:
+    held = holding.server.layers
     assert held is not None
     return held
 
 
 def _choose_neighbour(
-    free: Sequence[orders_module.Holding],
+    available: Sequence[orders_module.Holding],
     model: fleet.Model,
-    read_edge: typing.Callable[[fleet.LayerRange], int],
+    get_edge: typing.Callable[[fleet.LayerRange], int],
     edge: int,
 ) -> orders_module.Holding | None:
-    """Choose the holder of an edge of a hole with most memory to spare."""
-    beside = [one for one in free if read_edge(_held(one)) == edge]
-    if not beside:
+    """Choose the engine at an edge of a gap with the most spare memory.
+
+    Parameters
+    ----------
+    available : sequence of orders_module.Holding
+        Engines that hold layers and have no order.
+    model : fleet.Model
+        Sizes.
+    get_edge : callable
+        Returns the end of a range that must meet the edge of the gap.
+    edge : int
+        Layer of the edge.
+    """
+    adjacent = [
+        holding
+        for holding in available
+        if get_edge(_get_range(holding)) == edge
+    ]
+    if not adjacent:
         return None
     return max(
-        beside, key=lambda one: (_count_spare(one, model), one.server.id)
+        adjacent,
+        key=lambda holding: (
+            _count_spare_layers(holding, model),
+            holding.server.id,
+        ),
     )
 
 
-def _count_spare(one: orders_module.Holding | None, model: fleet.Model) -> int:
-    """Count the layers that an engine can load beside what it holds."""
-    if one is None:
+def _count_spare_layers(
+    holding: orders_module.Holding | None, model: fleet.Model
+) -> int:
+    """Count the layers that an engine can load in addition to its range."""
+    if holding is None:
         return 0
     return max(
         0,
-        layout.count_layers(one.server.kind, model, layout.MIN_ROOM_REQUESTS)
-        - _held(one).count,
+        layout.count_layers(
+            holding.server.kind, model, layout.MIN_CAPACITY_REQUESTS
+        )
+        - _get_range(holding).count,
     )
--- a/src/thornspool/domain/placement/shifting.py
+++ b/src/thornspool/domain/placement/shifting.py
@@ -1,10 +1,11 @@
-"""Close holes by shifting the few engines beside them.
-
-Layers that an engine gives up wait for the requests that pass through them,
-seconds under load, and only then are new ones loaded. So a hole that its
-neighbours can't extend over is shared out among the fewest engines in
-sequence whose memory suffices; the others of the domain hold what they held
-and go on.
+"""Closing of coverage gaps by shifting the ranges of few engines beside them.
+
+Layers that an engine unloads first have to complete the requests that use
+them, which takes seconds under load; only then does the engine load new ones.
+A gap that its neighbours cannot cover by extending their ranges is therefore
+divided among the smallest number of consecutive engines that have enough
+memory. The other engines of the domain keep their ranges and continue to
+serve.
 """
 
 from __future__ import annotations
@@ -20,130 +21,173 @@
     from collections.abc import Iterable
     from collections.abc import Sequence
 
-ROOMS = (24, 6)
-"""Usual requests for which the shifted engines keep room, first choice first;
-the last is the least for which a load is worth its time."""
+CAPACITIES_REQUESTS = (24, 6)
+"""Usual requests for which shifted engines retain capacity, in order of
+preference; with less than the last, a load is not worth its time."""
 
-MOST_ENGINES = 6
-"""Engines shifted for one hole; the store of weights serves six loads at
-full speed, and with more the whole domain is as well laid out anew."""
+MAX_SHIFTED_ENGINES = 6
+"""Maximum number of engines shifted for one gap. The store of weights serves
+six loads at full speed, and beyond that the whole domain may as well get a new
+layout."""
 
 
 @attrs.frozen
 class _Link:
-    """An engine of a chain, in layers counted towards the hole."""
+    """Engine of a chain, with its layers counted towards the gap.
+
+    Attributes
+    ----------
+    id : str
+        Name of the engine.
+    first, end : int
+        Range that it holds.
+    max_layers : int
+        Layers that fit in its memory.
+    """
 
     id: str
     first: int
     end: int
-    most: int
+    max_layers: int
 
 
 @attrs.frozen
 class _Chain:
-    """Engines in sequence from a hole outwards, with their layers to spare.
+    """Consecutive engines that begin at a gap.
 
     Attributes
     ----------
     links : tuple of _Link
-        Nearest first.
-    spare : int
-        Layers of the hole that they can take.
+        Engines, with the one next to the gap first.
+    spare_layers : int
+        Layers of the gap that they can load.
     """
 
     links: tuple[_Link, ...] = ()
-    spare: int = 0
+    spare_layers: int = 0
 
 
 def shift_over(
-    holes: Iterable[fleet.LayerRange],
+    gaps: Iterable[fleet.LayerRange],
     engines: Sequence[fleet.Server],
     model: fleet.Model,
 ) -> dict[str, fleet.LayerRange] | None:
-    """Find new ranges of few engines that close all holes of a domain.
+    """Find new ranges of few engines that close all gaps of a domain.
 
     Parameters
     ----------
-    holes : iterable of fleet.LayerRange
-        Layers that nobody holds, in order.
+    gaps : iterable of fleet.LayerRange
+        Layers that no engine holds, in order.
     engines : sequence of fleet.Server
-        Engines of the domain that hold layers and are free for an order.
+        Engines of the domain that hold layers and have no order in progress.
     model : fleet.Model
         Sizes.
 
     Returns
     -------
     dict of str to fleet.LayerRange or None
-        New ranges by engine; None where the engines beside a hole have not
-        the memory.
+        New ranges by engine; None if the engines beside a gap do not have
+        enough memory.
     """
     ranges: dict[str, fleet.LayerRange] = {}
-    for hole in holes:
-        free = [one for one in engines if one.id not in ranges]
-        found = None
-        for room in ROOMS:
-            found = _shift_over_one(hole, free, model, room)
-            if found is not None:
+    for gap in gaps:
+        available = [engine for engine in engines if engine.id not in ranges]
+        shifted = None
+        for capacity_requests in CAPACITIES_REQUESTS:
+            shifted = _close_gap(gap, available, model, capacity_requests)
+            if shifted is not None:
                 break
-        if found is None:
+        if shifted is None:
             return None
-        ranges.update(found)
+        ranges.update(shifted)
     return ranges
 
 
-def _shift_over_one(
-    hole: fleet.LayerRange,
+def _close_gap(
+    gap: fleet.LayerRange,
     engines: Sequence[fleet.Server],
     model: fleet.Model,
-    room: int,
+    capacity_requests: int,
 ) -> dict[str, fleet.LayerRange] | None:
+    """Find new ranges that close one gap; None without enough memory."""
     top = model.layers
-    below = [_make_link(one, model, room) for one in engines]
-    above = [_mirror(one, top) for one in below]
+    upward = [
+        _build_link(engine, model, capacity_requests) for engine in engines
+    ]
+    downward = [_mirror(link, top) for link in upward]
     pair = _choose_pair(
-        _list_chains(hole.first, below),
-        _list_chains(top - hole.end, above),
-        hole.count,
+        _list_chains(gap.first, upward),
+        _list_chains(top - gap.end, downward),
+        gap.count,
     )
     if pair is None:
         return None
     lower, upper = pair
-    share = hole.count * lower.spare / (lower.spare + upper.spare)
-    up = min(lower.spare, max(hole.count - upper.spare, round(share)))
-    shifted = _shift(lower.links, hole.first + up)
-    mirrored = _shift(upper.links, top - hole.first - up)
-    shifted.extend(_mirror(one, top) for one in mirrored)
-    return {one.id: fleet.LayerRange(one.first, one.end) for one in shifted}
+    share = (
+        gap.count
+        * lower.spare_layers
+        / (lower.spare_layers + upper.spare_layers)
+    )
+    lower_count = min(
+        lower.spare_layers, max(gap.count - upper.spare_layers, round(share))
+    )
+    shifted = _shift(lower.links, gap.first + lower_count)
+    mirrored = _shift(upper.links, top - gap.first - lower_count)
+    shifted.extend(_mirror(link, top) for link in mirrored)
+    return {
+        link.id: fleet.LayerRange(link.first, link.end) for link in shifted
+    }
 
 
-def _make_link(engine: fleet.Server, model: fleet.Model, room: int) -> _Link:
+def _build_link(
+    engine: fleet.Server, model: fleet.Model, capacity_requests: int
+) -> _Link:
     held = engine.layers
     assert held is not None
-    most = layout.count_layers(engine.kind, model, room)
-    return _Link(engine.id, held.first, held.end, most)
+    max_layers = layout.count_layers(engine.kind, model, capacity_requests)
+    return _Link(engine.id, held.first, held.end, max_layers)
 
 
 def _mirror(link: _Link, top: int) -> _Link:
-    """Count the layers from the other end of the model."""
+    """Count the layers of a link from the other end of the model."""
     return attrs.evolve(link, first=top - link.end, end=top - link.first)
 
 
 def _list_chains(edge: int, links: Sequence[_Link]) -> list[_Chain]:
-    """List the chains that end at an edge, shortest first; one is empty."""
+    """List the chains that end at an edge of a gap.
+
+    Parameters
+    ----------
+    edge : int
+        First layer of the gap.
+    links : sequence of _Link
+        All engines, counted towards the gap.
+
+    Returns
+    -------
+    list of _Chain
+        Shortest first; the first one is empty.
+    """
     chains = [_Chain()]
-    left = list(links)
-    at = edge
-    most = 0
-    while len(chains) <= MOST_ENGINES:
-        beside = [one for one in left if one.first < at <= one.end]
-        if not beside:
+    remaining = list(links)
+    first = edge
+    max_layers = 0
+    while len(chains) <= MAX_SHIFTED_ENGINES:
+        adjacent = [
+            link for link in remaining if link.first < first <= link.end
+        ]
+        if not adjacent:
             break
-        best = max(beside, key=lambda one: (one.most + one.first, one.id))
-        left.remove(best)
-        at = best.first
-        most += best.most
+        best = max(
+            adjacent, key=lambda link: (link.max_layers + link.first, link.id)
+        )
+        remaining.remove(best)
+        first = best.first
+        max_layers += best.max_layers
         chains.append(
-            _Chain((*chains[-1].links, best), max(0, most - (edge - at)))
+            _Chain(
+                (*chains[-1].links, best), max(0, max_layers - (edge - first))
+            )
         )
     return chains
 
@@ -151,13 +195,17 @@
 def _choose_pair(
     lower: Sequence[_Chain], upper: Sequence[_Chain], needed: int
 ) -> tuple[_Chain, _Chain] | None:
-    """Choose the chains with the fewest engines that close a hole."""
+    """Choose the chains with the fewest engines that close a gap.
+
+    Among pairs with equally many engines, the one with the most spare layers
+    is chosen.
+    """
     pairs = [
         (below, above)
         for below in lower
         for above in upper
-        if len(below.links) + len(above.links) <= MOST_ENGINES
-        and below.spare + above.spare >= needed
+        if len(below.links) + len(above.links) <= MAX_SHIFTED_ENGINES
+        and below.spare_layers + above.spare_layers >= needed
     ]
     if not pairs:
         return None
@@ -165,18 +213,31 @@
         pairs,
         key=lambda pair: (
             len(pair[0].links) + len(pair[1].links),
-            -pair[0].spare - pair[1].spare,
+            -pair[0].spare_layers - pair[1].spare_layers,
         ),
     )
 
 
 def _shift(links: Iterable[_Link], end: int) -> list[_Link]:
-    """Move the nearest link up to an end, and those behind it as needed."""
+    """Move the first link to an end, and the following ones as needed.
+
+    Parameters
+    ----------
+    links : iterable of _Link
+        Links of a chain, with the one next to the gap first.
+    end : int
+        New end of the first link.
+
+    Returns
+    -------
+    list of _Link
+        Links whose range changes.
+    """
     shifted = []
     for link in links:
         if link.end >= end:
             break
-        first = max(link.first, end - link.most)
+        first = max(link.first, end - link.max_layers)
         shifted.append(attrs.evolve(link, first=first, end=end))
         end = first
     return shifted
--- a/tests/domain/placement/__init__.py
+++ b/tests/domain/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package domain placement."""
+"""Tests of the placement of layer ranges on engines."""
--- a/tests/domain/placement/test_planning.py
+++ b/tests/domain/placement/test_planning.py
@@ -1,4 +1,4 @@
-"""Tests of the orders that place layers."""
+"""Tests of the planning of orders that place layers."""
 
 from __future__ import annotations
 
@@ -18,43 +18,45 @@
 MODEL = builders.build_model()
 
 
-def list_holes(engines):
+def list_gaps(engines):
     held = [one.layers for one in engines if one.layers is not None]
     return orders_module.find_holes(held, MODEL.layers)
 
 
-def carry_out(engines, orders):
-    wanted = {order.server.id: order.layers for order in orders}
+def apply_orders(engines, orders):
+    """Return the engines with the layers that orders give them."""
+    planned = {order.server.id: order.layers for order in orders}
     return [
-        attrs.evolve(one, layers=wanted.get(one.id, one.layers))
+        attrs.evolve(one, layers=planned.get(one.id, one.layers))
         for one in engines
     ]
 
 
-def plan(engines, steady=()):
+def plan(engines, stable=()):
     holdings = [orders_module.Holding(one) for one in engines]
-    return planning.plan_orders(holdings, MODEL, steady)
+    return planning.plan_orders(holdings, MODEL, stable)
 
 
-def place(domain):
+def place_layers(domain):
+    """Return the engines of a domain with their first layers."""
     engines = builders.build_domain(domain)
-    return carry_out(engines, plan(engines))
+    return apply_orders(engines, plan(engines))
 
 
-class EmptyFleetTest(unittest.TestCase):
-    def test_every_domain_gets_a_whole_replica_at_once(self):
+class EmptyEnginesTest(unittest.TestCase):
+    def test_every_domain_gets_a_complete_replica_at_once(self):
         for domain in builders.DOMAINS:
             with self.subTest(domain):
-                self.assertEqual([], list_holes(place(domain)))
+                self.assertEqual([], list_gaps(place_layers(domain)))
 
-    def test_no_engine_holds_more_than_its_memory(self):
+    def test_every_engine_has_memory_for_requests(self):
         for domain in builders.DOMAINS:
-            for engine in place(domain):
-                room = MODEL.compute_room(engine.kind, engine.layers.count)
-                requests = room / engine.layers.count / 946
-                self.assertGreaterEqual(requests, layout.MIN_ROOM_REQUESTS)
+            for engine in place_layers(domain):
+                capacity = MODEL.compute_room(engine.kind, engine.layers.count)
+                requests = capacity / engine.layers.count / 946
+                self.assertGreaterEqual(requests, layout.MIN_CAPACITY_REQUESTS)
 
-    def test_a_domain_too_small_for_a_replica_is_left_empty(self):
+    def test_a_domain_too_small_for_a_replica_stays_empty(self):
         engines = builders.build_domain('b')[:3]
         self.assertEqual([], plan(engines))
 
@@ -63,7 +65,7 @@
             builders.build_engine(f'a-{number}', 'small')
             for number in range(24)
         ]
-        placed = carry_out(engines, plan(engines))
+        placed = apply_orders(engines, plan(engines))
         covered = [0] * MODEL.layers
         for one in placed:
             for layer in range(one.layers.first, one.layers.end):
@@ -72,30 +74,33 @@
 
 
 class LostEngineTest(unittest.TestCase):
-    """An engine of a domain dies, so that some layers have no holder there.
+    """An engine crashes, and its domain has a coverage gap.
 
-    Callers of that domain are served by others meanwhile, which then hold
-    more requests than they have room for, and refuse some.
+    Until the gap is closed, other domains serve the requests of that domain.
+    They do not have the capacity for all of them and refuse some.
     """
 
     def lose_each(self):
+        """Yield every engine with the remaining engines of its domain."""
         for domain in builders.DOMAINS:
-            engines = place(domain)
+            engines = place_layers(domain)
             for lost in engines:
                 yield lost, [one for one in engines if one is not lost]
 
-    def test_one_round_of_orders_makes_the_domain_whole_again(self):
-        spare = builders.build_engine('z-0', 'large', 0, 80)
-        for lost, left in self.lose_each():
+    def test_one_round_of_orders_closes_the_gap(self):
+        remote = builders.build_engine('z-0', 'large', 0, 80)
+        for lost, remaining in self.lose_each():
             with self.subTest(lost=lost.id, layers=lost.layers):
-                orders = plan([*left, spare])
-                self.assertEqual([], list_holes(carry_out(left, orders)))
+                orders = plan([*remaining, remote])
+                self.assertEqual(
+                    [], list_gaps(apply_orders(remaining, orders))
+                )
 
-    def test_small_holes_cost_two_orders_at_most(self):
-        spare = builders.build_engine('z-0', 'large', 0, 80)
+    def test_small_gaps_take_at_most_two_orders(self):
+        remote = builders.build_engine('z-0', 'large', 0, 80)
         counts = [
-            len(plan([*left, spare]))
-            for lost, left in self.lose_each()
+            len(plan([*remaining, remote]))
+            for lost, remaining in self.lose_each()
             if lost.layers.first > 0
             and lost.layers.end < 80
             and lost.kind in {'small', 'tiny'}
@@ -103,49 +108,53 @@
         small = [count for count in counts if count <= 2]
         self.assertGreaterEqual(len(small), 0.9 * len(counts))
 
-    def test_nothing_is_given_up_while_a_safe_way_is_left(self):
-        """The last domain that serves loses an engine."""
-        for lost, left in self.lose_each():
-            self.check_safe_way(lost, left)
+    def test_no_gap_is_added_while_a_safe_move_exists(self):
+        """The only domain that serves requests loses an engine."""
+        for lost, remaining in self.lose_each():
+            self.check_recovery(lost, remaining)
 
-    def test_the_last_domain_is_whole_again_after_a_second_loss(self):
-        """Its engines have little to spare by then."""
-        for lost, left in self.lose_two():
-            self.check_safe_way(lost, left)
+    def test_the_only_domain_recovers_from_a_second_loss(self):
+        """Its engines have little spare memory after the first loss."""
+        for lost, remaining in self.lose_two():
+            self.check_recovery(lost, remaining)
 
-    def check_safe_way(self, lost, left):
-        before = list_holes(left)
+    def check_recovery(self, lost, remaining):
+        """Check that the gaps close, and grow only if no safe move exists."""
+        before = list_gaps(remaining)
         for _ in range(20):
-            orders = plan(left)
-            if not list_holes(left):
+            orders = plan(remaining)
+            if not list_gaps(remaining):
                 return
-            held = carry_out_safe(left, orders)
+            held = retain_layers(remaining, orders)
             is_safe = all(
                 any(
-                    one.first <= hole.first and hole.end <= one.end
+                    one.first <= gap.first and gap.end <= one.end
                     for one in before
                 )
-                for hole in list_holes(held)
+                for gap in list_gaps(held)
             )
-            self.assertTrue(is_safe or not find_safe_moves(left), lost.id)
-            left = carry_out(left, orders)
-        self.assertEqual([], list_holes(left), lost.id)
+            self.assertTrue(is_safe or not plan_safe_moves(remaining), lost.id)
+            remaining = apply_orders(remaining, orders)
+        self.assertEqual([], list_gaps(remaining), lost.id)
 
     def lose_two(self):
-        spare = builders.build_engine('z-0', 'large', 0, 80)
-        for _, left in self.lose_each():
-            mended = carry_out(left, plan([*left, spare]))
-            for lost in mended:
-                yield lost, [one for one in mended if one is not lost]
-
-    def test_few_layers_are_given_up_for_a_hole(self):
-        """A domain loses a second engine, and neighbours have no memory."""
-        spare = builders.build_engine('z-0', 'large', 0, 80)
-        given_up = []
-        for lost, left in self.lose_two():
-            orders = plan([*left, spare])
-            self.assertEqual([], list_holes(carry_out(left, orders)), lost.id)
-            given_up.append(
+        """Yield every engine of a repaired domain, and the remaining ones."""
+        remote = builders.build_engine('z-0', 'large', 0, 80)
+        for _, remaining in self.lose_each():
+            repaired = apply_orders(remaining, plan([*remaining, remote]))
+            for lost in repaired:
+                yield lost, [one for one in repaired if one is not lost]
+
+    def test_few_layers_are_unloaded_to_close_a_gap(self):
+        """A second engine is lost, and the neighbours lack spare memory."""
+        remote = builders.build_engine('z-0', 'large', 0, 80)
+        unloaded = []
+        for lost, remaining in self.lose_two():
+            orders = plan([*remaining, remote])
+            self.assertEqual(
+                [], list_gaps(apply_orders(remaining, orders)), lost.id
+            )
+            unloaded.append(
                 sum(
                     order.server.layers.count
                     - orders_module.Holding(
@@ -155,185 +164,194 @@
                     if orders_module.Holding(order.server, order.layers).sure
                 )
             )
-        self.assertLess(sum(given_up) / len(given_up), 6)
+        self.assertLess(sum(unloaded) / len(unloaded), 6)
+
+    def test_domains_under_repair_keep_a_path_across_them(self):
+        """Guards against domains that unload the same layers at once.
 
-    def test_domains_that_mend_keep_a_path_across_them(self):
-        """Two domains lose two engines each, and none is whole."""
-        source = random.Random(1)
+        Two domains lose two engines each, and neither is complete.
+        """
+        randomness = random.Random(1)
         rounds = []
         for _ in range(300):
-            left = [
+            remaining = [
                 one
                 for domain in ('a', 'b')
-                for one in lose(source, place(domain), 2)
+                for one in lose(randomness, place_layers(domain), 2)
             ]
-            holes = list_holes(left)
+            gaps = list_gaps(remaining)
             count = 0
-            while not any(is_whole(left, one) for one in ('a', 'b')):
+            while not any(is_complete(remaining, one) for one in ('a', 'b')):
                 count += 1
                 self.assertLess(count, 20)
-                orders = plan(left)
-                if not holes:
-                    held = carry_out_safe(left, orders)
-                    self.assertEqual([], list_holes(held))
-                left = carry_out(left, orders)
+                orders = plan(remaining)
+                if not gaps:
+                    held = retain_layers(remaining, orders)
+                    self.assertEqual([], list_gaps(held))
+                remaining = apply_orders(remaining, orders)
             rounds.append(count)
         self.assertLess(sum(rounds) / len(rounds), 1.5)
 
-    def test_an_engine_that_comes_back_empty_gets_layers_at_once(self):
-        engines = place('b')
+    def test_an_engine_that_returns_empty_gets_layers_at_once(self):
+        engines = place_layers('b')
         lost = engines[4]
-        left = [one for one in engines if one is not lost]
-        patched = carry_out(left, plan(left))
-        back = attrs.evolve(lost, id='b-new', layers=None)
-        orders = plan([*patched, back])
+        remaining = [one for one in engines if one is not lost]
+        extended = apply_orders(remaining, plan(remaining))
+        returned = attrs.evolve(lost, id='b-new', layers=None)
+        orders = plan([*extended, returned])
         self.assertEqual(['b-new'], [one.server.id for one in orders])
 
-    def test_ranges_move_only_in_a_domain_that_is_steady(self):
-        """A crashed engine is back within seconds."""
-        engines = place('b')
-        left = carry_out(
+    def test_ranges_move_only_in_a_stable_domain(self):
+        """Guards against moves that a returning engine would undo."""
+        engines = place_layers('b')
+        remaining = apply_orders(
             engines[:4] + engines[5:], plan(engines[:4] + engines[5:])
         )
-        self.assertEqual([], plan(left))
-        self.assertNotEqual([], plan(left, {'b'}))
+        self.assertEqual([], plan(remaining))
+        self.assertNotEqual([], plan(remaining, {'b'}))
 
 
-def lose(source, engines, count):
-    lost = source.sample(engines, count)
+def lose(randomness, engines, count):
+    lost = randomness.sample(engines, count)
     return [one for one in engines if one not in lost]
 
 
-def is_whole(engines, domain):
-    return not list_holes(
+def is_complete(engines, domain):
+    return not list_gaps(
         [one for one in engines if one.failure_domain == domain]
     )
 
 
 def measure_balance(engines, domain):
-    """Compare the requests that a domain holds with its best layout."""
-    near = [one for one in engines if one.failure_domain == domain]
-    wanted = planning._find_wanted(
-        [orders_module.Holding(one) for one in near], MODEL
-    )
-    held = [(one.kind, one.layers) for one in near]
-    best = [(one.kind, wanted[one.id]) for one in near]
-    return layout.count_at_once(held, MODEL) / layout.count_at_once(
-        best, MODEL
+    """Return a domain's capacity as a share of its best layout's."""
+    local = [one for one in engines if one.failure_domain == domain]
+    planned = planning._plan_ranges(
+        [orders_module.Holding(one) for one in local], MODEL
     )
+    held = [(one.kind, one.layers) for one in local]
+    best = [(one.kind, planned[one.id]) for one in local]
+    return layout.count_concurrent_requests(
+        held, MODEL
+    ) / layout.count_concurrent_requests(best, MODEL)
 
 
-def find_safe_moves(engines):
-    """Find moves after which each layer held before is held all along."""
+def plan_safe_moves(engines):
+    """Plan moves during which no layer loses its last engine."""
     holdings = [orders_module.Holding(one) for one in engines]
-    wanted = planning._find_wanted(holdings, MODEL)
-    return moving.move_ranges(holdings, wanted, MODEL, 6)
+    planned = planning._plan_ranges(holdings, MODEL)
+    return moving.move_ranges(holdings, planned, MODEL, 6)
 
 
-def carry_out_safe(engines, orders):
-    """Return the engines with what they hold all along their orders."""
-    wanted = {order.server.id: order.layers for order in orders}
+def retain_layers(engines, orders):
+    """Return the engines with the layers that they retain during orders."""
+    pending = {order.server.id: order.layers for order in orders}
     result = []
     for one in engines:
-        sure = orders_module.Holding(one, wanted.get(one.id)).sure
-        result.append(attrs.evolve(one, layers=sure))
+        retained = orders_module.Holding(one, pending.get(one.id)).sure
+        result.append(attrs.evolve(one, layers=retained))
     return result
 
 
 class BalanceTest(unittest.TestCase):
-    """No layer is missing, but some engines hold more than their share.
+    """No layer is missing, but some engines hold more than planned.
 
-    An engine that moves gives up layers, and takes nothing new for them
-    until what passes through has ended.
+    An engine that moves refuses requests for the layers that it unloads until
+    the requests that use them are complete.
     """
 
     def lose_one_each(self):
-        left = []
+        remaining = []
         for domain in builders.DOMAINS:
-            engines = place(domain)
+            engines = place_layers(domain)
             engines.pop(4)
-            left.extend(carry_out(engines, plan(engines)))
-        return left
+            remaining.extend(apply_orders(engines, plan(engines)))
+        return remaining
 
-    def test_few_engines_move_at_once_in_all_domains(self):
-        """Engines were lost in all domains, and the holes were closed."""
-        left = self.lose_one_each()
+    def test_at_most_three_engines_move_at_once_in_all_domains(self):
+        """All domains have lost an engine and closed their gaps."""
+        remaining = self.lose_one_each()
         for _ in range(40):
-            orders = plan(left, builders.DOMAINS)
+            orders = plan(remaining, builders.DOMAINS)
             if not orders:
                 break
             self.assertLessEqual(len(orders), 3)
             domains = {order.server.failure_domain for order in orders}
             self.assertEqual(1, len(domains))
-            wanted = {order.server.id: order.layers for order in orders}
-            busy = [
-                orders_module.Holding(one, wanted.get(one.id)) for one in left
+            pending = {order.server.id: order.layers for order in orders}
+            holdings = [
+                orders_module.Holding(one, pending.get(one.id))
+                for one in remaining
             ]
-            further = planning.plan_orders(busy, MODEL, builders.DOMAINS)
+            further = planning.plan_orders(holdings, MODEL, builders.DOMAINS)
             self.assertLessEqual(len(orders) + len(further), 3)
-            left = carry_out(left, orders)
+            remaining = apply_orders(remaining, orders)
         self.assertEqual([], orders)
         for domain in builders.DOMAINS:
-            self.assertGreater(measure_balance(left, domain), 0.65)
+            self.assertGreater(measure_balance(remaining, domain), 0.65)
 
-    def test_a_domain_that_is_nearly_even_is_left_alone(self):
-        engines = place('a')
+    def test_a_nearly_balanced_domain_does_not_move(self):
+        engines = place_layers('a')
         for number in (9, 10, 12):
-            left = engines[:number] + engines[number + 1 :]
-            left = carry_out(left, plan(left))
-            if measure_balance(left, 'a') >= planning.BALANCED_SHARE:
-                self.assertEqual([], plan(left, {'a'}))
-
-
-class BusyEngineTest(unittest.TestCase):
-    def test_an_engine_with_an_order_gets_no_second_one(self):
-        engines = place('b')
-        left = engines[:4] + engines[5:]
-        first = plan(left)
-        wanted = {order.server.id: order.layers for order in first}
+            remaining = engines[:number] + engines[number + 1 :]
+            remaining = apply_orders(remaining, plan(remaining))
+            if measure_balance(remaining, 'a') >= planning.BALANCED_SHARE:
+                self.assertEqual([], plan(remaining, {'a'}))
+
+
+class PendingOrderTest(unittest.TestCase):
+    def test_an_engine_with_a_pending_order_gets_no_second_one(self):
+        engines = place_layers('b')
+        remaining = engines[:4] + engines[5:]
+        first = plan(remaining)
+        pending = {order.server.id: order.layers for order in first}
         holdings = [
-            orders_module.Holding(one, wanted.get(one.id)) for one in left
+            orders_module.Holding(one, pending.get(one.id))
+            for one in remaining
         ]
         self.assertEqual([], planning.plan_orders(holdings, MODEL))
 
-    def test_moves_end(self):
+    def test_moves_come_to_an_end_without_a_gap(self):
         for domain in builders.DOMAINS:
-            engines = place(domain)[1:]
+            engines = place_layers(domain)[1:]
             for step in itertools.count():
                 orders = plan(engines, {domain})
                 if not orders:
                     break
                 self.assertLess(step, 40)
-                engines = carry_out(engines, orders)
-            self.assertEqual([], list_holes(engines))
+                engines = apply_orders(engines, orders)
+            self.assertEqual([], list_gaps(engines))
 
 
 class LayoutTest(unittest.TestCase):
-    def test_engines_run_out_of_room_at_about_the_same_load(self):
-        shares = layout.compute_shares(
-            builders.build_domain('a'), MODEL, layout.REQUESTS_AT_ONCE
+    def test_every_engine_has_capacity_for_the_target_load(self):
+        layer_counts = layout.compute_layer_counts(
+            builders.build_domain('a'),
+            MODEL,
+            layout.TARGET_CONCURRENT_REQUESTS,
         )
         for engine in builders.build_domain('a'):
-            room = MODEL.compute_room(engine.kind, shares[engine.id])
-            requests = room / shares[engine.id] / 946
-            self.assertGreaterEqual(requests, layout.REQUESTS_AT_ONCE)
+            capacity = MODEL.compute_room(engine.kind, layer_counts[engine.id])
+            requests = capacity / layer_counts[engine.id] / 946
+            self.assertGreaterEqual(
+                requests, layout.TARGET_CONCURRENT_REQUESTS
+            )
 
-    def test_ranges_follow_each_other_with_overlap(self):
+    def test_consecutive_ranges_overlap(self):
         engines = builders.build_domain('a')
-        shares = layout.choose_shares(engines, MODEL)
-        slots = layout.lay_out(engines, shares, MODEL.layers)
-        for before, after in itertools.pairwise(slots):
+        layer_counts = layout.choose_layer_counts(engines, MODEL)
+        assignments = layout.assign_ranges(engines, layer_counts, MODEL.layers)
+        for before, after in itertools.pairwise(assignments):
             self.assertLessEqual(after.layers.first, before.layers.end)
-        self.assertEqual(0, slots[0].layers.first)
-        self.assertEqual(MODEL.layers, slots[-1].layers.end)
+        self.assertEqual(0, assignments[0].layers.first)
+        self.assertEqual(MODEL.layers, assignments[-1].layers.end)
 
-    def test_an_unknown_kind_gets_nothing(self):
+    def test_an_unknown_kind_gets_no_layers(self):
         engine = builders.build_engine('a-0', 'unknown')
-        self.assertEqual({}, layout.compute_shares([engine], MODEL, 4))
+        self.assertEqual({}, layout.compute_layer_counts([engine], MODEL, 4))
 
 
 class RangesTest(unittest.TestCase):
-    def test_finds_what_no_range_covers(self):
+    def test_finds_the_layers_in_no_range(self):
         ranges = [
             messages.LayerRange(2, 4),
             messages.LayerRange(3, 6),
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -54,15 +54,15 @@
     'overlap': (
         Edit(
             f'{_PLACEMENT}/layout.py',
-            'end = min(layers, first + shares[one.id])\n',
-            'end = math.floor((before + shares[one.id]) * stretch)\n',
+            'end = min(layers, first + layer_counts[engine.id])\n',
+            'end = math.floor((offset + layer_counts[engine.id]) * scale)\n',
         ),
     ),
     'mending-by-neighbours': (
         Edit(
             f'{_PLACEMENT}/planning.py',
-            'if filled is not None:\n            return [*filled',
-            'if False:\n            return [*filled',
+            'if extended is not None:\n            return [*extended',
+            'if False:\n            return [*extended',
         ),
     ),
     'moves-told': (
@@ -221,22 +221,22 @@
     'balancing-moves': (
         Edit(
             f'{_PLACEMENT}/planning.py',
-            '[plans[name] for name in sorted(whole) if name in steady]',
+            '[plans[name] for name in sorted(complete) if name in stable]',
             '[]',
         ),
     ),
     'half-the-room': (
         Edit(
             f'{_PLACEMENT}/layout.py',
-            'REQUESTS_AT_ONCE = 64\n',
-            'REQUESTS_AT_ONCE = 32\n',
+            'TARGET_CONCURRENT_REQUESTS = 64\n',
+            'TARGET_CONCURRENT_REQUESTS = 32\n',
         ),
     ),
     'twice-the-room': (
         Edit(
             f'{_PLACEMENT}/layout.py',
-            'REQUESTS_AT_ONCE = 64\n',
-            'REQUESTS_AT_ONCE = 128\n',
+            'TARGET_CONCURRENT_REQUESTS = 64\n',
+            'TARGET_CONCURRENT_REQUESTS = 128\n',
         ),
     ),
     'handover-of-collecting': (
