--- a/tests/player/__init__.py
+++ b/tests/player/__init__.py
@@ -1,1 +1,1 @@
-"""A player of loads: entries and engines in virtual time, no network."""
+"""Simulation of entries and engines under load in virtual time."""
--- a/tests/player/callers.py
+++ b/tests/player/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a mix, and what they get."""
+"""Simulated callers of a workload, and the results that they get."""
 
 from __future__ import annotations
 
@@ -13,80 +13,95 @@
 from tests.player import loops
 from tests.player import world as world_module
 
-CALLER_MS = 3
-"""One way between a caller and an entry."""
+CALLER_LATENCY_MS = 3
+"""One-way latency between a caller and an entry."""
 
-MAX_PROMPT, MAX_ANSWER = 2_280, 470
+MAX_PROMPT_TOKENS, MAX_ANSWER_TOKENS = 2_280, 470
 
 
 @attrs.define
-class Tally:
-    """What callers got.
+class Results:
+    """Outcomes of the requests of all callers.
 
     Attributes
     ----------
     counts : collections.Counter
-        Requests by ``on_time``, ``late_first``, ``late_pause``, ``refused``
+        Requests by ``on_time``, ``late_first``, ``late_event``, ``refused``
         and ``cut``.
     late_at : collections.Counter
-        Those that were not on time, by second of their arrival.
+        Requests that were not on time, by second of their arrival.
+    sent : int
+        Runs that entries sent to engines.
+    refused_runs : int
+        Runs that engines refused.
+    refused_retries : int
+        Retries that the retry budgets refused.
+    repaths : int
+        Running requests that were moved to another path.
     """
 
     counts: collections.Counter = attrs.field(factory=collections.Counter)
     late_at: collections.Counter = attrs.field(factory=collections.Counter)
     sent: int = 0
     refused_runs: int = 0
-    no_repeats: int = 0
+    refused_retries: int = 0
     repaths: int = 0
 
     @property
     def total(self):
         return sum(self.counts.values())
 
-    def share(self, *names):
-        """Return the share of requests that ended in one of some ways."""
-        return sum(self.counts[name] for name in names) / self.total
+    def share(self, *outcomes):
+        """Return the share of requests that had one of some outcomes."""
+        return sum(self.counts[name] for name in outcomes) / self.total
 
 
-class _Caller(builders.FakeReply):
-    """One request of a caller, with the times at which events came."""
+class _TimedReply(builders.FakeReply):
+    """Reply that measures the times between its events."""
 
     def __init__(self, clock, arrived_at):
         super().__init__()
         self._clock = clock
-        self._last = arrived_at
+        self._last_at = arrived_at
         self._arrived_at = arrived_at
         self.first_ms = None
-        self.pause_ms = 0
+        self.max_interval_ms = 0
 
     def write(self, chunk):
         super().write(chunk)
         now = self._clock.now()
         if self.first_ms is None:
-            self.first_ms = now - self._arrived_at + CALLER_MS
+            self.first_ms = now - self._arrived_at + CALLER_LATENCY_MS
         else:
-            self.pause_ms = max(self.pause_ms, now - self._last)
-        self._last = now
+            self.max_interval_ms = max(
+                self.max_interval_ms, now - self._last_at
+            )
+        self._last_at = now
 
 
-def draw(source, median, spread, most):
-    """Draw a size in tokens."""
+def draw_size(source, median, spread, largest):
+    """Draw a size in tokens from a log-normal distribution."""
     size = median * math.exp(spread * source.gauss(0.0, 1.0) * 0.6)
-    return max(3.0, min(most, size))
+    return max(3.0, min(largest, size))
 
 
-async def _call(world, tally, number, source, entry):
-    mix = world.mix
-    begun = world.clock.now()
+async def _send_request(world, results, number, source, entry):
+    """Send a request, retry it once if refused, and count its outcome."""
+    workload = world.workload
+    began_at = world.clock.now()
     began_s = world.count_seconds()
-    prompt = draw(source, mix.prompt, mix.spread, MAX_PROMPT)
-    answer = draw(source, mix.answer, mix.spread, MAX_ANSWER)
-    hint = answer if source.random() < 0.5 else mix.answer
+    prompt = draw_size(
+        source, workload.prompt, workload.spread, MAX_PROMPT_TOKENS
+    )
+    answer = draw_size(
+        source, workload.answer, workload.spread, MAX_ANSWER_TOKENS
+    )
+    hint = answer if source.random() < 0.5 else workload.answer
     for attempt in range(2):
         key = f'{number}-{attempt}'
-        world.engines.lengths[key] = answer
-        await loops.pass_time(CALLER_MS)
-        reply = _Caller(world.clock, begun)
+        world.engines.answer_tokens[key] = answer
+        await loops.sleep_ms(CALLER_LATENCY_MS)
+        reply = _TimedReply(world.clock, began_at)
         entry.intake.serve(
             builders.build_inquiry(
                 '/brief/x',
@@ -98,82 +113,90 @@
             reply,
         )
         while not (reply.whole or reply.aborted):
-            await loops.pass_time(5)
+            await loops.sleep_ms(5)
         if reply.status != 503 or attempt:
             break
-        await loops.pass_time(reply.retry_after_ms or 500)
+        await loops.sleep_ms(reply.retry_after_ms or 500)
         entry = source.choice(list(world.entries.values()))
-    outcome = _judge(mix, reply)
-    tally.counts[outcome] += 1
+    outcome = _classify(workload, reply)
+    results.counts[outcome] += 1
     if outcome != 'on_time':
-        tally.late_at[int(began_s)] += 1
+        results.late_at[int(began_s)] += 1
 
 
-def _judge(mix, reply):
+def _classify(workload, reply):
+    """Return the outcome of a request, as counted in the results."""
     if reply.aborted:
         return 'cut'
     if reply.status != 200:
         return 'refused'
-    if reply.first_ms > mix.first_ms:
+    if reply.first_ms > workload.first_ms:
         return 'late_first'
-    if reply.pause_ms > mix.gap_ms:
-        return 'late_pause'
+    if reply.max_interval_ms > workload.gap_ms:
+        return 'late_event'
     return 'on_time'
 
 
-def play(mix, seed, seconds, trouble=lambda world: None):
-    """Play a load; returns what callers got.
+def simulate(workload, seed, seconds, fault=lambda world: None):
+    """Simulate a workload; return the results of its callers.
 
     Parameters
     ----------
-    mix : world_module.Mix
+    workload : world_module.Workload
         Load and fleet.
     seed : int
-        Of arrivals, sizes and all choices.
+        Seed of arrivals, sizes and all choices.
     seconds : int
-        Length of the load.
-    trouble : callable, optional
-        A coroutine function that disturbs the world.
+        Virtual seconds during which requests arrive.
+    fault : callable, optional
+        A coroutine function that disturbs the simulated fleet.
+
+    Returns
+    -------
+    Results
+        Outcomes of all requests.
     """
-    tally = Tally()
+    results = Results()
     with engines.virtual_loop() as loop:
-        world = world_module.World(loop, mix, seed)
-        loop.run_until_complete(_play(world, tally, seed, seconds, trouble))
-        tally.sent = world.engines.sent
-        tally.repaths = world.engines.repaths
-        tally.refused_runs = world.engines.refused
-        tally.no_repeats = sum(
+        world = world_module.World(loop, workload, seed)
+        loop.run_until_complete(
+            _simulate(world, results, seed, seconds, fault)
+        )
+        results.sent = world.engines.sent
+        results.repaths = world.engines.repaths
+        results.refused_runs = world.engines.refused
+        results.refused_retries = sum(
             one.budget.refused for one in world.entries.values()
         )
-    return tally
+    return results
 
 
-async def _play(world, tally, seed, seconds, trouble):
+async def _simulate(world, results, seed, seconds, fault):
     world.start()
-    await loops.pass_time(1_000)
-    disturbing = trouble(world)
-    if disturbing is not None:
-        world.engines.run(disturbing)
+    await loops.sleep_ms(1_000)
+    disturbance = fault(world)
+    if disturbance is not None:
+        world.engines.start_task(disturbance)
     source = random.Random(seed)
     entries = list(world.entries.values())
-    calls = []
-    at = 0.0
+    requests = []
+    at_s = 0.0
     number = 0
-    while at < seconds:
-        wait = source.expovariate(world.mix.requests_per_s)
-        at += wait
-        await loops.pass_time(wait * 1000)
+    while at_s < seconds:
+        interval_s = source.expovariate(world.workload.requests_per_s)
+        at_s += interval_s
+        await loops.sleep_ms(interval_s * 1000)
         number += 1
-        calls.append(
-            world.engines.run(
-                _call(
+        requests.append(
+            world.engines.start_task(
+                _send_request(
                     world,
-                    tally,
+                    results,
                     number,
                     random.Random(f'{seed} {number}'),
                     source.choice(entries),
                 )
             )
         )
-    for call in calls:
-        await call
+    for request in requests:
+        await request
--- a/tests/player/engines.py
+++ b/tests/player/engines.py
@@ -1,4 +1,4 @@
-"""Engines that run parts of a model, by the times and sizes of the model."""
+"""Simulated engines, with the speeds and memory sizes of a model."""
 
 from __future__ import annotations
 
@@ -17,184 +17,213 @@
 if typing.TYPE_CHECKING:
     from thornspool.domain.paths import search
 
-LINK_MS = 1.0
-"""One way between an entry and an engine."""
+ENTRY_LATENCY_MS = 1.0
+"""One-way latency between an entry and an engine."""
 
-HOP_MS = 0.3
-"""From one engine to the next."""
+HOP_LATENCY_MS = 0.3
+"""One-way latency between two engines of a path."""
 
-STRIDE = 3
-"""Decoding steps of one pass, which make one event."""
+STEPS_PER_EVENT = 3
+"""Decoding steps of one pass over a path, which produce one event."""
 
-CHUNK = 512
-"""Prompt tokens that an engine reads in one decoding step."""
+PREFILL_CHUNK_TOKENS = 512
+"""Prompt tokens that an engine prefills in one decoding step."""
 
-STALL_MS = 2_500
-"""Time for which work stands still that depends on a lost engine."""
+MAX_STALL_MS = 2_500
+"""Time after which a run that stalls at a lost engine is broken off."""
 
 POLL_MS = 5
-"""Time after which a run that stands still looks for another path."""
+"""Interval at which a stalled run checks the engines of its path."""
 
-REFUSE_MS = 1.0
+REFUSAL_MS = 1.0
+"""Time until an engine refuses a run."""
 
-LISTED_MS = 600
-"""Time until the list shows what has changed at an engine."""
+LIST_UPDATE_MS = 600
+"""Time until a change of an engine appears in the list of engines."""
 
-LAPSE_MS = 3_000
-"""Time until an engine that is gone leaves the list."""
+DELISTING_MS = 3_000
+"""Time until a lost engine is removed from the list of engines."""
 
 
 @attrs.define(eq=False)
 class Engine:
-    """One engine.
+    """State of one simulated engine.
 
     Attributes
     ----------
-    used : float
-        Token-layers that requests hold.
-    read_until : float
-        Time until which prompts are read that have come so far.
+    server : fleet.Server
+        The engine as it should be listed.
+    reserved : float
+        Token-layers reserved for requests.
+    running : int
+        Requests that reserve memory.
+    prefill_until : float
+        Virtual milliseconds at which the prompts received so far are
+        prefilled.
     state : str
-        ``up``, ``crashed`` (refuses connections) or ``dark`` (silent).
-    slowness : float
-        Its times against the expected ones.
+        ``up``, ``crashed`` (refuses connections) or ``unresponsive`` (does
+        not reply).
+    slowdown : float
+        Slowdown factor: actual times divided by expected ones.
+    orders : int
+        Orders begun since the start of the engine.
     """
 
     server: fleet.Server
-    used: float = 0.0
+    reserved: float = 0.0
     running: int = 0
-    read_until: float = 0.0
+    prefill_until: float = 0.0
     state: str = 'up'
-    slowness: float = 1.0
+    slowdown: float = 1.0
     orders: int = 0
 
 
 @attrs.define(eq=False)
-class _Run:
-    """A run on its way through engines."""
+class _ActiveRun:
+    """A run in progress.
+
+    Attributes
+    ----------
+    run : ports.Run
+        The run as the entry sent it.
+    listener : ports.Listener
+        Receives the events of the run.
+    tokens : float
+        Tokens of the prompt and of the answer so far.
+    hops : list of tuple of Engine and search.Hop
+        The current path.
+    reservations : list of tuple of Engine and float
+        Token-layers reserved on each engine.
+    prefill_ms : float
+        Milliseconds until new engines of the path have prefilled the tokens.
+    """
 
     run: ports.Run
     listener: ports.Listener
     tokens: float
     hops: list[tuple[Engine, search.Hop]] = attrs.field(factory=list)
-    held: list[tuple[Engine, float]] = attrs.field(factory=list)
-    reads_ms: float = 0.0
+    reservations: list[tuple[Engine, float]] = attrs.field(factory=list)
+    prefill_ms: float = 0.0
 
 
 class Engines:
-    """All engines, with the calls that entries make.
+    """All simulated engines, and the calls that entries make to them.
 
     Parameters
     ----------
     clock : loops.LoopClock
-        Virtual time.
+        Clock in virtual time.
     model : fleet.Model
         Sizes and speeds.
     servers : iterable of fleet.Server
         Engines with their layers.
-    tell : callable
-        Called with the new entry of the list of an engine that has changed,
-        or with its name when it is gone.
+    on_change : callable
+        Called with the new server record of an engine that has changed, or
+        with the name of an engine that is removed from the list.
     """
 
-    def __init__(self, clock, model, servers, tell):
+    def __init__(self, clock, model, servers, on_change):
         self._clock = clock
         self._model = model
-        self._tell = tell
+        self._on_change = on_change
         self._tasks = set()
         self.by_address = {one.address: Engine(one) for one in servers}
-        self.lengths = {}
+        self.answer_tokens = {}
         self._runs = {}
         self.refused = 0
         self.sent = 0
         self.repaths = 0
 
-    def find(self, name):
-        """Find an engine by its name."""
+    def find_engine(self, name):
         return next(
             one for one in self.by_address.values() if one.server.id == name
         )
 
-    def run(self, work):
-        """Run a coroutine beside the others."""
-        task = asyncio.get_running_loop().create_task(work)
+    def start_task(self, coroutine):
+        """Run a coroutine as a task and keep a reference to it."""
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     def send(self, run, listener):
         self.sent += 1
-        after = int(run.resume_after or -1) + 1
-        tokens = run.inquiry.prompt_tokens + after * STRIDE
-        one = _Run(run, listener, tokens)
-        self._runs[run.inquiry.id] = one
-        task = self.run(self._play(one, after))
+        first_event = int(run.resume_after or -1) + 1
+        tokens = run.inquiry.prompt_tokens + first_event * STEPS_PER_EVENT
+        active = _ActiveRun(run, listener, tokens)
+        self._runs[run.inquiry.id] = active
+        task = self.start_task(self._run_and_release(active, first_event))
         return task.cancel
 
-    async def _play(self, one, after):
+    async def _run_and_release(self, active, first_event):
         try:
-            await self._serve(one, after)
+            await self._serve(active, first_event)
         finally:
-            self._release(one)
-            if self._runs.get(one.run.inquiry.id) is one:
-                del self._runs[one.run.inquiry.id]
-
-    async def _serve(self, one, after):
-        await loops.pass_time(LINK_MS)
-        one.hops = [
-            (self.by_address[hop.server.address], hop) for hop in one.run.hops
+            self._release(active)
+            if self._runs.get(active.run.inquiry.id) is active:
+                del self._runs[active.run.inquiry.id]
+
+    async def _serve(self, active, first_event):
+        """Check the engines of a run, prefill its prompt and decode."""
+        await loops.sleep_ms(ENTRY_LATENCY_MS)
+        active.hops = [
+            (self.by_address[hop.server.address], hop)
+            for hop in active.run.hops
         ]
-        first = one.hops[0][0]
+        first = active.hops[0][0]
         if first.state == 'crashed':
-            one.listener.take_end(ports.Ending.NOT_SENT)
+            active.listener.take_end(ports.Ending.NOT_SENT)
             return
-        if first.state == 'dark':
-            await loops.pass_time(60_000)
-        begun = await self._pass_losses(one, first)
-        for engine, hop in one.hops:
-            fault = self._find_fault(engine, hop, one.tokens)
-            if fault is not None or not begun:
+        if first.state == 'unresponsive':
+            await loops.sleep_ms(60_000)
+        is_available = await self._await_engines(active, first)
+        for engine, hop in active.hops:
+            fault = self._find_fault(engine, hop, active.tokens)
+            if fault is not None or not is_available:
                 status = 421 if fault == 'layers' else 503
-                await self._refuse(one, engine, status)
+                await self._refuse(active, engine, status)
                 return
-        self._hold(one, one.hops, one.tokens)
-        await loops.pass_time(self._read(one, one.hops))
-        await self._write(one, first, after)
-
-    async def _write(self, one, first, after):
-        """Send the events of a run until its answer is whole or cut."""
-        answer = self.lengths[one.run.inquiry.id]
-        for number in itertools.count(after):
-            if not await self._pass_losses(one, first):
-                one.listener.take_end(ports.Ending.BROKEN)
+        self._reserve(active, active.hops, active.tokens)
+        await loops.sleep_ms(self._prefill(active, active.hops))
+        await self._write(active, first, first_event)
+
+    async def _write(self, active, first, first_event):
+        """Send the events of a run until its answer is complete or cut."""
+        answer = self.answer_tokens[active.run.inquiry.id]
+        for number in itertools.count(first_event):
+            if not await self._await_engines(active, first):
+                active.listener.take_end(ports.Ending.BROKEN)
                 return
-            if number == after:
-                one.listener.take_head(
+            if number == first_event:
+                active.listener.take_head(
                     ports.Head(200, (), True, '', None, True)
                 )
-            one.listener.take_body(b'id: %d\ndata: x\n\n' % number)
-            if (number + 1) * STRIDE >= answer:
+            active.listener.take_body(b'id: %d\ndata: x\n\n' % number)
+            if (number + 1) * STEPS_PER_EVENT >= answer:
                 break
-            one.tokens += STRIDE
-            self._hold(one, one.hops, STRIDE)
-            await loops.pass_time(self._compute_step(one.hops) * STRIDE)
-        one.listener.take_end(ports.Ending.WHOLE)
-
-    async def _pass_losses(self, one, first):
-        """Wait for lost engines of a path; False when it breaks off."""
-        left = STALL_MS
-        while any(engine.state != 'up' for engine, _ in one.hops):
-            if first.state == 'crashed' or left <= 0:
+            active.tokens += STEPS_PER_EVENT
+            self._reserve(active, active.hops, STEPS_PER_EVENT)
+            await loops.sleep_ms(
+                self._compute_step(active.hops) * STEPS_PER_EVENT
+            )
+        active.listener.take_end(ports.Ending.WHOLE)
+
+    async def _await_engines(self, active, first):
+        """Wait while engines of a path are lost; False after a failure."""
+        remaining_ms = MAX_STALL_MS
+        while any(engine.state != 'up' for engine, _ in active.hops):
+            if first.state == 'crashed' or remaining_ms <= 0:
                 return False
-            if first.state == 'dark':
-                await loops.pass_time(60_000)
-            await loops.pass_time(POLL_MS)
-            left -= POLL_MS
-        reads_ms, one.reads_ms = one.reads_ms, 0.0
-        await loops.pass_time(reads_ms)
+            if first.state == 'unresponsive':
+                await loops.sleep_ms(60_000)
+            await loops.sleep_ms(POLL_MS)
+            remaining_ms -= POLL_MS
+        prefill_ms, active.prefill_ms = active.prefill_ms, 0.0
+        await loops.sleep_ms(prefill_ms)
         return True
 
     def _find_fault(self, engine, hop, tokens):
+        """Return the reason why an engine refuses a hop; None if it runs."""
         if engine.state != 'up':
             return 'lost'
         held = engine.server.layers
@@ -202,166 +231,201 @@
             fleet.LayerRange(hop.first, hop.end)
         ):
             return 'layers'
-        room = self._model.compute_room(engine.server.kind, held.count)
-        if engine.used + tokens * hop.count > room:
-            return 'room'
+        capacity = self._model.compute_room(engine.server.kind, held.count)
+        if engine.reserved + tokens * hop.count > capacity:
+            return 'capacity'
         return None
 
-    async def _refuse(self, one, engine, status):
+    async def _refuse(self, active, engine, status):
         self.refused += 1
-        await loops.pass_time(REFUSE_MS)
-        one.listener.take_head(
+        await loops.sleep_ms(REFUSAL_MS)
+        active.listener.take_head(
             ports.Head(status, (), False, engine.server.address, None, False)
         )
-        one.listener.take_end(ports.Ending.WHOLE)
+        active.listener.take_end(ports.Ending.WHOLE)
 
-    def _hold(self, one, hops, tokens):
+    def _reserve(self, active, hops, tokens):
         for engine, hop in hops:
-            engine.used += tokens * hop.count
-            engine.running += not any(held is engine for held, _ in one.held)
-            one.held.append((engine, tokens * hop.count))
-
-    def _release(self, one):
-        for engine, amount in one.held:
-            engine.used -= amount
-        for engine in {id(held): held for held, _ in one.held}.values():
+            engine.reserved += tokens * hop.count
+            engine.running += not any(
+                reserved is engine for reserved, _ in active.reservations
+            )
+            active.reservations.append((engine, tokens * hop.count))
+
+    def _release(self, active):
+        for engine, amount in active.reservations:
+            engine.reserved -= amount
+        for engine in {
+            id(reserved): reserved for reserved, _ in active.reservations
+        }.values():
             engine.running -= 1
-        one.held.clear()
+        active.reservations.clear()
 
-    def _read(self, one, hops):
-        """Return the time until a prompt is read and the first token made."""
+    def _prefill(self, active, hops):
+        """Return the milliseconds until the first event of a run.
+
+        Adds the prompt to the prefill backlog of the engines.
+        """
         now = self._clock.now()
-        at = float(now)
+        done_at = float(now)
         model = self._model
         for engine, hop in hops:
             kind = model.accelerators[engine.server.kind]
             share = hop.count / model.layers
-            steps = math.ceil(one.tokens / CHUNK)
-            read_ms = one.tokens * 1000.0 / model.read_per_s * kind.read_factor
+            steps = math.ceil(active.tokens / PREFILL_CHUNK_TOKENS)
+            read_ms = (
+                active.tokens * 1000.0 / model.read_per_s * kind.read_factor
+            )
             step_ms = steps * model.step_ms * kind.step_factor
-            took = (read_ms + step_ms) * share * engine.slowness
-            engine.read_until = max(at, engine.read_until) + took
-            at = engine.read_until + HOP_MS
-        return at - now + self._compute_step(hops) * STRIDE + LINK_MS
+            took_ms = (read_ms + step_ms) * share * engine.slowdown
+            engine.prefill_until = max(done_at, engine.prefill_until) + took_ms
+            done_at = engine.prefill_until + HOP_LATENCY_MS
+        return (
+            done_at
+            - now
+            + self._compute_step(hops) * STEPS_PER_EVENT
+            + ENTRY_LATENCY_MS
+        )
 
     def _compute_step(self, hops):
-        """Return the milliseconds of one token."""
+        """Return the milliseconds of one decoding step over a path."""
         model = self._model
         return sum(
             (model.step_ms + model.per_sequence_ms * engine.running)
             * model.accelerators[engine.server.kind].step_factor
             * hop.count
             / model.layers
-            * engine.slowness
-            + HOP_MS
+            * engine.slowdown
+            + HOP_LATENCY_MS
             for engine, hop in hops
         )
 
     async def ask_report(self, server, wait_ms=ports.REPORT_MS):
         engine = self.by_address.get(server.address)
         if engine is None or engine.state == 'crashed':
-            await loops.pass_time(2 * LINK_MS)
+            await loops.sleep_ms(2 * ENTRY_LATENCY_MS)
             return None
-        if engine.state == 'dark':
-            await loops.pass_time(wait_ms)
+        if engine.state == 'unresponsive':
+            await loops.sleep_ms(wait_ms)
             return None
-        await loops.pass_time(4 * LINK_MS)
+        await loops.sleep_ms(4 * ENTRY_LATENCY_MS)
         return ports.Report(
-            engine.orders, False, engine.slowness, engine.server.born, ()
+            engine.orders, False, engine.slowdown, engine.server.born, ()
         )
 
     async def place(self, server, layers, orders):
         engine = self.by_address[server.address]
-        await loops.pass_time(2 * LINK_MS)
+        await loops.sleep_ms(2 * ENTRY_LATENCY_MS)
         if engine.state != 'up':
             return ports.OrderResult.UNKNOWN
         engine.orders += 1
-        self.run(self._load(engine, layers))
+        self.start_task(self._load(engine, layers))
         return ports.OrderResult.BEGUN
 
     async def _load(self, engine, layers):
         held = engine.server.layers
-        kept = 0
+        retained = 0
         if held is not None:
-            kept = max(
+            retained = max(
                 0,
                 min(held.end, layers.end) - max(held.first, layers.first),
             )
-        share = (layers.count - kept) / self._model.layers
-        await loops.pass_time(self._model.load_s * 1000 * share)
+        share = (layers.count - retained) / self._model.layers
+        await loops.sleep_ms(self._model.load_s * 1000 * share)
         if engine.state == 'up':
             engine.server = attrs.evolve(engine.server, layers=layers)
-            await self._list(engine)
+            await self._update_list(engine)
 
-    async def _list(self, engine):
+    async def _update_list(self, engine):
         server = engine.server
-        await loops.pass_time(LISTED_MS)
-        self._tell(server)
+        await loops.sleep_ms(LIST_UPDATE_MS)
+        self._on_change(server)
 
     async def repath(self, request, hops):
-        await loops.pass_time(2 * LINK_MS)
+        await loops.sleep_ms(2 * ENTRY_LATENCY_MS)
         self.repaths += 1
-        one = self._runs.get(request)
-        if one is None or one.hops[0][0].state != 'up':
+        active = self._runs.get(request)
+        if active is None or active.hops[0][0].state != 'up':
             return ports.OrderResult.REFUSED
         path = [(self.by_address[hop.server.address], hop) for hop in hops]
-        kept = {(id(engine), hop) for engine, hop in one.hops}
+        current = {(id(engine), hop) for engine, hop in active.hops}
         new = [
             (engine, hop)
             for engine, hop in path
-            if (id(engine), hop) not in kept
+            if (id(engine), hop) not in current
         ]
-        if any(self._find_fault(*part, one.tokens) for part in new):
+        if any(self._find_fault(*pair, active.tokens) for pair in new):
             return ports.OrderResult.CONFLICT
-        one.hops = path
-        if one.held:
-            self._release_others(one, {id(engine) for engine, _ in path})
-            self._hold(one, new, one.tokens)
-            one.reads_ms += self._read(one, new)
+        active.hops = path
+        if active.reservations:
+            self._release_left_engines(
+                active, {id(engine) for engine, _ in path}
+            )
+            self._reserve(active, new, active.tokens)
+            active.prefill_ms += self._prefill(active, new)
         return ports.OrderResult.BEGUN
 
-    def _release_others(self, one, kept):
-        """Give back what engines hold that a run has left."""
-        for engine, amount in one.held:
-            if id(engine) not in kept:
-                engine.used -= amount
-        left = {
+    def _release_left_engines(self, active, retained):
+        """Release the memory of engines that are no longer on a path."""
+        for engine, amount in active.reservations:
+            if id(engine) not in retained:
+                engine.reserved -= amount
+        left_engines = {
             id(engine): engine
-            for engine, _ in one.held
-            if id(engine) not in kept
+            for engine, _ in active.reservations
+            if id(engine) not in retained
         }
-        for engine in left.values():
+        for engine in left_engines.values():
             engine.running -= 1
-        one.held = [part for part in one.held if id(part[0]) in kept]
-
-    def crash(self, name, how='crashed', back_ms=None):
-        """Let an engine end; it comes back empty, or never."""
-        engine = self.find(name)
-        engine.state = how
-        self.run(self._come_back(engine, back_ms))
-
-    async def _come_back(self, engine, back_ms):
-        lapse = LAPSE_MS if back_ms is None else min(LAPSE_MS, back_ms)
-        await loops.pass_time(lapse)
-        self._tell(engine.server.id)
-        if back_ms is None:
+        active.reservations = [
+            reservation
+            for reservation in active.reservations
+            if id(reservation[0]) in retained
+        ]
+
+    def crash(self, name, state='crashed', restart_ms=None):
+        """Put an engine into a failed state.
+
+        Parameters
+        ----------
+        name : str
+            Name of the engine.
+        state : str, optional
+            ``crashed`` or ``unresponsive``.
+        restart_ms : int, optional
+            Milliseconds until it restarts without layers; None for never.
+        """
+        engine = self.find_engine(name)
+        engine.state = state
+        self.start_task(self._restart(engine, restart_ms))
+
+    async def _restart(self, engine, restart_ms):
+        """Remove a failed engine from the list, then restart it if wanted."""
+        delisting_ms = (
+            DELISTING_MS
+            if restart_ms is None
+            else min(DELISTING_MS, restart_ms)
+        )
+        await loops.sleep_ms(delisting_ms)
+        self._on_change(engine.server.id)
+        if restart_ms is None:
             return
-        await loops.pass_time(back_ms - lapse)
+        await loops.sleep_ms(restart_ms - delisting_ms)
         engine.server = attrs.evolve(
             engine.server, layers=None, born=engine.server.born + 1
         )
         engine.orders = 0
         engine.state = 'up'
-        await self._list(engine)
+        await self._update_list(engine)
 
-    def slow(self, name, factor):
-        """Let an engine turn slow, or fast again."""
-        self.find(name).slowness = factor
+    def slow_down(self, name, factor):
+        """Set the slowdown factor of an engine; 1 for full speed."""
+        self.find_engine(name).slowdown = factor
 
 
 @contextlib.contextmanager
 def virtual_loop():
-    """Open a loop in virtual time."""
+    """Open an event loop in virtual time; its tasks end with the block."""
     loop = loops.VirtualLoop()
     try:
         yield loop
--- a/tests/player/mixes.py
+++ b/tests/player/mixes.py
@@ -1,4 +1,4 @@
-"""Loads and fleets to play, and what disturbs them."""
+"""Workloads and fleets to simulate, and faults that disturb them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.player import loops
 from tests.player import world
 
-SHORT = world.Mix(
+SHORT = world.Workload(
     entries=4,
     kinds=(
         ('large', 'medium', 'medium', *['small'] * 6),
@@ -22,9 +22,9 @@
     first_ms=400,
     gap_ms=300,
 )
-"""Short answers on two even domains."""
+"""Short answers in two failure domains of similar size."""
 
-LONG = world.Mix(
+LONG = world.Workload(
     entries=3,
     kinds=(
         (*['medium'] * 6, *['tiny'] * 8),
@@ -38,9 +38,9 @@
     first_ms=700,
     gap_ms=350,
 )
-"""Long prompts and answers on three uneven domains."""
+"""Long prompts and answers in three failure domains of different sizes."""
 
-WIDE = world.Mix(
+WIDE = world.Workload(
     entries=10,
     kinds=(('large', *['small'] * 16), ('medium', 'large', *['small'] * 14)),
     requests_per_s=30.0,
@@ -53,26 +53,36 @@
 """Many entries with about one stream each."""
 
 
-def scale_times(mix, factor):
-    """Let all times of a load and its engines be longer or shorter."""
+def scale_times(workload, factor):
+    """Multiply all times of a workload and its engines by a factor."""
     return attrs.evolve(
-        mix,
-        requests_per_s=mix.requests_per_s / factor,
-        first_ms=round(mix.first_ms * factor),
-        gap_ms=round(mix.gap_ms * factor),
-        scale=mix.scale * factor,
+        workload,
+        requests_per_s=workload.requests_per_s / factor,
+        first_ms=round(workload.first_ms * factor),
+        gap_ms=round(workload.gap_ms * factor),
+        scale=workload.scale * factor,
     )
 
 
-def lose_engines(at_ms, count, how='crashed'):
-    """Return a trouble in which some engines of a fleet are lost."""
+def lose_engines(at_ms, count, state='crashed'):
+    """Return a fault in which some engines of a fleet are lost.
 
-    async def lose(playing):
-        await loops.pass_time(at_ms)
+    Parameters
+    ----------
+    at_ms : int
+        Virtual time of the loss, from the start of the load.
+    count : int
+        Number of engines.
+    state : str
+        State of the lost engines: ``crashed`` or ``unresponsive``.
+    """
+
+    async def lose(simulated):
+        await loops.sleep_ms(at_ms)
         names = sorted(
-            one.server.id for one in playing.engines.by_address.values()
+            one.server.id for one in simulated.engines.by_address.values()
         )
-        for name in random.Random(playing.seed).sample(names, count):
-            playing.engines.crash(name, how)
+        for name in random.Random(simulated.seed).sample(names, count):
+            simulated.engines.crash(name, state)
 
     return lose
--- a/tests/player/test_losses.py
+++ b/tests/player/test_losses.py
@@ -1,4 +1,4 @@
-"""What callers get while engines are lost."""
+"""Tests of the answers that callers get while engines are lost."""
 
 from __future__ import annotations
 
@@ -10,34 +10,39 @@
 from tests.player import mixes
 
 SECONDS = 6
-MIXES = {'short': mixes.SHORT, 'long': mixes.LONG, 'wide': mixes.WIDE}
+WORKLOADS = {'short': mixes.SHORT, 'long': mixes.LONG, 'wide': mixes.WIDE}
 
 
-def play(mix, trouble=lambda world: None, seconds=SECONDS):
+def simulate(workload, fault=lambda world: None, seconds=SECONDS):
     with testing.capture_logs():
-        return callers.play(mix, 1, seconds, trouble)
+        return callers.simulate(workload, 1, seconds, fault)
 
 
 class LossTest(unittest.TestCase):
-    def test_a_load_without_trouble_is_on_time(self):
-        for name, mix in MIXES.items():
+    def test_requests_are_on_time_without_a_fault(self):
+        for name, workload in WORKLOADS.items():
             with self.subTest(name):
-                tally = play(mix)
-                self.assertGreaterEqual(tally.share('on_time'), 0.98)
-                self.assertEqual(0, tally.refused_runs)
-
-    def test_nobody_is_refused_or_cut_where_engines_are_lost(self):
-        """Guards against repeats that end while others have room."""
-        for name, mix in MIXES.items():
-            for how in ('crashed', 'dark'):
-                with self.subTest(name, how=how):
-                    tally = play(mix, mixes.lose_engines(2_500, 2, how))
-                    self.assertEqual(0.0, tally.share('refused', 'cut'))
-
-    def test_times_of_another_size_give_the_same(self):
-        """Guards against decisions that hang on the times of one load."""
+                results = simulate(workload)
+                self.assertGreaterEqual(results.share('on_time'), 0.98)
+                self.assertEqual(0, results.refused_runs)
+
+    def test_no_request_is_refused_or_cut_if_engines_are_lost(self):
+        """Guards against abandoned retries while other engines have capacity.
+
+        Two engines of the fleet crash or become unresponsive under load.
+        """
+        for name, workload in WORKLOADS.items():
+            for state in ('crashed', 'unresponsive'):
+                with self.subTest(name, state=state):
+                    results = simulate(
+                        workload, mixes.lose_engines(2_500, 2, state)
+                    )
+                    self.assertEqual(0.0, results.share('refused', 'cut'))
+
+    def test_results_do_not_depend_on_the_time_scale_of_the_workload(self):
+        """Guards against limits that only fit the times of one workload."""
         for factor in (0.5, 2.0):
             with self.subTest(factor):
-                mix = mixes.scale_times(mixes.WIDE, factor)
-                tally = play(mix, mixes.lose_engines(2_500, 2))
-                self.assertGreaterEqual(tally.share('on_time'), 0.85)
+                workload = mixes.scale_times(mixes.WIDE, factor)
+                results = simulate(workload, mixes.lose_engines(2_500, 2))
+                self.assertGreaterEqual(results.share('on_time'), 0.85)
--- a/tests/player/world.py
+++ b/tests/player/world.py
@@ -1,4 +1,4 @@
-"""Entries with their own copy of everything, before virtual engines."""
+"""Simulated fleet: entries with separate state, and virtual engines."""
 
 from __future__ import annotations
 
@@ -27,18 +27,31 @@
 from thornspool.domain.placement import planning
 from thornspool.domain.routing import messages as routing
 
-QUICK_MS = 25
-DETECT_MS = 100
-NEWS_MS = 200
-DATAGRAM_MS = 1
-SLACK = 340.0
-WINDOW_MS = 10_000
-KEY_MS = 5_000
+FAST_TICK_MS = 25
+"""Interval of starting, timing out and watching streams."""
+
+DETECTION_TICK_MS = 100
+"""Interval of failure detection and placement."""
+
+BROADCAST_TICK_MS = 200
+"""Interval of state updates to other entries."""
+
+PEER_LATENCY_MS = 1
+"""One-way latency between two entries."""
+
+RETRY_SLACK = 340.0
+"""Retries that all entries together may send in addition to the ratio."""
+
+RETRY_WINDOW_MS = 10_000
+"""Window in which the retry budget counts requests and retries."""
+
+WITHDRAWN_KEY_MS = 5_000
+"""Time after which a withdrawn key must not be accepted."""
 
 
 @attrs.frozen
-class Mix:
-    """A load, and the fleet that it is played on.
+class Workload:
+    """A load, and the fleet that serves it.
 
     Attributes
     ----------
@@ -47,15 +60,17 @@
     kinds : tuple of tuple of str
         Kinds of the engines of each failure domain.
     requests_per_s : float
-        Over all entries.
+        Requests of all entries per second.
     prompt, answer : float
-        Median tokens.
+        Median tokens of the prompt and of the answer.
     spread : float
-        Standard deviation of their logarithms.
+        Standard deviation of the logarithms of the token counts, before the
+        factor of ``callers.draw_size``.
     first_ms, gap_ms : int
-        What callers are owed.
+        Latest time of the first event, and longest time between two events,
+        for a request that is on time.
     scale : float
-        Factor of all times of the engines.
+        Factor for all times of the engines.
     """
 
     entries: int
@@ -70,154 +85,174 @@
 
 
 class Entry:
-    """One entry with its use cases."""
+    """One entry with its application services."""
 
     def __init__(self, world, host, domain, number):
         self.host, self.domain = host, domain
         self.clock = world.clock
-        source = random.Random(f'{world.seed} {host}')
+        randomness = random.Random(f'{world.seed} {host}')
         clock = self.clock
         self.view = view_module.View(
             messages.Record(
                 host, f'{host}-1', domain, f'{host}:80', f'{host}:90'
             )
         )
-        self.beliefs = beliefs.Beliefs()
-        self.beliefs.refusals.patience = source.uniform(
+        self.routing_state = beliefs.Beliefs()
+        self.routing_state.refusals.patience = randomness.uniform(
             1.0, refusals.MOST_PATIENCE
         )
-        taken = reservations.Reservations()
+        reserved = reservations.Reservations()
         self.budget = repeats.Repeats(
-            clock, 0.2, SLACK, WINDOW_MS, self.view.count_entries, number
+            clock,
+            0.2,
+            RETRY_SLACK,
+            RETRY_WINDOW_MS,
+            self.view.count_entries,
+            number,
         )
         servers = world.engines
         self.membership = membership.MembershipService(
             clock,
             self.view,
-            self.beliefs,
-            taken,
+            self.routing_state,
+            reserved,
             self.budget,
-            world.deliver,
+            world.deliver_update,
             lambda: 1,
         )
         self.streams = streams.StreamService(
-            clock, self.beliefs, taken, servers, self.budget, domain, source
+            clock,
+            self.routing_state,
+            reserved,
+            servers,
+            self.budget,
+            domain,
+            randomness,
         )
         self.calls = calls.CallService(
-            clock, self.beliefs, servers, self.budget, domain, source
+            clock, self.routing_state, servers, self.budget, domain, randomness
         )
         self.detector = detection.Detector(
             clock,
-            self.beliefs,
+            self.routing_state,
             self.streams,
             servers,
-            source,
+            randomness,
             self.view.count_entries,
             self.membership.tell_failures,
         )
         self.placement = placement.PlacementService(
-            clock, self.beliefs, servers, lambda: number == 0
+            clock, self.routing_state, servers, lambda: number == 0
         )
         self.intake = intake.Intake(
             clock,
-            self.beliefs,
+            self.routing_state,
             self.streams,
             self.calls,
             metrics.Metrics(),
-            KEY_MS,
-            source,
+            WITHDRAWN_KEY_MS,
+            randomness,
         )
 
-    def work_quickly(self):
+    def run_fast_tick(self):
         self.streams.work()
         self.detector.look()
         self.membership.tell_failures()
 
-    def take_news(self, news):
-        self.membership.take_news(news)
-        if news.suspects:
+    def receive_update(self, update):
+        self.membership.take_news(update)
+        if update.suspects:
             self.detector.leave_suspects()
 
-    def detect(self):
+    def run_detection_tick(self):
         self.detector.work()
-        self.beliefs.forget_left(self.clock.now())
+        self.routing_state.forget_left(self.clock.now())
 
-    def tell_news(self):
-        self.beliefs.proof.renew(self.clock.now())
+    def run_broadcast_tick(self):
+        self.routing_state.proof.renew(self.clock.now())
         self.membership.work()
 
 
 class World:
-    """Entries and engines of a mix."""
+    """Entries and engines of one workload in virtual time."""
 
-    def __init__(self, loop, mix, seed):
-        self.mix, self.seed = mix, seed
+    def __init__(self, loop, workload, seed):
+        self.workload, self.seed = workload, seed
         self.clock = loops.LoopClock(loop)
         self._loop = loop
-        self.model = build_model(mix)
-        names = [chr(97 + number) for number in range(len(mix.kinds))]
+        self.model = build_model(workload)
+        names = [chr(97 + number) for number in range(len(workload.kinds))]
         empty = [
             fleet_builders.build_engine(f'{name}-{number}', kind)
-            for name, kinds in zip(names, mix.kinds, strict=True)
+            for name, kinds in zip(names, workload.kinds, strict=True)
             for number, kind in enumerate(kinds)
         ]
-        placed = lay_out(self.model, empty)
+        placed = place_layers(self.model, empty)
         self.engines = engines_module.Engines(
-            self.clock, self.model, placed, self._list
+            self.clock, self.model, placed, self._update_list
         )
         self.entries = {}
-        for number in range(mix.entries * len(names)):
+        for number in range(workload.entries * len(names)):
             domain = names[number % len(names)]
             host = f'{domain}-{number:03}'
             self.entries[host] = Entry(self, host, domain, number)
-        self._join(placed)
+        self._connect_entries(placed)
 
-    def _join(self, placed):
-        configuration = build_configuration(self.mix, self.model)
+    def _connect_entries(self, placed):
+        """Give each entry the configuration, its peers and the engines."""
+        configuration = build_configuration(self.workload, self.model)
         now = self.clock.now()
         for entry in self.entries.values():
             for other in self.entries.values():
                 entry.view.take_record(other.view.own, now)
-            entry.beliefs.take_configuration(configuration)
-            entry.beliefs.proof.renew(now)
+            entry.routing_state.take_configuration(configuration)
+            entry.routing_state.proof.renew(now)
             entry.membership.set_state(messages.State.SERVING)
             for server in placed:
-                entry.beliefs.take_server(server, now)
+                entry.routing_state.take_server(server, now)
 
-    def deliver(self, address, news):
+    def deliver_update(self, address, update):
+        """Deliver a state update to the entry at an address."""
         receiver = self.entries[address.removesuffix(':90')]
-        self._loop.call_later(DATAGRAM_MS / 1000.0, receiver.take_news, news)
+        self._loop.call_later(
+            PEER_LATENCY_MS / 1000.0, receiver.receive_update, update
+        )
 
-    def _list(self, change):
+    def _update_list(self, change):
+        """Apply a changed server record, or remove the server of a name."""
         now = self.clock.now()
         for entry in self.entries.values():
             if isinstance(change, str):
-                entry.beliefs.remove_server(change, now)
+                entry.routing_state.remove_server(change, now)
             else:
-                entry.beliefs.take_server(change, now)
+                entry.routing_state.take_server(change, now)
 
     def count_seconds(self):
-        """Return the seconds since the world began."""
+        """Return the virtual seconds since the simulation began."""
         return self._loop.time()
 
     def start(self):
-        """Start the regular work of all entries."""
-        source = random.Random(f'{self.seed} phases')
+        """Start the periodic ticks of all entries at random phases."""
+        randomness = random.Random(f'{self.seed} phases')
         for entry in self.entries.values():
-            for interval, work in (
-                (QUICK_MS, entry.work_quickly),
-                (DETECT_MS, entry.detect),
-                (NEWS_MS, entry.tell_news),
+            for interval_ms, tick in (
+                (FAST_TICK_MS, entry.run_fast_tick),
+                (DETECTION_TICK_MS, entry.run_detection_tick),
+                (BROADCAST_TICK_MS, entry.run_broadcast_tick),
             ):
-                self.engines.run(
-                    loops.repeat(interval, work, source.uniform(0, interval))
+                self.engines.start_task(
+                    loops.run_periodically(
+                        interval_ms, tick, randomness.uniform(0, interval_ms)
+                    )
                 )
-        lead = next(iter(self.entries.values()))
-        self.engines.run(loops.repeat(DETECT_MS, lead.placement.work))
+        leader = next(iter(self.entries.values()))
+        self.engines.start_task(
+            loops.run_periodically(DETECTION_TICK_MS, leader.placement.work)
+        )
 
 
-def lay_out(model, empty):
-    """Give engines the layers that the entry which leads orders first."""
+def place_layers(model, empty):
+    """Return engines with the layers of the first orders of the leader."""
     holdings = [orders_module.Holding(one) for one in empty]
     return [
         attrs.evolve(order.server, layers=order.layers)
@@ -225,27 +260,27 @@
     ]
 
 
-def build_model(mix):
-    """Build the model of a mix; all times of engines follow its scale."""
+def build_model(workload):
+    """Build the model of a workload, with times multiplied by its scale."""
     return fleet_builders.build_model(
         token_bytes=786_000.0,
-        step_ms=0.85 * mix.scale,
-        per_sequence_ms=0.0051 * mix.scale,
-        read_per_s=294_000.0 / mix.scale,
-        usual_prompt=mix.prompt,
-        usual_answer=mix.answer,
+        step_ms=0.85 * workload.scale,
+        per_sequence_ms=0.0051 * workload.scale,
+        read_per_s=294_000.0 / workload.scale,
+        usual_prompt=workload.prompt,
+        usual_answer=workload.answer,
     )
 
 
-def build_configuration(mix, model):
-    """Build the configuration of a mix."""
+def build_configuration(workload, model):
+    """Build the configuration of a workload, with one streaming route."""
     route = builders.build_route(
         '/brief/',
         routing.Kind.STREAMING,
         'drafting',
         resumable=True,
-        target_latency_ms=mix.first_ms,
-        target_gap_ms=mix.gap_ms,
+        target_latency_ms=workload.first_ms,
+        target_gap_ms=workload.gap_ms,
     )
     return builders.build_configuration(
         routes=routing.group_routes([route]),
