--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -47,22 +47,22 @@
     'reading-queue': (
         Edit(
             f'{_PATHS}/search.py',
-            'entry = HOP_COST_MS + offer.wait_ms\n',
-            'entry = HOP_COST_MS\n',
+            'hop_cost_ms = HOP_COST_MS + candidate.wait_ms\n',
+            'hop_cost_ms = HOP_COST_MS\n',
         ),
     ),
     'overlap': (
         Edit(
             f'{_PLACEMENT}/layout.py',
-            'end = min(layers, first + shares[one.id])\n',
-            'end = math.floor((before + shares[one.id]) * stretch)\n',
+            'end = min(layers, first + layer_counts[engine.id])\n',
+            'end = math.floor((offset + layer_counts[engine.id]) * scale)\n',
         ),
     ),
     'mending-by-neighbours': (
         Edit(
             f'{_PLACEMENT}/planning.py',
-            'if filled is not None:\n            return [*filled',
-            'if False:\n            return [*filled',
+            'if extended is not None:\n            return [*extended',
+            'if False:\n            return [*extended',
         ),
     ),
     'moves-told': (
@@ -105,15 +105,15 @@
     'drawn-holders': (
         Edit(
             f'{_PATHS}/choice.py',
-            'factor = -math.log(1.0 - noise())\n',
+            'factor = -math.log(1.0 - draw_random())\n',
             'factor = 1.0\n',
         ),
     ),
     'lone-streams': (
         Edit(
             f'{_PATHS}/silence.py',
-            'if shared and silent_streams >= LEAST_STREAMS:\n',
-            'if shared or silent_streams >= 0:\n',
+            'if shared and stalled_streams >= LEAST_STREAMS:\n',
+            'if shared or stalled_streams >= 0:\n',
         ),
     ),
     'rhythm-of-streams': (
@@ -185,26 +185,30 @@
     'paces': (Edit(f'{_FLEET}/paces.py', 'SLOW = 1.5\n', 'SLOW = 1e9\n'),),
     'noise-in-costs': (
         Edit(
-            f'{_PATHS}/choice.py', 'NOISE_SHARE = 0.1\n', 'NOISE_SHARE = 0.0\n'
+            f'{_PATHS}/choice.py',
+            'COST_JITTER_SHARE = 0.1\n',
+            'COST_JITTER_SHARE = 0.0\n',
         ),
     ),
     'crossing-bound': (
         Edit(
             f'{_PATHS}/crossings.py',
-            'USED_SHARE = 0.4\n',
-            'USED_SHARE = 1e9\n',
+            'MAX_LINK_SHARE = 0.4\n',
+            'MAX_LINK_SHARE = 1e9\n',
         ),
     ),
     'leaving-cost': (
         Edit(
             f'{_PATHS}/choice.py',
-            'LEAVING_LAYER_MS = 300.0\n',
-            'LEAVING_LAYER_MS = 0.0\n',
+            'DRAINING_LAYER_COST_MS = 300.0\n',
+            'DRAINING_LAYER_COST_MS = 0.0\n',
         ),
     ),
     'steep-cost-of-memory': (
         Edit(
-            f'{_PATHS}/search.py', 'STEEP_FROM = 0.45\n', 'STEEP_FROM = 9.0\n'
+            f'{_PATHS}/search.py',
+            'STEEP_COST_SHARE = 0.45\n',
+            'STEEP_COST_SHARE = 9.0\n',
         ),
     ),
     'repeats-for-begun-streams-first': (
@@ -217,22 +221,22 @@
     'balancing-moves': (
         Edit(
             f'{_PLACEMENT}/planning.py',
-            '[plans[name] for name in sorted(whole) if name in steady]',
+            '[plans[name] for name in sorted(complete) if name in stable]',
             '[]',
         ),
     ),
     'half-the-room': (
         Edit(
             f'{_PLACEMENT}/layout.py',
-            'REQUESTS_AT_ONCE = 64\n',
-            'REQUESTS_AT_ONCE = 32\n',
+            'TARGET_CONCURRENT_REQUESTS = 64\n',
+            'TARGET_CONCURRENT_REQUESTS = 32\n',
         ),
     ),
     'twice-the-room': (
         Edit(
             f'{_PLACEMENT}/layout.py',
-            'REQUESTS_AT_ONCE = 64\n',
-            'REQUESTS_AT_ONCE = 128\n',
+            'TARGET_CONCURRENT_REQUESTS = 64\n',
+            'TARGET_CONCURRENT_REQUESTS = 128\n',
         ),
     ),
     'handover-of-collecting': (
