--- a/src/thornspool/application/routing/__init__.py
+++ b/src/thornspool/application/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Use cases of an entry on the platform: routes, streams, calls, placement."""
+"""Services of an entry on the platform: routes, streams, calls, placement."""
--- a/src/thornspool/application/routing/calls.py
+++ b/src/thornspool/application/routing/calls.py
@@ -1,9 +1,9 @@
 """Idempotent calls and non-idempotent actions on plain services.
 
-An action is sent to a second server only when the first one was certainly
-not reached, or states that it did not run it. After anything else its
-outcome is unknown to us and the caller is told so: a second run would be a
-second payout.
+A non-idempotent action is retried at another server only if the first server
+was certainly not reached or states that it did not execute the action. After
+any other failure the outcome is unknown, and the caller gets an error that
+says so: a second execution could, for example, pay out twice.
 """
 
 from __future__ import annotations
@@ -29,38 +29,57 @@
     from thornspool.domain.fleet import messages as fleet
 
 MAX_SENDS = 4
-"""Times that one request is sent at most, refused sends included."""
+"""Maximum number of sends of one request, including refused ones."""
 
-SILENCE_SHARE = 0.75
-"""Share of the aimed latency after which an idempotent call goes elsewhere.
+RESPONSE_WAIT_SHARE = 0.75
+"""Share of the target latency after which an idempotent call is retried.
 
-A server that hangs answers nobody; usual answers take a fifth of the aim,
-one in a hundred takes longer than this.
+A server that hangs answers no request. A typical response takes a fifth of
+the target latency; one in a hundred takes longer than this share.
 """
 
-MIN_SILENCE_MS = 120
-"""Least silence after which an idempotent call goes elsewhere."""
+MIN_RESPONSE_WAIT_MS = 120
+"""Minimum wait for a response before an idempotent call is retried."""
 
-MIN_LEFT_MS = 20
-"""Time below which another send can't be answered in time."""
+MIN_REMAINING_MS = 20
+"""Remaining time below which a retry can't complete before the deadline."""
 
-COMES_BACK_MS = (150, 400)
-"""Range of Retry-After where no server takes a call; a place comes free
-after one call, some 100 ms."""
+RETRY_AFTER_RANGE_MS = (150, 400)
+"""Range of Retry-After when no server accepts a call; a slot becomes free
+after one call, about 100 ms."""
 
-QUEUE_MS = 40
-"""Longest wait for a server that can be used, an eighth of the aims."""
+MAX_QUEUE_WAIT_MS = 40
+"""Maximum wait for a usable server, an eighth of the target latencies."""
 
 logger = structlog.get_logger(__name__)
 
 
 @attrs.define(eq=False)
 class Call:
-    """A call that is on its way."""
+    """An in-flight call.
+
+    Attributes
+    ----------
+    exchange : exchanges.Exchange
+        Request, reply and progress.
+    server : fleet.Server or None
+        Server of the last attempt.
+    cancel : callable or None
+        Cancels the current attempt; None when there is none.
+    sent_at : int
+        Time of the last send, in milliseconds of the clock.
+    generation : int
+        Incremented for each attempt, so that late data of earlier attempts
+        is dropped.
+    head : ports.Head or None
+        Head of the current response, once received.
+    body : bytearray
+        Body received so far.
+    """
 
     exchange: exchanges.Exchange
     server: fleet.Server | None = None
-    stop: Callable[[], None] | None = None
+    cancel: Callable[[], None] | None = None
     sent_at: int = 0
     generation: int = 0
     head: ports.Head | None = None
@@ -68,97 +87,104 @@
 
 
 class CallService:
-    """Serves calls and actions on plain services.
+    """Forwards calls and actions to the servers of plain services.
 
     Parameters
     ----------
     clock : clock_module.Clock
         Source of time.
-    beliefs : beliefs_module.Beliefs
-        Servers.
+    routing_state : beliefs_module.Beliefs
+        Known servers and their failure suspicions.
     servers : ports.Servers
-        Calls to them.
-    budget : repeats.Repeats
-        What may be sent again.
+        Client for the servers.
+    retry_budget : repeats.Repeats
+        Limits retries.
     failure_domain : str
-        Where this entry stands.
+        Failure domain of this entry.
     random_source : random.Random
-        Source of every random choice.
+        Source of randomness for server selection and Retry-After.
     """
 
     def __init__(
         self,
         clock: clock_module.Clock,
-        beliefs: beliefs_module.Beliefs,
+        routing_state: beliefs_module.Beliefs,
         servers: ports.Servers,
-        budget: repeats.Repeats,
+        retry_budget: repeats.Repeats,
         failure_domain: str,
         random_source: random.Random,
     ) -> None:
         self._clock = clock
-        self._beliefs = beliefs
+        self._routing_state = routing_state
         self._servers = servers
-        self._budget = budget
-        self._domain = failure_domain
+        self._retry_budget = retry_budget
+        self._failure_domain = failure_domain
         self._random = random_source
-        self._standings = standing.Standings()
+        self._scores = standing.Standings()
         self.calls: set[Call] = set()
-        self._waiting: list[Call] = []
+        self._queued: list[Call] = []
 
     def serve(self, exchange: exchanges.Exchange) -> None:
-        """Serve a request; its exchange ends when it is answered."""
+        """Serve a request; its exchange ends when the response is sent."""
         call = Call(exchange)
-        exchange.reply.set_on_close(lambda: self._leave(call))
+        exchange.reply.set_on_close(lambda: self._handle_disconnect(call))
         self.calls.add(call)
-        self._budget.record_request(exchange.service)
-        self._start(call)
+        self._retry_budget.record_request(exchange.service)
+        self._start_attempt(call)
 
     def work(self) -> None:
-        """End what is too late and move calls off silent servers."""
+        """Expire late calls and retry those whose server is unresponsive."""
         now = self._clock.now()
         for call in list(self.calls):
             if call.exchange.compute_left(now) <= 0:
-                self._time_out(call)
-            elif call.stop is not None and self._is_silent(call, now):
-                self._leave_silent(call)
-        waiting, self._waiting = self._waiting, []
-        for call in waiting:
+                self._expire(call)
+            elif call.cancel is not None and self._is_unresponsive(call, now):
+                self._retry_unresponsive(call)
+        queued, self._queued = self._queued, []
+        for call in queued:
             if not call.exchange.ended:
-                self._start(call)
+                self._start_attempt(call)
 
-    def _is_silent(self, call: Call, now: int) -> bool:
+    def _is_unresponsive(self, call: Call, now: int) -> bool:
         route = call.exchange.route
         if not route.repeatable or call.head is not None:
             return False
-        bound = max(MIN_SILENCE_MS, route.target_latency_ms * SILENCE_SHARE)
+        max_wait_ms = max(
+            MIN_RESPONSE_WAIT_MS, route.target_latency_ms * RESPONSE_WAIT_SHARE
+        )
         return (
-            now - call.sent_at > bound and call.exchange.runs < route.attempts
+            now - call.sent_at > max_wait_ms
+            and call.exchange.runs < route.attempts
         )
 
-    def _leave_silent(self, call: Call) -> None:
-        if not self._budget.take(call.exchange.service):
+    def _retry_unresponsive(self, call: Call) -> None:
+        if not self._retry_budget.take(call.exchange.service):
             return
-        assert call.stop is not None
-        call.stop()
+        assert call.cancel is not None
+        call.cancel()
         if call.server is not None:
             call.exchange.avoid([call.server.id], self._clock.now())
-        self._note_failure(call, standing.SILENT_WEIGHT)
-        self._release(call)
-        self._start(call)
+        self._record_failure(call, standing.SILENT_WEIGHT)
+        self._end_attempt(call)
+        self._start_attempt(call)
 
-    def _start(self, call: Call) -> None:
+    def _start_attempt(self, call: Call) -> None:
         exchange = call.exchange
         now = self._clock.now()
-        listed = self._beliefs.list_servers(exchange.service, now)
-        avoided = exchange.list_avoided(now)
-        server = self._standings.choose(
-            [one for one in listed if one.id not in avoided],
-            self._domain,
+        candidates = self._routing_state.list_servers(exchange.service, now)
+        avoided_ids = exchange.list_avoided(now)
+        server = self._scores.choose(
+            [
+                candidate
+                for candidate in candidates
+                if candidate.id not in avoided_ids
+            ],
+            self._failure_domain,
             now,
             self._random.random,
         )
         if server is None:
-            self._wait_or_refuse(call, now)
+            self._queue_or_refuse(call, now)
             return
         exchange.sends += 1
         exchange.runs += 1
@@ -168,7 +194,7 @@
         call.head = None
         call.body.clear()
         exchange.path = server.id
-        self._standings.begin(server.id)
+        self._scores.begin(server.id)
         run = ports.Run(
             exchange.inquiry,
             server,
@@ -180,91 +206,95 @@
         )
         listener = listeners.RunListener(
             call,
-            functools.partial(_take_head, call),
+            functools.partial(_store_head, call),
             call.body.extend,
-            functools.partial(self.take_end, call),
+            functools.partial(self.handle_end, call),
         )
-        call.stop = self._servers.send(run, listener)
+        call.cancel = self._servers.send(run, listener)
 
-    def _wait_or_refuse(self, call: Call, now: int) -> None:
+    def _queue_or_refuse(self, call: Call, now: int) -> None:
         exchange = call.exchange
-        waited = now - exchange.inquiry.arrived_at
-        if exchange.runs == 0 and waited < QUEUE_MS:
-            self._waiting.append(call)
+        waited_ms = now - exchange.inquiry.arrived_at
+        if exchange.runs == 0 and waited_ms < MAX_QUEUE_WAIT_MS:
+            self._queued.append(call)
             return
-        self._give_up(call, exchange.note or 'no_server')
+        self._fail(call, exchange.note or 'no_server')
 
-    def take_end(self, call: Call, ending: ports.Ending) -> None:
-        """Take the end of a run."""
+    def handle_end(self, call: Call, ending: ports.Ending) -> None:
+        """Handle the completion of the current attempt."""
         head = call.head
         exchange = call.exchange
         if head is not None and call.server is not None:
-            self._standings.note_load(
+            self._scores.note_load(
                 call.server.id, head.load, self._clock.now()
             )
         if ending is ports.Ending.NOT_SENT:
             exchange.runs -= 1
             if call.server is not None:
-                self._beliefs.suspect(
+                self._routing_state.suspect(
                     call.server.id,
                     beliefs_module.NOT_REACHED,
                     self._clock.now(),
                 )
-            self._again(call, 'not_reached', True)
+            self._retry_or_fail(call, 'not_reached', True)
         elif head is not None and not head.ran:
             exchange.runs -= 1
-            self._note_failure(call, standing.REFUSED_WEIGHT)
-            self._again(call, f'refused_by_server_{head.status}', True)
+            self._record_failure(call, standing.REFUSED_WEIGHT)
+            self._retry_or_fail(call, f'refused_by_server_{head.status}', True)
         elif ending is ports.Ending.BROKEN or head is None or not head.genuine:
-            self._note_failure(call, standing.BROKEN_WEIGHT)
-            self._again(call, 'broken', exchange.route.repeatable)
+            self._record_failure(call, standing.BROKEN_WEIGHT)
+            self._retry_or_fail(call, 'broken', exchange.route.repeatable)
         elif head.status >= 500 and exchange.route.repeatable:
-            self._note_failure(call, standing.ERROR_WEIGHT)
-            self._take_failure(call, head)
+            self._record_failure(call, standing.ERROR_WEIGHT)
+            self._handle_server_error(call, head)
         else:
-            self._pass_on(call, head)
+            self._forward_response(call, head)
 
-    def _take_failure(self, call: Call, head: ports.Head) -> None:
-        """Run an idempotent call that failed at its server once more."""
-        if self._may_repeat(call) and self._budget.take(call.exchange.service):
+    def _handle_server_error(self, call: Call, head: ports.Head) -> None:
+        """Retry an idempotent call that failed at its server, if allowed."""
+        if self._may_retry(call) and self._retry_budget.take(
+            call.exchange.service
+        ):
             if call.server is not None:
                 call.exchange.avoid([call.server.id], self._clock.now())
-            self._release(call)
-            self._start(call)
+            self._end_attempt(call)
+            self._start_attempt(call)
             return
-        self._pass_on(call, head)
+        self._forward_response(call, head)
 
-    def _pass_on(self, call: Call, head: ports.Head) -> None:
+    def _forward_response(self, call: Call, head: ports.Head) -> None:
         exchange = call.exchange
         if exchange.first_event_at is None:
             exchange.first_event_at = self._clock.now()
         body = bytes(call.body)
-        self._release(call)
+        self._end_attempt(call)
         self.calls.discard(call)
         exchange.reply.answer(head.status, head.headers, body)
         exchange.end(
             'served' if head.status < 400 else f'server_{head.status}'
         )
 
-    def _may_repeat(self, call: Call) -> bool:
+    def _may_retry(self, call: Call) -> bool:
         exchange = call.exchange
-        left = exchange.compute_left(self._clock.now())
+        remaining_ms = exchange.compute_left(self._clock.now())
         return (
             exchange.runs < exchange.route.attempts
             and exchange.sends < MAX_SENDS
-            and left > MIN_LEFT_MS
+            and remaining_ms > MIN_REMAINING_MS
         )
 
-    def _again(self, call: Call, reason: str, allowed: bool) -> None:
+    def _retry_or_fail(
+        self, call: Call, reason: str, repeatable: bool
+    ) -> None:
         exchange = call.exchange
         if call.server is not None:
             exchange.avoid([call.server.id], self._clock.now())
-        self._release(call)
+        self._end_attempt(call)
         exchange.note = reason
         if (
-            allowed
-            and self._may_repeat(call)
-            and self._budget.take(exchange.service)
+            repeatable
+            and self._may_retry(call)
+            and self._retry_budget.take(exchange.service)
         ):
             logger.info(
                 'run_repeated',
@@ -272,54 +302,56 @@
                 reason=reason,
                 sends=exchange.sends,
             )
-            self._start(call)
+            self._start_attempt(call)
             return
-        self._give_up(call, reason)
+        self._fail(call, reason)
 
-    def _give_up(self, call: Call, reason: str) -> None:
+    def _fail(self, call: Call, reason: str) -> None:
         exchange = call.exchange
         self.calls.discard(call)
         if exchange.runs > 0:
             exchange.refuse(502, f'outcome_unknown_{reason}')
         else:
-            exchange.refuse(503, reason, self._random.randint(*COMES_BACK_MS))
+            exchange.refuse(
+                503, reason, self._random.randint(*RETRY_AFTER_RANGE_MS)
+            )
 
-    def _time_out(self, call: Call) -> None:
-        if call.stop is not None:
-            call.stop()
-        self._release(call)
+    def _expire(self, call: Call) -> None:
+        if call.cancel is not None:
+            call.cancel()
+        self._end_attempt(call)
         self.calls.discard(call)
         if call.exchange.runs > 0:
             call.exchange.refuse(504, 'deadline')
         else:
-            call.exchange.refuse(503, 'deadline', COMES_BACK_MS[0])
+            call.exchange.refuse(503, 'deadline', RETRY_AFTER_RANGE_MS[0])
 
-    def _leave(self, call: Call) -> None:
-        """End the work for a caller that has left.
+    def _handle_disconnect(self, call: Call) -> None:
+        """Cancel the call of a caller that has disconnected.
 
-        What only reads is ended at once; a server that has an action would
-        run it to its end all the same, so nothing is lost by closing.
+        A server that has received an action executes it even when the
+        connection closes, so cancelling is safe for actions and reads.
         """
         if call.exchange.ended:
             return
-        if call.stop is not None:
-            call.stop()
-        self._release(call)
+        if call.cancel is not None:
+            call.cancel()
+        self._end_attempt(call)
         self.calls.discard(call)
         call.exchange.end('caller_left')
 
-    def _note_failure(self, call: Call, weight: float) -> None:
+    def _record_failure(self, call: Call, weight: float) -> None:
         if call.server is not None:
-            self._standings.note_failure(
+            self._scores.note_failure(
                 call.server.id, weight, self._clock.now()
             )
 
-    def _release(self, call: Call) -> None:
-        if call.stop is not None and call.server is not None:
-            self._standings.finish(call.server.id)
-        call.stop = None
+    def _end_attempt(self, call: Call) -> None:
+        if call.cancel is not None and call.server is not None:
+            self._scores.finish(call.server.id)
+        call.cancel = None
         call.generation += 1
 
 
-def _take_head(call: Call, head: ports.Head) -> None:
+def _store_head(call: Call, head: ports.Head) -> None:
     call.head = head
--- a/src/thornspool/application/routing/exceptions.py
+++ b/src/thornspool/application/routing/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the use cases on the platform."""
+"""Exceptions of the services of an entry on the platform."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class RoutingError(exceptions.ThornspoolError):
-    """Base of the errors of these use cases."""
+    """Base class of the exceptions of this package."""
 
 
 class RegistryUnavailable(RoutingError):
-    """The registry did nothing, or nobody knows what it did."""
+    """The registry wrote nothing, or the outcome of the call is unknown."""
 
 
 class RegistryConflict(RoutingError):
-    """Another entry was first; nothing was written."""
+    """Another entry wrote the key first; nothing was written."""
 
 
 class LeaseLost(RoutingError):
-    """The lease of this entry has ended."""
+    """The lease of this entry has expired."""
--- a/src/thornspool/application/routing/intake.py
+++ b/src/thornspool/application/routing/intake.py
@@ -1,4 +1,8 @@
-"""The first decisions about a request: may it be served here and now."""
+"""Admission and routing of caller requests.
+
+Checks that a request can be served by this entry, matches it with a route and
+a workspace, and passes it to the service that handles it.
+"""
 
 from __future__ import annotations
 
@@ -23,49 +27,49 @@
     from thornspool.domain.fleet import timings
 
 NOT_READY_RETRY_MS = 700
-"""Retry-After of an entry that can't serve yet; it reads its configuration
-within some 100 ms of its start, and the store's outages last for seconds."""
+"""Retry-After of an entry that can't serve yet. An entry reads its
+configuration within about 100 ms of its start; store outages last seconds."""
 
 logger = structlog.get_logger(__name__)
 
 
 class Intake:
-    """Matches requests with routes and workspaces and passes them on.
+    """Matches requests with routes and workspaces and dispatches them.
 
     Parameters
     ----------
     clock : clock_module.Clock
         Source of time.
-    beliefs : beliefs_module.Beliefs
-        Configuration and its proof.
+    routing_state : beliefs_module.Beliefs
+        Configuration and its freshness.
     streams : streams_module.StreamService
-        Serves model requests.
+        Serves requests to models.
     calls : calls.CallService
-        Serves the others.
+        Serves requests to plain services.
     metrics : metrics_module.Metrics
-        Counts outcomes.
+        Counts requests, outcomes and refusals.
     withdrawn_key_ms : int
-        Time after which a withdrawn key must not work.
+        Time in milliseconds after which a withdrawn key must be rejected.
     random_source : random.Random
-        Chooses services by weight.
-    do_others_serve : callable, optional
-        Tells whether other entries are current while this one may not be.
+        Source of randomness for the choice of services by weight.
+    is_peer_current : callable, optional
+        Returns whether another entry may have a current configuration.
     """
 
     def __init__(
         self,
         clock: clock_module.Clock,
-        beliefs: beliefs_module.Beliefs,
+        routing_state: beliefs_module.Beliefs,
         streams: streams_module.StreamService,
         calls: calls.CallService,
         metrics: metrics_module.Metrics,
         withdrawn_key_ms: int,
         random_source: random.Random,
-        do_others_serve: Callable[[], bool] = lambda: False,
+        is_peer_current: Callable[[], bool] = lambda: False,
     ) -> None:
         self._clock = clock
-        self._do_others_serve = do_others_serve
-        self._beliefs = beliefs
+        self._is_peer_current = is_peer_current
+        self._routing_state = routing_state
         self._streams = streams
         self._calls = calls
         self._metrics = metrics
@@ -75,107 +79,107 @@
         self.refuses_new = False
 
     def is_fresh(self) -> bool:
-        """Tell whether requests with a key may be served."""
-        return self._beliefs.proof.is_within(
+        """Return whether requests with a key may be served."""
+        return self._routing_state.proof.is_within(
             self.key_bound_ms, self._clock.now()
         )
 
-    def serve(self, inquiry: ports.Inquiry, reply: ports.Reply) -> None:
+    def serve(self, request: ports.Inquiry, reply: ports.Reply) -> None:
         """Serve a request."""
-        configuration = self._beliefs.configuration
+        configuration = self._routing_state.configuration
         if configuration is None:
             self._refuse(
-                inquiry, reply, 503, 'no_configuration', NOT_READY_RETRY_MS
+                request, reply, 503, 'no_configuration', NOT_READY_RETRY_MS
             )
             return
         if self.refuses_new:
             self._refuse(
-                inquiry,
+                request,
                 reply,
                 503,
                 'draining',
                 streams_module.DRAINING_RETRY_MS,
             )
             return
-        route = configuration.find_route(inquiry.host, inquiry.path)
+        route = configuration.find_route(request.host, request.path)
         if route is None:
-            self._refuse(inquiry, reply, 404, 'no_route')
+            self._refuse(request, reply, 404, 'no_route')
             return
         workspace = None
         if configuration.needs_keys and not route.anonymous:
-            # A key that was withdrawn must stop working also here when the
-            # store no longer talks to this host.
+            # A withdrawn key must be rejected even when the store no longer
+            # answers this host, so keys need a recent configuration.
             if not self.is_fresh():
                 self._refuse(
-                    inquiry,
+                    request,
                     reply,
                     503,
                     'not_current',
-                    self._choose_outdated_retry(),
+                    self._choose_not_current_retry_ms(),
                 )
                 return
-            workspace = configuration.workspaces.get(inquiry.key or '')
+            workspace = configuration.workspaces.get(request.key or '')
             if workspace is None:
-                self._refuse(inquiry, reply, 401, 'unknown_key')
+                self._refuse(request, reply, 401, 'unknown_key')
                 return
         exchange = exchanges.Exchange(
-            inquiry,
+            request,
             reply,
             route,
             workspace,
             routing.choose_service(route, self._random.random()),
             configuration.version,
-            self._note_end,
+            self._record_end,
         )
         self.in_flight += 1
-        if self._beliefs.find_model(exchange.service) is not None:
+        if self._routing_state.find_model(exchange.service) is not None:
             self._streams.serve(exchange)
         else:
             self._calls.serve(exchange)
 
-    def _choose_outdated_retry(self) -> int:
-        """Choose when a caller may return whose key can't be checked.
+    def _choose_not_current_retry_ms(self) -> int:
+        """Choose the Retry-After for a request whose key can't be checked.
 
-        Where the store turns single hosts away, another entry serves at
-        once, and a longer wait alone would make the request late.
+        When the store rejects single hosts only, another entry can serve the
+        request at once, and a longer wait alone would make it late.
         """
-        if self._do_others_serve():
+        if self._is_peer_current():
             return streams_module.DRAINING_RETRY_MS
         return NOT_READY_RETRY_MS
 
     def _refuse(
         self,
-        inquiry: ports.Inquiry,
+        request: ports.Inquiry,
         reply: ports.Reply,
         status: int,
         reason: str,
         retry_after_ms: int | None = None,
     ) -> None:
         now = self._clock.now()
-        configuration = self._beliefs.configuration
+        configuration = self._routing_state.configuration
         reply.refuse(status, reason, retry_after_ms)
         logger.info(
             'request_refused',
-            id=inquiry.id,
-            asked_host=inquiry.host,
-            path=inquiry.path,
+            id=request.id,
+            asked_host=request.host,
+            path=request.path,
             status=status,
             reason=reason,
             configuration=None
             if configuration is None
             else configuration.version,
-            proof_age_ms=self._beliefs.proof.compute_age(now),
+            proof_age_ms=self._routing_state.proof.compute_age(now),
         )
         self._metrics.count_event(f'refused_{reason}')
 
-    def _note_end(self, exchange: exchanges.Exchange, outcome: str) -> None:
+    def _record_end(self, exchange: exchanges.Exchange, outcome: str) -> None:
         self.in_flight -= 1
         now = self._clock.now()
-        inquiry = exchange.inquiry
-        first = exchange.first_event_at
+        request = exchange.inquiry
+        first_event_at = exchange.first_event_at
         logger.info(
             'request_ended',
-            id=inquiry.id,
+            id=request.id,
             route=exchange.route.name,
             outcome=outcome,
             reason=exchange.note,
@@ -185,8 +189,10 @@
             sends=exchange.sends,
             runs=exchange.runs,
             path=exchange.path,
-            first_ms=None if first is None else first - inquiry.arrived_at,
-            took_ms=now - inquiry.arrived_at,
+            first_ms=None
+            if first_event_at is None
+            else first_event_at - request.arrived_at,
+            took_ms=now - request.arrived_at,
             target_ms=exchange.route.target_latency_ms,
             target_pause_ms=exchange.route.target_gap_ms,
             **describe_timing(exchange.timing),
@@ -195,14 +201,27 @@
             exchange.route.kind.value,
             '',
             outcome,
-            now - inquiry.arrived_at,
+            now - request.arrived_at,
         )
-        if first is not None:
-            self._metrics.observe_first_token('', first - inquiry.arrived_at)
+        if first_event_at is not None:
+            self._metrics.observe_first_token(
+                '', first_event_at - request.arrived_at
+            )
 
 
 def describe_timing(timing: timings.StreamTiming) -> dict[str, typing.Any]:
-    """Describe the waits and pauses of a stream for the log."""
+    """Build the log fields for the queueing and event gaps of a stream.
+
+    Parameters
+    ----------
+    timing : timings.StreamTiming
+        Timing of the stream.
+
+    Returns
+    -------
+    dict
+        Fields for the log line of the request.
+    """
     if not timing.first_cause:
         return {'waited_ms': timing.waited_ms} if timing.waited_ms else {}
     return {
--- a/src/thornspool/application/routing/membership.py
+++ b/src/thornspool/application/routing/membership.py
@@ -1,4 +1,4 @@
-"""News between entries: who serves, what is taken, who failed."""
+"""Exchange of state updates: serving entries, reserved memory, failures."""
 
 from __future__ import annotations
 
@@ -18,57 +18,64 @@
     from thornspool import clock as clock_module
     from thornspool.application.routing import beliefs as beliefs_module
     from thornspool.application.routing import repeats
-    from thornspool.domain.paths import reservations
+    from thornspool.domain.paths import reservations as reservations_module
 
-GROUP_TURNS = 2
-"""Turns of which a fleet with collectors uses one: news every 400 ms."""
+GROUP_INTERVAL_TICKS = 2
+"""Ticks between state updates in a fleet with collectors, that is 400 ms."""
 
-UNKNOWN_COLLECTORS = 3
-"""Entries of another failure domain that are told news while its collector
-is not known; they are the first in the order in which it is chosen."""
+COLLECTOR_CANDIDATES = 3
+"""Entries of another failure domain that get state updates while its
+collector is unknown: the first ones in the order of its selection."""
 
-FEED_SILENCE_MS = 1_000
-"""Silence of the collector after which an entry follows the store itself."""
+FEED_TIMEOUT_MS = 1_000
+"""Time since the collector's last update after which an entry follows the
+store itself."""
 
-FEED_AGE_MS = 1_900
-"""Age of the collector's proof past which it is no longer relied on.
+MAX_FEED_AGE_MS = 1_900
+"""Age of the collector's copy above which entries do not rely on it.
 
-A collector's watch waits 0.8 s and its proof is dated at the sending, so
-that it is 1.6 s old at most while the store answers.
+A watch of a collector waits 0.8 s, and the freshness of its copy is dated at
+the sending of the request. So the copy is at most 1.6 s old while the store
+responds.
 """
 
-BEHIND_MS = 500
-"""Time for which the own copy may lag behind the collector's.
+MAX_LAG_MS = 500
+"""Time for which the local copy may lag behind the collector's copy.
 
-Changes are sent at once. Of one that was lost the collector learns by the
-next news, within 400 ms, and sends it again.
+Changes are sent at once. The collector detects a lost change by the next
+state update, within 400 ms, and sends it again.
 """
 
-FED_PROOF_MS = 2_800
-"""Age of the own proof past which an entry asks the store itself, though it
-is told news: two turns after the oldest proof that a collector tells."""
+MAX_COPY_AGE_MS = 2_800
+"""Age of the local copy above which an entry queries the store itself although
+it receives updates.
 
-AHEAD_MS = 500
-"""Time by which the own proof has to be newer than the collector's to show
-that the store has answered this entry; it covers the ways of the news."""
+This is two intervals of state updates above the maximum age that a collector
+reports.
+"""
+
+MIN_AHEAD_MS = 500
+"""Time by which the local copy must be fresher than the collector's copy to
+show that the store has responded to this entry; it covers the transmission of
+state updates."""
 
-OUTDATED_MS = 1_500
-"""Time for which another entry must be more current than this one before
-callers are led elsewhere.
+OUTDATED_GRACE_MS = 1_500
+"""Time for which another entry must be more current than this one before this
+entry stops serving callers.
 
-When the store returns, entries get its proof one after the other, within two
-turns of news; without this time each of them would take itself out, and tell
-all others twice.
+When the store returns, the entries become current one after the other, within
+two intervals of state updates. Without this grace time each of them would
+leave the serving state and return to it, and broadcast both changes.
 """
 
 MAX_ADDRESSES = 64
-"""Addresses that callers take from one answer."""
+"""Maximum number of addresses in one response to a caller."""
 
 logger = structlog.get_logger(__name__)
 
 
 class MembershipService:
-    """Tells peers news and hears theirs.
+    """Sends state updates to peers and applies theirs.
 
     Parameters
     ----------
@@ -76,16 +83,16 @@
         Source of time.
     view : view_module.View
         The other entries.
-    beliefs : beliefs_module.Beliefs
-        Suspects and the proof of freshness.
-    taken : reservations.Reservations
-        Memory that requests hold.
-    budget : repeats.Repeats
-        Requests and repeats.
+    routing_state : beliefs_module.Beliefs
+        Suspected servers and the freshness of the local copy.
+    reservations : reservations_module.Reservations
+        Memory that requests reserve on engines.
+    retry_budget : repeats.Repeats
+        Counts requests and retries.
     send : callable
-        Sends news to ``ip:port``.
+        Sends a state update to ``ip:port``.
     read_revision : callable
-        Returns the revision of the store that the copy has reached.
+        Returns the store revision of the local copy.
     send_missed : callable, optional
         Sends the changes after a revision to ``ip:port``.
     """
@@ -94,256 +101,276 @@
         self,
         clock: clock_module.Clock,
         view: view_module.View,
-        beliefs: beliefs_module.Beliefs,
-        taken: reservations.Reservations,
-        budget: repeats.Repeats,
+        routing_state: beliefs_module.Beliefs,
+        reservations: reservations_module.Reservations,
+        retry_budget: repeats.Repeats,
         send: Callable[[str, messages.News], None],
         read_revision: Callable[[], int],
         send_missed: Callable[[str, int], None] = lambda address, since: None,
     ) -> None:
         self._clock = clock
         self._view = view
-        self._beliefs = beliefs
-        self._taken = taken
+        self._routing_state = routing_state
+        self._reserved = reservations
         self._send = send
         self._read_revision = read_revision
         self._send_missed = send_missed
-        self._told_revision = 0
-        self._budget = budget
-        self._totals = totals_module.Totals()
-        self._work = totals_module.Totals()
-        self._collectors: dict[str, tuple[str, int]] = {}
+        self._reported_revision = 0
+        self._retry_budget = retry_budget
+        self._reservation_totals = totals_module.Totals()
+        self._request_totals = totals_module.Totals()
+        self._collector_hosts: dict[str, tuple[str, int]] = {}
         self._alive: dict[str, bool] = {}
-        self._feed: messages.News | None = None
-        self._fed_at = 0
-        self._behind_since: int | None = None
-        self._turn = 0
-        self._current_at = clock.now()
+        self._feed_update: messages.News | None = None
+        self._feed_received_at = 0
+        self._lagging_since: int | None = None
+        self._tick_count = 0
+        self._last_current_at = clock.now()
         self.state = messages.State.STARTING
 
     def work(self) -> None:
-        """Tell news to those who need them; run every 200 ms."""
+        """Send the periodic state updates; called every 200 ms."""
         self._view.choose_collector(self._clock.now())
-        self._note_changes()
-        self._told_revision = self._read_revision()
-        self._turn += 1
+        self._log_peer_changes()
+        self._reported_revision = self._read_revision()
+        self._tick_count += 1
         if self._view.is_mesh:
-            self._tell(self._view.peers.values())
-        elif self._turn % GROUP_TURNS == 0:
-            self._tell_group()
-        self._sum_taken()
+            self._broadcast(self._view.peers.values())
+        elif self._tick_count % GROUP_INTERVAL_TICKS == 0:
+            self._send_to_group()
+        self._apply_peer_totals()
 
     def tell_failures(self) -> None:
-        """Tell at once which servers have just failed or refused work.
+        """Broadcast new server failures, refusals and layer changes at once.
 
-        Until all entries know, each of them sends its requests there.
-        Refusals and breaks go to those who use the same engines, the own
-        failure domain, and to the other collectors.
+        Entries that have not received them keep sending requests to these
+        servers. Suspicions go to all peers. Refusals, broken attempts and
+        layer changes go to the local failure domain, which uses the same
+        engines, and to the collectors of the other domains.
         """
-        if self._beliefs.fresh_suspects:
-            self._tell(self._view.peers.values())
+        if self._routing_state.fresh_suspects:
+            self._broadcast(self._view.peers.values())
         elif (
-            self._beliefs.refusals.has_news
-            or self._beliefs.outliers.has_news
-            or self._beliefs.moves.has_news
+            self._routing_state.refusals.has_news
+            or self._routing_state.outliers.has_news
+            or self._routing_state.moves.has_news
         ):
-            self._tell(self._list_concerned())
-        self._beliefs.fresh_suspects.clear()
-        self._beliefs.refusals.has_news = False
-        self._beliefs.outliers.has_news = False
-        self._beliefs.moves.has_news = False
+            self._broadcast(self._list_affected_peers())
+        self._routing_state.fresh_suspects.clear()
+        self._routing_state.refusals.has_news = False
+        self._routing_state.outliers.has_news = False
+        self._routing_state.moves.has_news = False
 
-    def _list_concerned(self) -> list[view_module.Peer]:
+    def _list_affected_peers(self) -> list[view_module.Peer]:
         if self._view.is_mesh:
             return list(self._view.peers.values())
-        concerned = self._view.list_near()
+        affected = self._view.list_near()
         for domain in self._view.list_domains():
             if domain != self._view.own.failure_domain:
-                concerned += self._find_collectors(domain)
-        return concerned
+                affected += self._find_collectors(domain)
+        return affected
 
     def set_state(self, state: messages.State) -> None:
-        """Change what callers may expect, and tell all peers."""
+        """Set the state of this entry and broadcast it if it changed."""
         if state is not self.state:
             self.state = state
             logger.info('entry_state', state=state.value)
-            self._tell(self._view.peers.values())
+            self._broadcast(self._view.peers.values())
 
     def update_state(self, has_configuration: bool, bound_ms: float) -> None:
-        """Choose anew whether callers may use this entry, unless it leaves.
+        """Update whether callers may use this entry, unless it is leaving.
 
-        An entry that the store doesn't talk to leaves callers to those that
-        are current. While the store is away from all, each would do so, and
-        callers got no address at all: routes that need no key went without
-        service, and other callers without the word when to come back.
+        An entry that the store does not answer stops serving while other
+        entries are current. It keeps serving while the store is unreachable
+        for all entries. Otherwise callers would get no address at all: routes
+        without keys would not be served, and other callers would get no
+        Retry-After.
 
         Parameters
         ----------
         has_configuration : bool
-            Whether this entry knows any configuration.
+            Whether this entry has a configuration.
         bound_ms : float
-            Age of the proof up to which requests with a key are served.
+            Age of the local copy, in milliseconds, up to which requests with
+            a key are served.
         """
         if self.state is messages.State.LEAVING:
             return
         now = self._clock.now()
-        if self._beliefs.proof.is_within(
+        if self._routing_state.proof.is_within(
             bound_ms, now
         ) or not self._view.is_anyone_current(bound_ms, now):
-            self._current_at = now
-        ready = has_configuration and now - self._current_at <= OUTDATED_MS
+            self._last_current_at = now
+        ready = (
+            has_configuration
+            and now - self._last_current_at <= OUTDATED_GRACE_MS
+        )
         self.set_state(
             messages.State.SERVING if ready else messages.State.STARTING
         )
 
-    def take_news(self, news: messages.News) -> None:
-        """Take what a peer tells."""
+    def take_news(self, update: messages.News) -> None:
+        """Apply a state update of a peer."""
         now = self._clock.now()
-        peer = self._view.take_news(news, now)
+        peer = self._view.take_news(update, now)
         if peer is None:
             return
         domain = peer.record.failure_domain
-        self._totals.note(news, domain, news.taken, now)
-        self._work.note(news, domain, news.work, now)
-        if news.scope is messages.Scope.DOMAIN:
-            self._collectors[domain] = (news.host, now)
-        if news.scope is not messages.Scope.ENTRY:
-            self._view.note_absent(peer.record, news, now)
-        direct = self._is_from_member(news, domain)
-        if direct and 0 < news.revision < self._told_revision:
-            # It missed a change that was sent a turn ago or earlier.
-            self._send_missed(peer.record.peers, news.revision)
-        self._beliefs.paces.note_told(news.slow, now, direct)
-        self._beliefs.moves.note_told(news.moving, now)
-        self._beliefs.take_breaks(news.host, news.breaking, now)
-        self._beliefs.take_refusals(news.refusing, now, direct)
-        for name in news.suspects:
-            self._beliefs.suspect(name, f'told_by_{news.host}', now, told=True)
-        if news.proof_age_ms >= 0 and news.heard_stamp > 0:
-            self._take_proof(news, now)
-        if news.host == self._view.choice.current:
-            self._take_feed(news, now)
-
-    def _is_from_member(self, news: messages.News, domain: str) -> bool:
-        """Tell whether this entry passes on what a peer has seen itself."""
+        self._reservation_totals.note(update, domain, update.taken, now)
+        self._request_totals.note(update, domain, update.work, now)
+        if update.scope is messages.Scope.DOMAIN:
+            self._collector_hosts[domain] = (update.host, now)
+        if update.scope is not messages.Scope.ENTRY:
+            self._view.note_absent(peer.record, update, now)
+        direct = self._is_from_follower(update, domain)
+        if direct and 0 < update.revision < self._reported_revision:
+            # The peer missed a change that was sent one tick ago or earlier.
+            self._send_missed(peer.record.peers, update.revision)
+        self._routing_state.paces.note_told(update.slow, now, direct)
+        self._routing_state.moves.note_told(update.moving, now)
+        self._routing_state.take_breaks(update.host, update.breaking, now)
+        self._routing_state.take_refusals(update.refusing, now, direct)
+        for server_id in update.suspects:
+            self._routing_state.suspect(
+                server_id, f'told_by_{update.host}', now, told=True
+            )
+        if update.proof_age_ms >= 0 and update.heard_stamp > 0:
+            self._apply_freshness(update, now)
+        if update.host == self._view.choice.current:
+            self._apply_feed_update(update, now)
+
+    def _is_from_follower(self, update: messages.News, domain: str) -> bool:
+        """Return whether this entry forwards the peer's own observations."""
         if self._view.is_mesh or not self._view.collects:
             return False
         return (
-            news.scope is messages.Scope.ENTRY
+            update.scope is messages.Scope.ENTRY
             and domain == self._view.own.failure_domain
         )
 
-    def _take_proof(self, news: messages.News, now: int) -> None:
-        """Take a peer's proof where its copy is the same as ours.
+    def _apply_freshness(self, update: messages.News, now: int) -> None:
+        """Apply the freshness of a peer whose copy has the same revision.
 
-        A datagram may have been under way for any time. It was told after
-        the peer had heard our stamp, so the proof is dated from that stamp.
+        A datagram may have been in transit for any time. The peer sent it
+        after it had received the stamp of this entry that it echoes, so the
+        age is counted from that stamp.
         """
-        if news.revision != self._read_revision():
+        if update.revision != self._read_revision():
             return
-        if news.heard_stamp > now:
+        if update.heard_stamp > now:
             return
-        self._beliefs.proof.renew(news.heard_stamp - news.proof_age_ms)
-
-    def _take_feed(self, news: messages.News, now: int) -> None:
-        """Note how far the collector's copy is."""
-        self._feed = news
-        self._fed_at = now
-        current = news.revision <= self._read_revision() and self._is_proved(
-            now
+        self._routing_state.proof.renew(
+            update.heard_stamp - update.proof_age_ms
+        )
+
+    def _apply_feed_update(self, update: messages.News, now: int) -> None:
+        """Record the collector's update and since when this copy lags."""
+        self._feed_update = update
+        self._feed_received_at = now
+        current = (
+            update.revision <= self._read_revision()
+            and self._is_copy_fresh(now)
         )
-        if current or not self._is_feed_current():
-            self._behind_since = None
-        elif self._behind_since is None:
-            self._behind_since = now
+        if current or not self._is_feed_fresh():
+            self._lagging_since = None
+        elif self._lagging_since is None:
+            self._lagging_since = now
 
-    def _is_proved(self, now: int) -> bool:
-        age = self._beliefs.proof.compute_age(now)
-        return age is not None and age <= FED_PROOF_MS
+    def _is_copy_fresh(self, now: int) -> bool:
+        age = self._routing_state.proof.compute_age(now)
+        return age is not None and age <= MAX_COPY_AGE_MS
 
-    def _is_feed_current(self) -> bool:
-        """Tell whether the collector reached the store a moment ago."""
-        feed = self._feed
-        return feed is not None and 0 <= feed.proof_age_ms <= FEED_AGE_MS
+    def _is_feed_fresh(self) -> bool:
+        """Return whether the collector reached the store recently."""
+        feed = self._feed_update
+        return feed is not None and 0 <= feed.proof_age_ms <= MAX_FEED_AGE_MS
 
-    def _hears_feed(self, now: int) -> bool:
+    def _receives_feed(self, now: int) -> bool:
         return (
             self.has_collector()
-            and self._feed is not None
-            and now - self._fed_at <= FEED_SILENCE_MS
+            and self._feed_update is not None
+            and now - self._feed_received_at <= FEED_TIMEOUT_MS
         )
 
     def may_catch_up(self) -> bool:
-        """Tell whether the collector will bring what this copy lacks.
+        """Return whether the collector will send the changes missing here.
 
-        After an outage of the store it is current first, and all entries
-        that it feeds would ask the store at that moment.
+        After an outage of the store the collector is current first. All of
+        its followers would query the store at that moment otherwise.
         """
         now = self._clock.now()
-        since = self._behind_since
+        since = self._lagging_since
         return (
             since is not None
-            and self._hears_feed(now)
-            and self._is_feed_current()
-            and now - since <= BEHIND_MS
+            and self._receives_feed(now)
+            and self._is_feed_fresh()
+            and now - since <= MAX_LAG_MS
         )
 
     def has_collector(self) -> bool:
-        """Tell whether another entry is to keep this one current."""
+        """Return whether another entry collects for this one."""
         return not self._view.is_mesh and not self._view.collects
 
     def is_fed(self) -> bool:
-        """Tell whether the collector keeps this entry's copy current.
+        """Return whether the collector keeps the local copy current.
 
-        The store prices each call, so that only collectors follow it. What
-        they tell may be lost, or they may be turned away by the store; an
-        entry that relied on them then would not see a withdrawn key.
+        Each call to the store has a cost, so only collectors follow it. Their
+        updates may be lost, or the store may reject them. An entry that
+        relied on its collector in such a case would miss a withdrawn key.
         """
         now = self._clock.now()
         return (
-            self._hears_feed(now)
-            and self._is_feed_current()
-            and not self._is_behind(now)
-            and self._is_proved(now)
+            self._receives_feed(now)
+            and self._is_feed_fresh()
+            and not self._is_lagging(now)
+            and self._is_copy_fresh(now)
         )
 
     def shares_outage(self) -> bool:
-        """Tell whether the collector speaks, but can't reach the store.
+        """Return whether the collector is alive but can't reach the store.
 
-        An entry that the store has answered since waits for it no longer.
+        An entry that the store has answered in the meantime does not wait
+        for the collector any longer.
         """
         now = self._clock.now()
         return (
-            self._hears_feed(now)
-            and not self._is_feed_current()
+            self._receives_feed(now)
+            and not self._is_feed_fresh()
             and not self._is_ahead_of_feed(now)
         )
 
     def _is_ahead_of_feed(self, now: int) -> bool:
-        """Tell whether the own proof is newer than the collector's."""
-        assert self._feed is not None
-        age = self._beliefs.proof.compute_age(now)
+        """Return whether the local copy is fresher than the collector's."""
+        assert self._feed_update is not None
+        age = self._routing_state.proof.compute_age(now)
         if age is None:
             return False
-        told = self._feed.proof_age_ms
-        return told < 0 or age + AHEAD_MS < told + now - self._fed_at
-
-    def _is_behind(self, now: int) -> bool:
-        """Tell whether a change that the collector has did not come."""
-        assert self._feed is not None
-        since = self._behind_since
-        if since is None or self._feed.revision <= self._read_revision():
+        reported_age_ms = self._feed_update.proof_age_ms
+        return (
+            reported_age_ms < 0
+            or age + MIN_AHEAD_MS
+            < reported_age_ms + now - self._feed_received_at
+        )
+
+    def _is_lagging(self, now: int) -> bool:
+        """Return whether a change that the collector has is overdue here."""
+        assert self._feed_update is not None
+        since = self._lagging_since
+        if (
+            since is None
+            or self._feed_update.revision <= self._read_revision()
+        ):
             return False
-        return now - since > BEHIND_MS
+        return now - since > MAX_LAG_MS
 
     def hand_over(self) -> None:
-        """Leave collecting to another entry, as the store turns this one away.
+        """Hand collecting over, since the store rejects this entry.
 
-        The members of the domain hear it at once: they follow another
-        collector before their proofs are too old.
+        The entries of the domain are informed at once, so that they follow
+        another collector before their copies are too old.
         """
-        near = self._view.list_near()
-        if self._view.is_mesh or not self._view.collects or not near:
+        local_peers = self._view.list_near()
+        if self._view.is_mesh or not self._view.collects or not local_peers:
             return
         now = self._clock.now()
         own = self._view.own.host
@@ -352,24 +379,24 @@
             'collecting_handed_over',
             shut_out=self._view.choice.count_shut_out(now),
         )
-        self._tell(near)
+        self._broadcast(local_peers)
         self._view.choose_collector(now)
 
     def list_fed(self) -> list[str]:
-        """List the addresses of those whom this entry keeps current."""
+        """List the addresses of the entries that follow this collector."""
         if self._view.is_mesh or not self._view.collects:
             return []
-        return [one.record.peers for one in self._view.list_near()]
+        return [peer.record.peers for peer in self._view.list_near()]
 
     def list_addresses(self, domain: str) -> tuple[str, ...]:
-        """List the addresses for a caller of a failure domain."""
+        """List the entry addresses for a caller in a failure domain."""
         now = self._clock.now()
         serving = self._view.list_serving(now)
         if self.state is messages.State.SERVING:
             serving.append(self._view.own)
         return view_module.choose_addresses(serving, domain, MAX_ADDRESSES)
 
-    def _note_changes(self) -> None:
+    def _log_peer_changes(self) -> None:
         now = self._clock.now()
         for host, peer in self._view.peers.items():
             alive = self._view.is_alive(peer, now)
@@ -377,21 +404,21 @@
                 self._alive[host] = alive
                 logger.info('peer_changed', peer=host, alive=alive)
             if not alive:
-                self._forget(host)
+                self._forget_totals(host)
         for host in [
-            one for one in self._alive if one not in self._view.peers
+            host for host in self._alive if host not in self._view.peers
         ]:
             del self._alive[host]
-            self._forget(host)
+            self._forget_totals(host)
 
-    def _forget(self, host: str) -> None:
-        self._totals.forget(host)
-        self._work.forget(host)
+    def _forget_totals(self, host: str) -> None:
+        self._reservation_totals.forget(host)
+        self._request_totals.forget(host)
 
-    def _sum_taken(self) -> None:
-        """Add up what the requests of all other entries hold and were."""
-        self._taken.others = self._sum_others(self._totals)
-        self._budget.take_others(self._sum_others(self._work))
+    def _apply_peer_totals(self) -> None:
+        """Store the sums of reservations and requests of all other entries."""
+        self._reserved.others = self._sum_others(self._reservation_totals)
+        self._retry_budget.take_others(self._sum_others(self._request_totals))
 
     def _sum_others(
         self, totals: totals_module.Totals
@@ -403,110 +430,135 @@
             return totals.read_rest(now)
         return totals_module.add_up(
             (
-                self._sum_near(totals),
+                self._sum_domain(totals),
                 totals.sum_domains(self._view.own.failure_domain, now),
             )
         )
 
-    def _sum_near(self, totals: totals_module.Totals) -> totals_module.Amounts:
+    def _sum_domain(
+        self, totals: totals_module.Totals
+    ) -> totals_module.Amounts:
         return totals.sum_entries(
-            (one.record.host for one in self._view.list_near()),
+            (peer.record.host for peer in self._view.list_near()),
             self._clock.now(),
         )
 
-    def _tell_group(self) -> None:
-        """Tell the collector, or, as the collector, those who need sums."""
+    def _send_to_group(self) -> None:
+        """Send the periodic updates of a fleet with collectors.
+
+        A collector sends sums to its followers and to the other collectors.
+        Any other entry sends its state to its collector and the backup.
+        """
         if self._view.collects:
-            self._tell_members()
-            self._tell_collectors()
+            self._send_to_followers()
+            self._send_to_collectors()
             return
         choice = self._view.choice
-        self._tell(
+        self._broadcast(
             self._view.peers[host]
             for host in (choice.current, choice.backup)
             if host in self._view.peers
         )
 
-    def _tell_members(self) -> None:
-        """Tell each entry of the domain what all but itself hold."""
+    def _send_to_followers(self) -> None:
+        """Send each follower the sums over all entries except itself."""
         now = self._clock.now()
-        taken = totals_module.add_up(
-            (self._sum_others(self._totals), self._taken.list_marked())
+        reserved = totals_module.add_up(
+            (
+                self._sum_others(self._reservation_totals),
+                self._reserved.list_marked(),
+            )
         )
-        work = totals_module.add_up(
-            (self._sum_others(self._work), self._budget.list_marked())
+        requests = totals_module.add_up(
+            (
+                self._sum_others(self._request_totals),
+                self._retry_budget.list_marked(),
+            )
         )
         absent = self._list_absent(self._view.peers.values())
         for peer in self._view.list_near():
             own = [peer.record.host]
-            self._send_news(
+            self._send_update(
                 peer,
                 totals_module.subtract(
-                    taken, self._totals.sum_entries(own, now)
+                    reserved, self._reservation_totals.sum_entries(own, now)
+                ),
+                totals_module.subtract(
+                    requests, self._request_totals.sum_entries(own, now)
                 ),
-                totals_module.subtract(work, self._work.sum_entries(own, now)),
                 messages.Scope.REST,
                 absent,
             )
 
-    def _tell_collectors(self) -> None:
-        """Tell the collectors of the other failure domains."""
+    def _send_to_collectors(self) -> None:
+        """Send this domain's sums to the collectors of the other domains."""
         own_domain = self._view.own.failure_domain
-        taken = totals_module.add_up(
-            (self._sum_near(self._totals), self._taken.list_marked())
+        reserved = totals_module.add_up(
+            (
+                self._sum_domain(self._reservation_totals),
+                self._reserved.list_marked(),
+            )
         )
-        work = totals_module.add_up(
-            (self._sum_near(self._work), self._budget.list_marked())
+        requests = totals_module.add_up(
+            (
+                self._sum_domain(self._request_totals),
+                self._retry_budget.list_marked(),
+            )
         )
         absent = self._list_absent(self._view.list_near())
         for domain in self._view.list_domains():
             if domain == own_domain:
                 continue
             for peer in self._find_collectors(domain):
-                self._send_news(
-                    peer, taken, work, messages.Scope.DOMAIN, absent
+                self._send_update(
+                    peer, reserved, requests, messages.Scope.DOMAIN, absent
                 )
 
     def _find_collectors(self, domain: str) -> list[view_module.Peer]:
         now = self._clock.now()
-        host, heard_at = self._collectors.get(domain, ('', 0))
-        known = self._view.peers.get(host)
-        if known is not None and now - heard_at <= self._view.silence_ms:
-            return [known]
-        near = self._view.list_domain(domain)
-        alive = [one for one in near if self._view.is_alive(one, now)]
-        return alive[:UNKNOWN_COLLECTORS]
+        host, received_at = self._collector_hosts.get(domain, ('', 0))
+        collector = self._view.peers.get(host)
+        if (
+            collector is not None
+            and now - received_at <= self._view.silence_ms
+        ):
+            return [collector]
+        domain_peers = self._view.list_domain(domain)
+        alive = [
+            peer for peer in domain_peers if self._view.is_alive(peer, now)
+        ]
+        return alive[:COLLECTOR_CANDIDATES]
 
     def _list_absent(
         self, peers: Iterable[view_module.Peer]
     ) -> tuple[str, ...]:
         now = self._clock.now()
         return tuple(
-            one.record.host
-            for one in peers
-            if one.state is not messages.State.SERVING
-            or not self._view.is_alive(one, now)
+            peer.record.host
+            for peer in peers
+            if peer.state is not messages.State.SERVING
+            or not self._view.is_alive(peer, now)
         )
 
-    def _tell(self, peers: Iterable[view_module.Peer]) -> None:
-        taken = self._taken.list_marked()
-        work = self._budget.list_marked()
+    def _broadcast(self, peers: Iterable[view_module.Peer]) -> None:
+        reserved = self._reserved.list_marked()
+        requests = self._retry_budget.list_marked()
         for peer in list(peers):
-            self._send_news(peer, taken, work)
+            self._send_update(peer, reserved, requests)
 
-    def _send_news(
+    def _send_update(
         self,
         peer: view_module.Peer,
-        taken: totals_module.Amounts,
-        work: totals_module.Amounts,
+        reserved: totals_module.Amounts,
+        requests: totals_module.Amounts,
         scope: messages.Scope = messages.Scope.ENTRY,
         absent: tuple[str, ...] = (),
     ) -> None:
         now = self._clock.now()
-        age = self._beliefs.proof.compute_age(now)
+        age = self._routing_state.proof.compute_age(now)
         own = self._view.own
         direct_only = scope is not messages.Scope.REST
-        news = messages.News(
+        update = messages.News(
             host=own.host,
             incarnation=own.incarnation,
             state=self.state,
@@ -514,15 +566,15 @@
             heard_stamp=peer.heard_stamp,
             revision=self._read_revision(),
             proof_age_ms=-1 if age is None else age,
-            taken=taken,
-            suspects=tuple(self._beliefs.fresh_suspects),
+            taken=reserved,
+            suspects=tuple(self._routing_state.fresh_suspects),
             scope=scope,
             absent=absent,
-            slow=self._beliefs.paces.list_slow(now, direct_only),
-            refusing=self._beliefs.refusals.list_fresh(now, direct_only),
-            work=work,
-            breaking=self._beliefs.outliers.list_fresh(now),
-            moving=self._beliefs.moves.list_known(direct_only),
+            slow=self._routing_state.paces.list_slow(now, direct_only),
+            refusing=self._routing_state.refusals.list_fresh(now, direct_only),
+            work=requests,
+            breaking=self._routing_state.outliers.list_fresh(now),
+            moving=self._routing_state.moves.list_known(direct_only),
             shut_out_ms=self._view.choice.compute_shut_out(own.host, now),
         )
-        self._send(peer.record.peers, news)
+        self._send(peer.record.peers, update)
--- a/src/thornspool/application/routing/placement.py
+++ b/src/thornspool/application/routing/placement.py
@@ -1,4 +1,4 @@
-"""Gives the engines their layers, while this entry holds the lease."""
+"""Assigns layers to engines while this entry is the leader."""
 
 from __future__ import annotations
 
@@ -19,36 +19,41 @@
     from thornspool.application.routing import beliefs as beliefs_module
     from thornspool.domain.fleet import messages as fleet
 
-SETTLE_MS = 900
+EMPTY_FLEET_SETTLE_MS = 900
 """Time without a new engine after which an empty fleet is placed.
 
-Engines enter the list over some 3 s; a layout of the first half of them
-would have to be loaded a second time.
+Engines register over about 3 s. A layout for the first half of them would
+have to be replaced, and its layers loaded a second time.
 """
 
-LOAD_FACTOR = 6.0
-"""Times of a load's own duration after which its order counts as lost.
+LOAD_TIMEOUT_FACTOR = 6.0
+"""Multiple of the load duration after which an order counts as lost.
 
-Loads at once share the store of weights, some six at full speed.
+Concurrent loads share the weight store, which serves about six of them at
+full speed.
 """
 
-ANNOUNCE_MS = 60
-"""Time between telling peers what an engine gives up and ordering it; news
-leave within 25 ms."""
+ANNOUNCE_DELAY_MS = 60
+"""Delay between announcing the layers that an engine drops and ordering it;
+state updates are sent within 25 ms."""
 
-CONFLICT_MS = 600
-"""Time for which an engine that refused an order is left alone.
+CONFLICT_BACKOFF_MS = 600
+"""Time for which an engine that refused an order gets no further order.
 
-It is busy until the last request has passed through layers that it gives
-up; a stream lasts 2 to 4 s.
+It is busy until the last request that uses the dropped layers has ended; a
+stream lasts 2 to 4 s.
 """
 
-PASS_MS = 8_000
-"""Time besides for an engine that gives up layers: it waits for the longest
-streams that pass through them, and a second order would only be refused."""
+DRAIN_SLACK_MS = 8_000
+"""Additional time before an order that drops layers counts as lost.
 
-LOAD_SLACK_MS = 3_000
-"""Time besides: the entry of an engine is seen some 1 s after a change."""
+The engine first waits for the longest streams that use these layers, and a
+second order would only be refused.
+"""
+
+LOAD_TIMEOUT_SLACK_MS = 3_000
+"""Additional time before any order counts as lost; a change of an engine
+shows in its registration after about 1 s."""
 
 _MS_PER_S = 1000.0
 
@@ -56,223 +61,247 @@
 
 
 @attrs.define
-class Pending:
-    """An order whose result is not seen yet."""
+class PendingOrder:
+    """An order whose result has not been observed yet.
+
+    Attributes
+    ----------
+    layers : fleet.LayerRange
+        Layers that the engine is to hold.
+    born : int or None
+        Start of the engine's process, in Unix milliseconds.
+    expires_at : int
+        Time after which the order counts as lost, in milliseconds of the
+        clock.
+    """
 
     layers: fleet.LayerRange
     born: int | None
-    until: int
+    expires_at: int
 
 
 class PlacementService:
-    """Plans and gives orders.
+    """Plans the layout of the engines and sends them the orders.
 
     Parameters
     ----------
     clock : clock_module.Clock
         Source of time.
-    beliefs : beliefs_module.Beliefs
+    routing_state : beliefs_module.Beliefs
         Engines and their layers.
     servers : ports.Servers
-        Calls to engines.
-    may_lead : callable
-        Tells whether this entry holds the lease for sure.
+        Client for the engines.
+    is_leader : callable
+        Returns whether this entry certainly holds the leadership.
     """
 
     def __init__(
         self,
         clock: clock_module.Clock,
-        beliefs: beliefs_module.Beliefs,
+        routing_state: beliefs_module.Beliefs,
         servers: ports.Servers,
-        may_lead: Callable[[], bool],
+        is_leader: Callable[[], bool],
     ) -> None:
         self._clock = clock
-        self._beliefs = beliefs
+        self._routing_state = routing_state
         self._servers = servers
-        self._may_lead = may_lead
-        self._pending: dict[str, Pending] = {}
-        self._orders: dict[str, int] = {}
-        self._busy_until: dict[str, int] = {}
-        self._members: dict[str, tuple[frozenset[str], int]] = {}
+        self._is_leader = is_leader
+        self._pending_orders: dict[str, PendingOrder] = {}
+        self._order_counts: dict[str, int] = {}
+        self._backoff_until: dict[str, int] = {}
+        self._domain_members: dict[str, tuple[frozenset[str], int]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._settled: dict[str, object] = {}
-        self._holes: dict[tuple[str, str], list[fleet.LayerRange]] = {}
+        self._settled_situations: dict[str, object] = {}
+        self._coverage_gaps: dict[tuple[str, str], list[fleet.LayerRange]] = {}
         self.given = 0
 
     def work(self) -> None:
-        """Plan and give orders; run every 100 ms or so."""
-        if not self._may_lead():
-            self._pending.clear()
-            self._orders.clear()
-            self._busy_until.clear()
-            self._beliefs.moves.own.clear()
+        """Plan and give orders; called about every 100 ms."""
+        if not self._is_leader():
+            self._pending_orders.clear()
+            self._order_counts.clear()
+            self._backoff_until.clear()
+            self._routing_state.moves.own.clear()
             return
         now = self._clock.now()
-        if self._beliefs.is_outdated(now):
-            # The lease may be renewed a moment before the copy is: planned
-            # by what the list said eight seconds ago, a domain whose engines
-            # had loaded meanwhile was ordered to load everything anew.
+        if self._routing_state.is_outdated(now):
+            # The lease may be renewed shortly before the local copy is.
+            # Orders planned from a copy that was 8 s old made a whole domain
+            # reload layers that its engines had loaded in the meantime.
             return
-        self._settle_pending(now)
-        configuration = self._beliefs.configuration
+        self._update_pending_orders(now)
+        configuration = self._routing_state.configuration
         if configuration is None:
             return
         for service in configuration.services.values():
             if service.model is not None:
-                self._place(service.name, service.model, now)
+                self._place_service(service.name, service.model, now)
 
-    def _settle_pending(self, now: int) -> None:
-        for name, pending in list(self._pending.items()):
-            server = self._beliefs.servers.get(name)
+    def _update_pending_orders(self, now: int) -> None:
+        for server_id, pending in list(self._pending_orders.items()):
+            server = self._routing_state.servers.get(server_id)
             if server is None or server.born != pending.born:
-                self._forget_order(name)
-                self._orders.pop(name, None)
+                self._drop_pending_order(server_id)
+                self._order_counts.pop(server_id, None)
             elif server.layers == pending.layers:
-                self._forget_order(name)
-            elif now > pending.until:
-                logger.warning('order_lost', server=name)
-                self._forget_order(name)
-                self._orders.pop(name, None)
-
-    def _forget_order(self, name: str) -> None:
-        self._pending.pop(name, None)
-        self._beliefs.moves.end(name)
-
-    def _place(self, service: str, model: fleet.Model, now: int) -> None:
+                self._drop_pending_order(server_id)
+            elif now > pending.expires_at:
+                logger.warning('order_lost', server=server_id)
+                self._drop_pending_order(server_id)
+                self._order_counts.pop(server_id, None)
+
+    def _drop_pending_order(self, server_id: str) -> None:
+        self._pending_orders.pop(server_id, None)
+        self._routing_state.moves.end(server_id)
+
+    def _place_service(
+        self, service: str, model: fleet.Model, now: int
+    ) -> None:
         engines = [
-            one
-            for one in self._beliefs.servers.values()
-            if one.service == service
-            and one.id not in self._beliefs.leaving
-            and one.id not in self._beliefs.suspects
+            server
+            for server in self._routing_state.servers.values()
+            if server.service == service
+            and server.id not in self._routing_state.leaving
+            and server.id not in self._routing_state.suspects
         ]
-        if self._is_filling(engines, now):
+        if self._is_fleet_starting(engines, now):
             return
-        holdings = [self._describe(one) for one in engines]
-        self._note_coverage(service, engines, model)
-        steady = self._find_steady(engines, now)
-        young = self._beliefs.is_list_young(now)
-        situation = (model, tuple(holdings), steady)
-        if self._settled.get(service) == situation:
+        holdings = [self._build_holding(engine) for engine in engines]
+        self._log_coverage_change(service, engines, model)
+        steady_domains = self._find_steady_domains(engines, now)
+        is_list_recent = self._routing_state.is_list_young(now)
+        situation = (model, tuple(holdings), steady_domains)
+        if self._settled_situations.get(service) == situation:
             return
-        orders = planning.plan_orders(holdings, model, steady)
+        orders = planning.plan_orders(holdings, model, steady_domains)
         if not orders:
-            self._settled[service] = situation
+            self._settled_situations[service] = situation
         for order in orders:
-            if young and order.server.layers is not None:
-                # What seems to be missing may only be missing in the list.
+            if is_list_recent and order.server.layers is not None:
+                # Engines that seem to be missing may not be listed yet.
                 continue
-            if now >= self._busy_until.get(order.server.id, 0):
-                self._give(order, model, now)
+            if now >= self._backoff_until.get(order.server.id, 0):
+                self._give_order(order, model, now)
 
-    def _find_steady(
+    def _find_steady_domains(
         self, engines: list[fleet.Server], now: int
     ) -> frozenset[str]:
-        """Find the domains whose engines have not changed for a while.
+        """Find the domains whose set of engines has been stable for a while.
 
-        There are none while engines are slow: what an engine gives up waits
-        for the streams that pass through it, and slow ones hold these up.
+        None qualifies while any engine is slow: an engine drops layers only
+        after the streams that use them have ended, and slow engines delay
+        these streams.
         """
         domains: dict[str, set[str]] = {}
-        for one in engines:
-            domains.setdefault(one.failure_domain, set()).add(one.id)
-        steady = set()
-        if self._beliefs.paces.select((one.id for one in engines), now):
-            self._members.clear()
-        for domain, names in domains.items():
-            members = frozenset(names)
-            known = self._members.get(domain)
-            if known is None or known[0] != members:
-                self._members[domain] = (members, now)
-            elif now - known[1] >= planning.STEADY_MS:
-                steady.add(domain)
-        return frozenset(steady)
-
-    def _note_coverage(
+        for engine in engines:
+            domains.setdefault(engine.failure_domain, set()).add(engine.id)
+        steady_domains = set()
+        if self._routing_state.paces.select(
+            (engine.id for engine in engines), now
+        ):
+            self._domain_members.clear()
+        for domain, engine_ids in domains.items():
+            members = frozenset(engine_ids)
+            previous = self._domain_members.get(domain)
+            if previous is None or previous[0] != members:
+                self._domain_members[domain] = (members, now)
+            elif now - previous[1] >= planning.STEADY_MS:
+                steady_domains.add(domain)
+        return frozenset(steady_domains)
+
+    def _log_coverage_change(
         self, service: str, engines: list[fleet.Server], model: fleet.Model
     ) -> None:
-        """Log which layers a domain lacks, when that changes."""
+        """Log the coverage gaps of each domain when they change."""
         domains: dict[str, list[fleet.LayerRange]] = {}
-        for one in engines:
-            held = domains.setdefault(one.failure_domain, [])
-            if one.layers is not None:
-                held.append(one.layers)
+        for engine in engines:
+            held = domains.setdefault(engine.failure_domain, [])
+            if engine.layers is not None:
+                held.append(engine.layers)
         for domain, held in domains.items():
-            holes = orders_module.find_holes(held, model.layers)
-            if self._holes.get((service, domain)) != holes:
-                self._holes[(service, domain)] = holes
+            gaps = orders_module.find_holes(held, model.layers)
+            if self._coverage_gaps.get((service, domain)) != gaps:
+                self._coverage_gaps[(service, domain)] = gaps
                 logger.info(
                     'coverage_changed',
                     service=service,
                     domain=domain,
                     engines=len(held),
-                    missing=','.join(
-                        f'{one.first}-{one.end}' for one in holes
-                    ),
+                    missing=','.join(f'{gap.first}-{gap.end}' for gap in gaps),
                 )
 
-    def _is_filling(self, engines: list[fleet.Server], now: int) -> bool:
-        """Tell whether an empty fleet is still coming up."""
-        if any(one.layers is not None for one in engines):
+    def _is_fleet_starting(
+        self, engines: list[fleet.Server], now: int
+    ) -> bool:
+        """Return whether an empty fleet is still starting."""
+        if any(engine.layers is not None for engine in engines):
             return False
-        return now - self._beliefs.servers_changed_at < SETTLE_MS
+        return (
+            now - self._routing_state.servers_changed_at
+            < EMPTY_FLEET_SETTLE_MS
+        )
 
-    def _describe(self, server: fleet.Server) -> orders_module.Holding:
-        pending = self._pending.get(server.id)
+    def _build_holding(self, server: fleet.Server) -> orders_module.Holding:
+        pending = self._pending_orders.get(server.id)
         if pending is not None:
             return orders_module.Holding(server, pending.layers)
-        if self._clock.now() < self._busy_until.get(server.id, 0):
+        if self._clock.now() < self._backoff_until.get(server.id, 0):
             return orders_module.Holding(server, server.layers)
         return orders_module.Holding(server)
 
-    def _give(
+    def _give_order(
         self, order: orders_module.Order, model: fleet.Model, now: int
     ) -> None:
         held = order.server.layers
-        new = order.layers.count
+        load_count = order.layers.count
         if held is not None:
             overlap = min(held.end, order.layers.end) - max(
                 held.first, order.layers.first
             )
-            new -= max(0, overlap)
-        load_ms = model.load_s * 1000 * new / model.layers
-        until = now + round(load_ms * LOAD_FACTOR) + LOAD_SLACK_MS
-        kept = orders_module.Holding(order.server, order.layers).sure
-        if self._beliefs.moves.begin(order.server, kept):
-            until += PASS_MS
-            work = self._announce_and_order(order)
+            load_count -= max(0, overlap)
+        load_ms = model.load_s * 1000 * load_count / model.layers
+        expires_at = (
+            now + round(load_ms * LOAD_TIMEOUT_FACTOR) + LOAD_TIMEOUT_SLACK_MS
+        )
+        retained = orders_module.Holding(order.server, order.layers).sure
+        if self._routing_state.moves.begin(order.server, retained):
+            expires_at += DRAIN_SLACK_MS
+            sending = self._announce_and_send_order(order)
         else:
-            work = self._order(order)
-        self._pending[order.server.id] = Pending(
-            order.layers, order.server.born, until
+            sending = self._send_order(order)
+        self._pending_orders[order.server.id] = PendingOrder(
+            order.layers, order.server.born, expires_at
         )
-        task = asyncio.get_running_loop().create_task(work)
+        task = asyncio.get_running_loop().create_task(sending)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _announce_and_order(self, order: orders_module.Order) -> None:
-        """Give an order when peers know what it makes the engine refuse."""
-        await asyncio.sleep(ANNOUNCE_MS / _MS_PER_S)
-        await self._order(order)
+    async def _announce_and_send_order(
+        self, order: orders_module.Order
+    ) -> None:
+        """Send an order after peers know which layers the engine will drop."""
+        await asyncio.sleep(ANNOUNCE_DELAY_MS / _MS_PER_S)
+        await self._send_order(order)
 
-    async def _order(self, order: orders_module.Order) -> None:
-        """Give one order, under the count of those that the engine began.
+    async def _send_order(self, order: orders_module.Order) -> None:
+        """Send one order with the number of orders the engine has begun.
 
-        An order without an answer may be carried out seconds later, after
-        newer ones, and undo them; the count makes the engine refuse it
-        once another order was begun.
+        An order without a response may be executed seconds later, after newer
+        orders, and revert them. The count makes the engine refuse an order
+        once it has begun another one.
         """
         server = order.server
-        count = self._orders.get(server.id)
+        count = self._order_counts.get(server.id)
         if count is None and server.layers is None:
-            # Most engines have begun none; one that has refuses this.
+            # Most engines without layers have begun no order; one that has
+            # refuses this order.
             count = 0
         if count is None:
-            count = await self._ask_count(server)
+            count = await self._probe_order_count(server)
         if count is None:
-            self._forget_order(server.id)
+            self._drop_pending_order(server.id)
             return
-        if not self._may_lead():
+        if not self._is_leader():
             return
         self.given += 1
         result = await self._servers.place(server, order.layers, count)
@@ -285,20 +314,24 @@
             count=count,
         )
         if result is ports.OrderResult.BEGUN:
-            self._orders[server.id] = count + 1
+            self._order_counts[server.id] = count + 1
         elif result is not ports.OrderResult.DONE:
-            # It may have begun this order or another one since.
-            self._orders.pop(server.id, None)
-            self._busy_until[server.id] = self._clock.now() + CONFLICT_MS
-            await self._ask_count(server)
-            self._forget_order(server.id)
-
-    async def _ask_count(self, server: fleet.Server) -> int | None:
-        """Ask an engine how many orders it has begun, and remember it."""
-        asked_at = self._clock.now()
+            # The engine may have begun this order or another one.
+            self._order_counts.pop(server.id, None)
+            self._backoff_until[server.id] = (
+                self._clock.now() + CONFLICT_BACKOFF_MS
+            )
+            await self._probe_order_count(server)
+            self._drop_pending_order(server.id)
+
+    async def _probe_order_count(self, server: fleet.Server) -> int | None:
+        """Probe an engine for its number of begun orders, and store it."""
+        probed_at = self._clock.now()
         report = await self._servers.ask_report(server)
         if report is None:
-            self._beliefs.note_silence(server.id, asked_at, self._clock.now())
+            self._routing_state.note_silence(
+                server.id, probed_at, self._clock.now()
+            )
             return None
         if None not in {server.born, report.born} and (
             server.born != report.born
@@ -310,5 +343,5 @@
                 reported=report.born,
             )
             return None
-        self._orders[server.id] = report.orders
+        self._order_counts[server.id] = report.orders
         return report.orders
--- a/src/thornspool/application/routing/ports.py
+++ b/src/thornspool/application/routing/ports.py
@@ -1,4 +1,4 @@
-"""What the use cases need from callers, servers and peers."""
+"""Interfaces to callers and servers, and the types they exchange."""
 
 from __future__ import annotations
 
@@ -18,31 +18,33 @@
 
 @attrs.frozen
 class Inquiry:
-    """One request of a caller.
+    """A request as it arrived from a caller.
 
     Attributes
     ----------
     id : str
-        Given by the caller, one for each attempt of his.
+        Identifier set by the caller; each of its attempts has its own.
     method, target : str
-        As sent; the target is path and query.
+        HTTP method and request target (path and query) as sent.
     host : str
-        Name that it was sent to, in lower case.
+        Requested host name in lower case.
     headers : tuple of pairs of str
-        Headers that pass on to the server.
+        Headers that are forwarded to the server.
     body : bytes
-        Whole body.
+        Complete body.
     key : str or None
-        Key that he showed.
+        API key of the request; None if it has none.
     patience_ms : int
-        Time that he will wait for the whole answer, in milliseconds.
+        Time that the caller waits for the complete response, in
+        milliseconds.
     arrived_at : int
-        Milliseconds of the clock.
+        Time of arrival, in milliseconds of the clock.
     prompt_tokens, answer_tokens : float
-        Of a model request: tokens to read and expected tokens to write; 0
-        where he did not tell.
+        Prompt tokens and expected output tokens of a model request; 0 if
+        the caller did not state them.
     resume_after : str
-        Last event that he has; empty for a stream from its start.
+        Identifier of the last event that the caller has received; empty for
+        a stream from its start.
     """
 
     id: str
@@ -60,57 +62,58 @@
 
     @property
     def path(self) -> str:
-        """Path without the query."""
+        """Path of the target, without the query."""
         return self.target.partition('?')[0]
 
 
 class Reply(typing.Protocol):
-    """The answer to a caller; closed once it is whole or the caller left."""
+    """Response to a caller; closed when complete or the caller disconnects."""
 
     def set_on_close(self, call: Callable[[], None]) -> None:
-        """Have a function called when the caller leaves."""
+        """Set a function to call when the caller disconnects."""
 
     def refuse(
         self, status: int, reason: str, retry_after_ms: int | None = None
     ) -> None:
-        """Answer with an error of the router's own."""
+        """Send an error response of the router itself."""
 
     def begin(self, status: int, headers: Headers) -> None:
-        """Begin an answer of unknown length."""
+        """Begin a response of unknown length."""
 
     def write(self, chunk: bytes) -> None:
-        """Send a piece of it."""
+        """Send a chunk of the body."""
 
     def finish(self) -> None:
-        """End it as complete."""
+        """Complete the response."""
 
     def abort(self) -> None:
-        """Close the connection, so that it can't look complete."""
+        """Close the connection so that the response is seen as incomplete."""
 
     def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete response."""
 
 
 @attrs.frozen
 class Run:
-    """A request on its way to a server.
+    """One attempt to serve a request at a server.
 
     Attributes
     ----------
     inquiry : Inquiry
-        What to send.
+        Request to send.
     server : fleet.Server
-        Where to.
+        Server that receives the request.
     hops : tuple of search.Hop
-        Path of a model request, from this server on; empty for others.
+        Path of a model request, starting at this server; empty for other
+        requests.
     left_ms : int
-        Time that the caller still waits.
+        Time until the deadline, in milliseconds.
     workspace : str
-        Whose request it is; empty for nobody's.
+        Workspace of the request; empty for an anonymous one.
     resume_after : str
-        Last event that the caller has.
+        Identifier of the last event that the caller has received.
     priority : int
-        Rank at the server from 0, the first, to 9.
+        Priority at the server from 0 (highest) to 9.
     """
 
     inquiry: Inquiry
@@ -124,7 +127,15 @@
 
 @attrs.frozen
 class Load:
-    """Requests of a server as it told them with an answer."""
+    """Load that a server reports with a response.
+
+    Attributes
+    ----------
+    running, waiting : int
+        Requests that are executed and that are queued.
+    slots : int
+        Requests that the server can execute at once.
+    """
 
     running: int
     waiting: int
@@ -133,22 +144,24 @@
 
 @attrs.frozen
 class Head:
-    """Status and headers of a server's answer.
+    """Status and headers of a server's response.
 
     Attributes
     ----------
     status : int
         HTTP status.
     headers : tuple of pairs of str
-        Headers that pass on to the caller.
+        Headers that are forwarded to the caller.
     ran : bool
-        False when the server states that it did not run the request.
+        False if the server states that it did not execute the request.
     fault_address : str
-        Server on the path that the answer blames; empty for none.
+        Address of the server on the path that the response names as the
+        cause of the failure; empty for none.
     load : Load or None
-        None where it does not tell.
+        Reported load; None if the server does not report it.
     genuine : bool
-        Whether it carries a server's signature and the request's own id.
+        Whether the response has a server's signature and the identifier of
+        the request.
     """
 
     status: int
@@ -160,9 +173,9 @@
 
 
 class Ending(enum.Enum):
-    """How a run ended.
+    """How an attempt ended.
 
-    Only ``NOT_SENT`` promises that the server has not read the request.
+    Only ``NOT_SENT`` guarantees that the server has not read the request.
     """
 
     WHOLE = 'whole'
@@ -171,46 +184,54 @@
 
 
 class Listener(typing.Protocol):
-    """Takes what a run brings; nothing follows after it was ended."""
+    """Receives the response of an attempt, up to its end or cancellation."""
 
     def take_head(self, head: Head) -> None:
-        """Take status and headers."""
+        """Handle status and headers."""
 
     def take_body(self, chunk: bytes) -> None:
-        """Take a piece of the body."""
+        """Handle a chunk of the body."""
 
     def take_end(self, ending: Ending) -> None:
-        """Take the ending, last."""
+        """Handle the end of the attempt; called last."""
 
 
 @attrs.frozen
 class Stalled:
-    """A request that waits for a server on its path."""
+    """A request that is stalled by a server on its path.
+
+    Attributes
+    ----------
+    request : str
+        Identifier of the request.
+    address : str
+        Address of the server that it waits for.
+    """
 
     request: str
     address: str
 
 
 REPORT_MS = 350
-"""Longest wait for a report; a sound engine tells it within some 10 ms."""
+"""Timeout of a probe; a healthy engine responds within about 10 ms."""
 
 
 @attrs.frozen
 class Report:
-    """State of an engine as it tells it when asked.
+    """State that an engine reports when probed.
 
     Attributes
     ----------
     orders : int
-        Orders that it has begun since its start.
+        Number of orders that the engine has begun since its start.
     busy : bool
-        Whether one is in progress.
+        Whether an order is in progress.
     slowness : float
-        Over 1 for a slow engine.
+        Slowdown factor; over 1 for a slow engine.
     born : int or None
-        Unix milliseconds of its start.
+        Start of the engine's process, in Unix milliseconds.
     stalled : tuple of Stalled
-        Requests that entered here and wait for another engine.
+        Requests that entered at this engine and wait for another one.
     """
 
     orders: int
@@ -221,7 +242,7 @@
 
 
 class OrderResult(enum.Enum):
-    """What became of an order."""
+    """Result of an order to an engine."""
 
     BEGUN = 'begun'
     DONE = 'done'
@@ -231,22 +252,36 @@
 
 
 class Servers(typing.Protocol):
-    """Calls to engines and plain servers."""
+    """Client for engines and plain servers."""
 
     def send(self, run: Run, listener: Listener) -> Callable[[], None]:
-        """Send a request; returns what ends it and closes its connection."""
+        """Send a request; returns a function that cancels the attempt.
+
+        Cancelling closes the connection to the server.
+        """
 
     async def ask_report(
         self, server: fleet.Server, wait_ms: int = REPORT_MS
     ) -> Report | None:
-        """Ask an engine for its state; None when it does not answer."""
+        """Probe an engine for its state; None if it does not respond."""
 
     async def place(
         self, server: fleet.Server, layers: fleet.LayerRange, orders: int
     ) -> OrderResult:
-        """Order an engine that has begun so many orders to hold a range."""
+        """Order an engine to hold a range of layers.
+
+        Parameters
+        ----------
+        server : fleet.Server
+            The engine.
+        layers : fleet.LayerRange
+            Layers that it is to hold.
+        orders : int
+            Number of orders that it must have begun so far; it refuses the
+            order otherwise.
+        """
 
     async def repath(
         self, request: str, hops: tuple[search.Hop, ...]
     ) -> OrderResult:
-        """Order a running request's first engine to use another path."""
+        """Order the first engine of a running request to use another path."""
--- a/src/thornspool/application/routing/registration.py
+++ b/src/thornspool/application/routing/registration.py
@@ -1,4 +1,4 @@
-"""Keeps this entry in the store's list, and the lead with one entry."""
+"""Registers this entry in the store and claims the leadership."""
 
 from __future__ import annotations
 
@@ -17,39 +17,54 @@
     from thornspool.domain.entries import view as view_module
 
 RETRY_MS = 500
-"""Pause after the first call that failed; it doubles with each further one,
-since the store counts calls that it refuses too."""
+"""Pause after the first failed call. It doubles with each further failure,
+since the store counts the calls that it rejects too."""
 
-MAX_RETRY_MS = 4_000
-"""Longest pause between calls that fail; a registration that lapsed meanwhile
-is back within this of the store's return."""
+MAX_BACKOFF_MS = 4_000
+"""Maximum pause between failing calls. A registration that expired in an
+outage is renewed within this time after the store returns."""
 
 logger = structlog.get_logger(__name__)
 
 
 class Registry(typing.Protocol):
-    """The store's part; each call raises an error of this package."""
+    """Interface to the store; each call raises exceptions of this package."""
 
     async def open_lease(self, ttl_ms: int) -> int:
-        """Open a lease."""
+        """Open a lease and return its identifier."""
 
     async def renew_lease(self, lease: int) -> None:
         """Renew a lease."""
 
     async def register(self, record: messages.Record, lease: int) -> None:
-        """Write the entry's own registration."""
+        """Write the registration of this entry."""
 
     async def claim_lead(
         self, record: messages.Record, lease: int, revision: int
     ) -> int:
-        """Write the key of the lead over a revision; returns the new one."""
+        """Write the leader key if it still has a revision.
+
+        Parameters
+        ----------
+        record : messages.Record
+            Registration of this entry.
+        lease : int
+            Lease under which the key is written.
+        revision : int
+            Revision that the key must have; 0 for none.
+
+        Returns
+        -------
+        int
+            New revision of the key.
+        """
 
     async def release_lead(self, revision: int) -> None:
-        """Delete the key of the lead, if it still has a revision."""
+        """Delete the leader key if it still has a revision."""
 
 
 class RegistrationService:
-    """Registers an entry and claims the lead when it is due.
+    """Keeps the registration alive and claims the leadership when it is free.
 
     Parameters
     ----------
@@ -57,47 +72,47 @@
         Source of time.
     view : view_module.View
         This entry and the others.
-    lead : leadership_module.Leadership
-        Who leads.
+    leadership : leadership_module.Leadership
+        Local view of the leadership.
     registry : Registry
-        The store.
+        Client for the store.
     find_old_lease : callable, optional
-        Returns the lease of an earlier process of this host, 0 for none, and
-        None while that is not known.
+        Returns the lease of an earlier process of this host, 0 if there is
+        none, and None while this is unknown.
     """
 
     def __init__(
         self,
         clock: clock_module.Clock,
         view: view_module.View,
-        lead: leadership_module.Leadership,
+        leadership: leadership_module.Leadership,
         registry: Registry,
         find_old_lease: Callable[[], int | None] = lambda: 0,
     ) -> None:
         self._clock = clock
         self._view = view
-        self._lead = lead
+        self._leadership = leadership
         self._registry = registry
         self._find_old_lease = find_old_lease
-        self._took_over = False
+        self._tried_old_lease = False
         self._lease: int | None = None
         self._renewed_at = 0
         self._lead_lease: int | None = None
-        self._lead_renewed_at = 0
+        self._lead_lease_renewed_at = 0
         self._registered = False
         self._leaving = False
         self._reachable = True
         self._retry_at = 0
-        self._pause_ms = RETRY_MS
+        self._backoff_ms = RETRY_MS
 
     async def work(self) -> None:
-        """Renew what is due; run several times a second."""
+        """Renew leases that are due; called several times per second."""
         if self._clock.now() < self._retry_at:
             return
         try:
-            await self._renew_lead()
-            await self._renew()
-            await self._claim()
+            await self._renew_leadership()
+            await self._renew_registration()
+            await self._claim_leadership()
         except exceptions.LeaseLost:
             logger.warning('lease_lost', lease=self._lease)
             self._lease = None
@@ -105,133 +120,140 @@
         except exceptions.RegistryConflict as error:
             logger.info('lead_not_won', reason=str(error))
         except exceptions.RegistryUnavailable as error:
-            self._retry_at = self._clock.now() + self._choose_pause()
-            self._note_reachable(False, str(error))
+            self._retry_at = self._clock.now() + self._advance_backoff()
+            self._record_reachable(False, str(error))
 
     async def step_down(self) -> None:
-        """Give up the lead and claim it no more.
+        """Release the leadership and do not claim it again.
 
-        The registration stays until the entry ends: its requests still hold
-        memory on engines, which peers would give out a second time if they
-        no longer heard of it.
+        The registration stays until the process ends. Its in-flight requests
+        still reserve memory on engines, which peers would assign a second
+        time if this entry were no longer registered.
         """
         self._leaving = True
-        holder = self._lead.holder
-        if holder is None or not self._lead.may_act(self._clock.now()):
+        holder = self._leadership.holder
+        if holder is None or not self._leadership.may_act(self._clock.now()):
             return
-        self._lead.take_holder(None, self._clock.now())
+        self._leadership.take_holder(None, self._clock.now())
         try:
             await self._registry.release_lead(holder.revision)
         except exceptions.RoutingError as error:
-            # Another entry takes it over when it no longer hears this one.
+            # Another entry takes the leadership over when it receives no more
+            # updates from this one.
             logger.warning('lead_not_released', reason=str(error))
 
     def leave(self) -> None:
-        """Renew nothing any more.
+        """Stop renewing leases.
 
-        The registration runs out by itself, or the next process of this host
-        goes on with it; the others hear that this entry leaves.
+        The registration expires by itself unless the next process of this
+        host continues its lease. Peers learn from state updates that this
+        entry is leaving.
         """
         self._leaving = True
         self._lease = None
         self._lead_lease = None
-        self._lead.renewed_at = None
+        self._leadership.renewed_at = None
 
-    async def _renew_lead(self) -> None:
-        """Renew the lead, where this entry holds it."""
+    async def _renew_leadership(self) -> None:
+        """Renew the lease of the leadership if this entry is the leader."""
         lease = self._lead_lease
-        if lease is None or not self._lead.is_own:
+        if lease is None or not self._leadership.is_own:
             return
         now = self._clock.now()
-        if now - self._lead_renewed_at < leadership_module.LEAD_RENEW_MS:
+        if now - self._lead_lease_renewed_at < leadership_module.LEAD_RENEW_MS:
             return
         try:
             await self._registry.renew_lease(lease)
         except exceptions.LeaseLost:
             logger.warning('lead_lost', lease=lease)
             self._lead_lease = None
-            self._lead.take_holder(None, now)
+            self._leadership.take_holder(None, now)
             return
-        self._lead_renewed_at = now
-        self._lead.renewed_at = now
+        self._lead_lease_renewed_at = now
+        self._leadership.renewed_at = now
 
-    async def _renew(self) -> None:
+    async def _renew_registration(self) -> None:
         if self._leaving and self._lease is None:
             return
         now = self._clock.now()
         if self._lease is None:
-            old = self._find_old_lease()
-            if old is None:
+            old_lease = self._find_old_lease()
+            if old_lease is None:
                 return
-            self._lease = await self._open_lease(old)
+            self._lease = await self._open_lease(old_lease)
         elif now - self._renewed_at < leadership_module.RENEW_MS:
             return
         else:
             await self._registry.renew_lease(self._lease)
-        # Dated when it was sent: it ran from its arrival, which was later.
+        # The time of sending is used, since the lease runs from the arrival at
+        # the store, which is later.
         self._renewed_at = now
-        if not self._lead.is_own:
-            self._lead.renewed_at = now
-        self._pause_ms = RETRY_MS
-        self._note_reachable(True, '')
+        if not self._leadership.is_own:
+            self._leadership.renewed_at = now
+        self._backoff_ms = RETRY_MS
+        self._record_reachable(True, '')
         if not self._registered:
             await self._registry.register(self._view.own, self._lease)
             self._registered = True
 
-    async def _open_lease(self, old: int) -> int:
-        """Go on with an earlier process's lease, or open a new one.
+    async def _open_lease(self, old_lease: int) -> int:
+        """Continue the lease of an earlier process, or open a new one.
 
-        Renewing is the cheaper call, and a fleet that restarts makes one for
-        each entry at the same moment.
+        Renewing is the cheaper call. When the whole fleet restarts, each
+        entry makes this call at the same time.
         """
-        if old and not self._took_over:
-            self._took_over = True
+        if old_lease and not self._tried_old_lease:
+            self._tried_old_lease = True
             try:
-                await self._registry.renew_lease(old)
+                await self._registry.renew_lease(old_lease)
             except exceptions.LeaseLost:
-                logger.info('old_lease_ended', lease=old)
+                logger.info('old_lease_ended', lease=old_lease)
             else:
-                return old
+                return old_lease
         return await self._registry.open_lease(leadership_module.LEASE_MS)
 
-    def _choose_pause(self) -> int:
-        """Choose the pause after a failure.
+    def _advance_backoff(self) -> int:
+        """Return the pause after a failure and double the next one.
 
-        The holder of the lead, and an entry that is in no list yet, try
-        again soon; the others lose nothing while their leases run.
+        The leader and an entry that is not registered yet retry after the
+        shortest pause. The others can wait, since their leases still run.
         """
-        if self._lead.is_own or not self._registered:
+        if self._leadership.is_own or not self._registered:
             return RETRY_MS
-        pause_ms = self._pause_ms
-        self._pause_ms = min(MAX_RETRY_MS, 2 * pause_ms)
-        return pause_ms
+        backoff_ms = self._backoff_ms
+        self._backoff_ms = min(MAX_BACKOFF_MS, 2 * backoff_ms)
+        return backoff_ms
 
-    async def _claim(self) -> None:
+    async def _claim_leadership(self) -> None:
         if self._lease is None or self._leaving:
             return
         now = self._clock.now()
         candidates = self._list_candidates(now)
         if not candidates:
             return
-        revision = self._lead.find_claim(self._view, candidates, now)
+        revision = self._leadership.find_claim(self._view, candidates, now)
         if revision is None:
             return
-        written = await self._write_lead(revision, now)
-        self._lead.renewed_at = now
+        revision_written = await self._write_claim(revision, now)
+        self._leadership.renewed_at = now
         own = self._view.own
-        self._lead.take_holder(
-            leadership_module.Holder(own.host, own.incarnation, written), now
+        self._leadership.take_holder(
+            leadership_module.Holder(
+                own.host, own.incarnation, revision_written
+            ),
+            now,
         )
-        logger.info('lead_taken', revision=written)
+        logger.info('lead_taken', revision=revision_written)
 
-    async def _write_lead(self, revision: int, now: int) -> int:
-        """Write the lead under a lease of its own; returns its revision."""
+    async def _write_claim(self, revision: int, now: int) -> int:
+        """Write the leader key under a new lease; returns its revision."""
         lease = await self._registry.open_lease(
             leadership_module.LEAD_LEASE_MS
         )
-        # Noted first: a claim whose answer is lost may stand all the same.
+        # Stored before the claim, which may succeed even when its response is
+        # lost.
         self._lead_lease = lease
-        self._lead_renewed_at = now
+        self._lead_lease_renewed_at = now
         try:
             return await self._registry.claim_lead(
                 self._view.own, lease, revision
@@ -240,32 +262,40 @@
             raise exceptions.RegistryConflict(str(error)) from error
 
     def _list_candidates(self, now: int) -> list[str]:
-        """List who may claim the lead; empty when this entry may not.
+        """List the hosts that may claim the leadership.
+
+        In a large fleet only collectors may. If every entry could, all of
+        them would detect an unresponsive leader at the same time and write
+        84 claims at each change, of which only one can succeed.
 
-        In a large fleet only collectors may: all others hear of a silent
-        holder at the same moment, and 84 claims, of which one can win, were
-        written at each change.
+        Returns
+        -------
+        list of str
+            The candidates; empty if this entry may not claim it.
         """
         own = self._view.own.host
-        serving = [one.host for one in self._view.list_serving(now)]
+        serving = [record.host for record in self._view.list_serving(now)]
         if self._view.is_mesh:
             return [*serving, own]
         if not self._view.collects:
             return []
-        return [*self._list_collectors(serving), own]
+        return [*self._list_other_collectors(serving), own]
 
-    def _list_collectors(self, serving: list[str]) -> list[str]:
-        """List the first serving entry of each other failure domain."""
-        found = []
+    def _list_other_collectors(self, serving: list[str]) -> list[str]:
+        """List the first serving entry of each other failure domain.
+
+        This entry is usually the collector of its domain.
+        """
+        collectors = []
         for domain in self._view.list_domains():
-            near = self._view.list_domain(domain)
-            hosts = [one.record.host for one in near]
+            peers = self._view.list_domain(domain)
+            hosts = [peer.record.host for peer in peers]
             first = next((host for host in hosts if host in serving), None)
             if first and domain != self._view.own.failure_domain:
-                found.append(first)
-        return found
+                collectors.append(first)
+        return collectors
 
-    def _note_reachable(self, reachable: bool, reason: str) -> None:
+    def _record_reachable(self, reachable: bool, reason: str) -> None:
         if reachable is not self._reachable:
             self._reachable = reachable
             if reachable:
--- a/src/thornspool/application/routing/repeats.py
+++ b/src/thornspool/application/routing/repeats.py
@@ -1,4 +1,4 @@
-"""What may be sent again, for each service, with what others have used."""
+"""Retry budget of each service, shared with all other entries."""
 
 from __future__ import annotations
 
@@ -12,40 +12,40 @@
 
     from thornspool import clock as clock_module
 
-SLACK_SHARE = 0.7
-"""Part of the slack that is dealt out.
+USABLE_SLACK_SHARE = 0.7
+"""Share of the configured slack that the retry pools use.
 
-A process that is started again begins with an empty window; the rest covers
-a third of the entries starting anew within one window.
+A restarted process begins with an empty window. The remaining share covers
+restarts of a third of the entries within one window.
 """
 
-COMMON_PART = 0.6
-"""Part of the share that requests without a part of their answer may fill.
+REGULAR_SHARE = 0.6
+"""Share of the allowed retries for requests whose response has not begun.
 
-A request that was refused can be told so and come back; a caller who has
-half a stream loses it when it may not be repeated.
+Such a request can be refused, and its caller can send it again. A caller that
+has received a part of a stream loses the stream when no retry is left.
 """
 
 _MS_PER_S = 1000.0
 
 
 class Repeats:
-    """Repeats of all services.
+    """Limits the retries of all services.
 
     Parameters
     ----------
     clock : clock_module.Clock
         Source of time.
     ratio : float
-        Repeats allowed for each request.
+        Retries allowed for each request.
     slack : float
-        Repeats allowed besides, over all entries.
+        Additional retries allowed in the window, over all entries.
     window_ms : int
-        Window of the two, in milliseconds.
+        Length of the window for both limits, in milliseconds.
     count_entries : callable
-        Returns how many entries share the slack.
+        Returns the number of entries that share the slack.
     seed : int, optional
-        Differs between entries.
+        Differs between entries, so that they do not all take the last retry.
     """
 
     def __init__(
@@ -67,61 +67,66 @@
         self.refused = 0
 
     def record_request(self, service: str) -> None:
-        """Note the first send of a request."""
-        self._find(service).record_request(self._clock.now())
+        """Record the first send of a request."""
+        self._get_pool(service).record_request(self._clock.now())
 
     def take(self, service: str, urgent: bool = False) -> bool:
-        """Take one repeat; False when this entry's share is used up.
+        """Acquire one retry.
 
         Parameters
         ----------
         service : str
-            The service that gets the repeat.
+            Service that gets the retry.
         urgent : bool, optional
-            Whether the caller has a part of the answer already.
+            Whether the caller has already received a part of the response.
+
+        Returns
+        -------
+        bool
+            False when this entry's share of the budget is used up.
         """
-        part = _choose_part(urgent)
-        if self._find(service).take_repeat(self._clock.now(), part):
+        share = _choose_share(urgent)
+        if self._get_pool(service).take_repeat(self._clock.now(), share):
             return True
         self.refused += 1
         return False
 
     def has_room(self, service: str, urgent: bool) -> bool:
-        """Tell whether a repeat may be taken now."""
-        part = _choose_part(urgent)
-        return self._find(service).has_room(self._clock.now(), part)
+        """Return whether a retry can be acquired now."""
+        share = _choose_share(urgent)
+        return self._get_pool(service).has_room(self._clock.now(), share)
 
     def estimate_rate(self, service: str) -> float:
-        """Estimate the requests a second of all entries for a service."""
-        requests = self._find(service).count_requests(self._clock.now())
+        """Estimate the requests per second of all entries to a service."""
+        requests = self._get_pool(service).count_requests(self._clock.now())
         return requests * _MS_PER_S / self._window_ms
 
     def list_marked(self) -> dict[int, float]:
-        """List this entry's requests and repeats, by mark, to be told."""
+        """List this entry's requests and retries by hash, for updates."""
         now = self._clock.now()
         listed = {}
         for service, pool in self._pools.items():
             work = pool.count(now)
-            listed[_mark_requests(service)] = work.requests
-            listed[_mark_repeats(service)] = work.repeats
+            listed[_hash_requests(service)] = work.requests
+            listed[_hash_retries(service)] = work.repeats
         return listed
 
-    def take_others(self, told: dict[int, float]) -> None:
-        """Take the sums of all other entries, by mark."""
+    def take_others(self, reported: dict[int, float]) -> None:
+        """Apply the sums of requests and retries of all other entries."""
         now = self._clock.now()
         for service, pool in self._pools.items():
             work = pools.Work(
-                told.get(_mark_requests(service), 0.0),
-                told.get(_mark_repeats(service), 0.0),
+                reported.get(_hash_requests(service), 0.0),
+                reported.get(_hash_retries(service), 0.0),
             )
             pool.take_others(work, now)
 
-    def _find(self, service: str) -> pools.RepeatPool:
+    def _get_pool(self, service: str) -> pools.RepeatPool:
         pool = self._pools.get(service)
         if pool is None:
             pool = pools.RepeatPool(
                 self._ratio,
-                self._slack * SLACK_SHARE,
+                self._slack * USABLE_SLACK_SHARE,
                 self._window_ms,
                 seed=self._seed,
             )
@@ -130,13 +135,13 @@
         return pool
 
 
-def _choose_part(urgent: bool) -> float:
-    return 1.0 if urgent else COMMON_PART
+def _choose_share(urgent: bool) -> float:
+    return 1.0 if urgent else REGULAR_SHARE
 
 
-def _mark_requests(service: str) -> int:
+def _hash_requests(service: str) -> int:
     return marks.compute_mark(f'requests of {service}')
 
 
-def _mark_repeats(service: str) -> int:
+def _hash_retries(service: str) -> int:
     return marks.compute_mark(f'repeats of {service}')
--- a/tests/application/routing/test_calls.py
+++ b/tests/application/routing/test_calls.py
@@ -9,10 +9,10 @@
 
 
 class ActionTest(unittest.TestCase):
-    """A hold is booked, and something goes wrong on the way.
+    """An action fails on its way to or from the server.
 
-    Run twice, it blocks another member's customer; told "not run" though
-    it ran, the caller books it a second time himself.
+    If the router executes it twice, or reports an executed action as not
+    executed so that the caller sends it again, a hold is booked twice.
     """
 
     def setUp(self):
@@ -21,52 +21,52 @@
 
     def test_outcomes(self):
         table = (
-            # what the first server does, sends in all, status for the caller
-            ('answers', lambda run: run.answer(), 1, 200),
+            # behaviour of the first server, total sends, status for the caller
+            ('responds', lambda run: run.answer(), 1, 200),
             ('fails', lambda run: run.answer(500), 1, 500),
             (
-                'breaks off',
+                'breaks the connection',
                 lambda run: run.end(ports.Ending.BROKEN),
                 1,
                 502,
             ),
             (
-                'breaks off in its answer',
+                'breaks the connection in its response',
                 lambda run: (run.begin(), run.end(ports.Ending.BROKEN)),
                 1,
                 502,
             ),
             (
-                'is not itself',
+                'is not authentic',
                 lambda run: (run.begin(genuine=False), run.end()),
                 1,
                 502,
             ),
         )
-        for name, act, sends, status in table:
+        for name, simulate, sends, status in table:
             with self.subTest(name):
                 world = builders.World()
                 reply = world.serve('/hold/1')
-                act(world.servers.last)
+                simulate(world.servers.last)
                 self.assertEqual(sends, len(world.servers.runs))
                 self.assertEqual(status, reply.status)
 
-    def test_goes_elsewhere_when_a_server_did_not_run_it(self):
-        for act in (
+    def test_retried_at_another_server_when_not_executed(self):
+        for simulate in (
             lambda run: run.refuse(),
             lambda run: run.refuse(421),
             lambda run: run.end(ports.Ending.NOT_SENT),
         ):
             world = builders.World()
             reply = world.serve('/hold/1')
-            first = world.servers.last
-            act(first)
-            second = world.servers.last
-            self.assertNotEqual(first.run.server, second.run.server)
-            second.answer()
+            first_run = world.servers.last
+            simulate(first_run)
+            second_run = world.servers.last
+            self.assertNotEqual(first_run.run.server, second_run.run.server)
+            second_run.answer()
             self.assertEqual(200, reply.status)
 
-    def test_is_not_moved_off_a_silent_server(self):
+    def test_not_retried_when_its_server_is_unresponsive(self):
         reply = self.world.serve('/hold/1', patience_ms=3_000)
         self.world.advance(2_900)
         self.assertEqual(1, len(self.servers.runs))
@@ -74,7 +74,7 @@
         self.world.advance(200)
         self.assertEqual(504, reply.status)
 
-    def test_refused_by_all_it_did_not_run(self):
+    def test_refusal_by_all_servers_has_retry_after(self):
         reply = self.world.serve('/hold/1')
         for _ in range(3):
             self.servers.last.refuse()
@@ -88,33 +88,33 @@
         self.world = builders.World()
         self.servers = self.world.servers
 
-    def test_a_failed_read_runs_again_elsewhere(self):
-        """One in seven reads fails at a sound server."""
+    def test_failed_read_is_retried_at_another_server(self):
+        """One in seven reads fails at a healthy server."""
         reply = self.world.serve('/read/1')
-        first = self.servers.last
-        first.answer(500)
-        second = self.servers.last
-        self.assertNotEqual(first.run.server, second.run.server)
-        second.answer()
+        first_run = self.servers.last
+        first_run.answer(500)
+        second_run = self.servers.last
+        self.assertNotEqual(first_run.run.server, second_run.run.server)
+        second_run.answer()
         self.assertEqual((200, b'done'), (reply.status, reply.body))
 
-    def test_no_more_servers_than_its_route_allows(self):
+    def test_attempts_are_limited_by_the_route(self):
         reply = self.world.serve('/read/1')
         self.servers.last.answer(500)
         self.servers.last.answer(500)
         self.assertEqual(2, len(self.servers.runs))
         self.assertEqual(500, reply.status)
 
-    def test_a_read_leaves_a_server_that_hangs(self):
+    def test_read_is_retried_when_its_server_hangs(self):
         reply = self.world.serve('/read/1')
-        first = self.servers.last
+        first_run = self.servers.last
         self.world.advance(500)
-        self.assertTrue(first.stopped)
+        self.assertTrue(first_run.stopped)
         self.servers.last.answer()
         self.assertEqual(200, reply.status)
 
-    def test_a_server_that_fails_gets_fewer_calls(self):
-        """A server fails half of its calls while its health is good."""
+    def test_failing_server_gets_fewer_calls(self):
+        """A server may fail half of its calls and still report good health."""
         for number in range(40):
             self.world.serve('/read/1', number)
             run = self.servers.last
@@ -127,7 +127,7 @@
         share = sum(run.run.server.id == 'a-90' for run in self.servers.runs)
         self.assertLess(share, 8)
 
-    def test_a_caller_that_leaves_ends_his_call(self):
+    def test_disconnect_of_the_caller_cancels_the_call(self):
         reply = self.world.serve('/read/1')
         reply.leave()
         self.assertTrue(self.servers.last.stopped)
@@ -153,24 +153,24 @@
                 self.assertEqual(status, reply.status)
         self.assertEqual([], self.world.servers.runs)
 
-    def test_no_key_is_needed_where_none_is_asked_for(self):
+    def test_anonymous_route_needs_no_key(self):
         self.world.serve('/open/1', key=None)
         self.assertEqual('', self.world.servers.last.run.workspace)
 
-    def test_an_entry_without_configuration_does_not_say_not_found(self):
-        """An entry has just started and knows no route yet."""
+    def test_entry_without_configuration_is_unavailable(self):
+        """An entry that has just started has no routes yet."""
         self.world.beliefs.configuration = None
         reply = self.world.serve()
         self.assertEqual(503, reply.status)
 
-    def test_keys_stop_when_nothing_proves_the_configuration(self):
-        """The store answers other hosts, but not this one any more."""
+    def test_keys_are_rejected_when_the_copy_is_too_old(self):
+        """The store answers other hosts but no longer this one."""
         self.world.clock.advance(4_300)
         self.assertEqual(503, self.world.serve().status)
         self.world.serve('/open/1', key=None)
         self.assertEqual(1, len(self.world.servers.runs))
 
-    def test_an_older_configuration_is_not_taken(self):
+    def test_older_configuration_is_ignored(self):
         self.world.beliefs.take_configuration(
             builders.build_configuration(version=5)
         )
@@ -179,7 +179,7 @@
         )
         self.assertEqual(5, self.world.beliefs.configuration.version)
 
-    def test_an_entry_that_leaves_takes_nothing_new(self):
+    def test_draining_entry_refuses_new_requests(self):
         self.world.intake.refuses_new = True
         reply = self.world.serve()
         self.assertEqual(503, reply.status)
@@ -187,13 +187,13 @@
 
 
 class LeavingServerTest(unittest.TestCase):
-    """A server announces its end, or its entry just goes.
+    """A server announces that it drains, or its registration disappears.
 
-    Sent there a few seconds later, a request meets a closed port, or is
-    cut in its middle.
+    A request sent there a few seconds later finds a closed port, or its
+    response breaks off.
     """
 
-    def test_gets_nothing_after_a_second(self):
+    def test_not_usable_after_a_second(self):
         table = {
             'draining': lambda beliefs, server: beliefs.take_server(
                 builders.attrs.evolve(server, draining=True), 0
@@ -202,17 +202,17 @@
                 server.id, 0
             ),
         }
-        for name, act in table.items():
+        for name, simulate in table.items():
             with self.subTest(name):
                 world = builders.World()
                 server = world.beliefs.servers['a-90']
-                act(world.beliefs, server)
+                simulate(world.beliefs, server)
                 server = world.beliefs.servers['a-90']
                 self.assertTrue(world.beliefs.is_usable(server, 900))
                 self.assertFalse(world.beliefs.is_usable(server, 1_100))
 
-    def test_an_engine_that_drains_gets_nothing_at_all(self):
-        """Engines are taken away one after the other."""
+    def test_draining_engine_is_not_usable_at_once(self):
+        """Engines are removed one after the other."""
         world = builders.World()
         engine = world.beliefs.servers['a-0']
         world.beliefs.take_server(
@@ -224,11 +224,11 @@
             world.serve(number=number)
             hops = world.servers.last.run.hops
             self.assertNotIn('a-0', [hop.server.id for hop in hops])
-        gone = world.beliefs.servers['b-0']
+        removed = world.beliefs.servers['b-0']
         world.beliefs.remove_server('b-0', 0)
-        self.assertTrue(world.beliefs.is_usable(gone, 900))
+        self.assertTrue(world.beliefs.is_usable(removed, 900))
 
-    def test_an_entry_that_comes_back_is_used_again(self):
+    def test_server_that_is_listed_again_is_usable(self):
         world = builders.World()
         server = world.beliefs.servers['a-0']
         world.beliefs.remove_server('a-0', 0)
@@ -239,41 +239,42 @@
 
 
 class StoreReturnTest(unittest.TestCase):
-    """The store was away for eight seconds, and servers' entries lapsed.
+    """The store was down for 8 s, and registrations of servers expired.
 
-    At its return whole failure domains looked empty: their requests were
-    refused, and engines were ordered to other layers, which took seconds.
+    After its return whole failure domains looked empty. Their requests were
+    refused, and engines were ordered to load other layers, which took
+    seconds.
     """
 
     def setUp(self):
         self.world = builders.World()
         self.beliefs = self.world.beliefs
         self.beliefs.proof.renew(0)
-        self.back = 8_000
-        self.beliefs.note_contact(self.back)
-        self.beliefs.proof.renew(self.back)
-        self.beliefs.remove_server('a-0', self.back)
+        self.return_at = 8_000
+        self.beliefs.note_contact(self.return_at)
+        self.beliefs.proof.renew(self.return_at)
+        self.beliefs.remove_server('a-0', self.return_at)
 
-    def test_a_server_that_lapsed_is_used_until_it_should_be_back(self):
+    def test_expired_server_is_usable_until_its_return_is_due(self):
         server = self.beliefs.servers['a-0']
-        self.beliefs.forget_left(self.back + 2_000)
-        self.assertTrue(self.beliefs.is_usable(server, self.back + 2_000))
+        self.beliefs.forget_left(self.return_at + 2_000)
+        self.assertTrue(self.beliefs.is_usable(server, self.return_at + 2_000))
         self.assertNotIn('a-0', self.beliefs.leaving)
 
-    def test_one_that_is_back_stays(self):
+    def test_server_that_registers_again_stays(self):
         server = self.beliefs.servers['a-0']
-        self.beliefs.take_server(server, self.back + 500)
-        self.beliefs.forget_left(self.back + 9_000)
+        self.beliefs.take_server(server, self.return_at + 500)
+        self.beliefs.forget_left(self.return_at + 9_000)
         self.assertIn('a-0', self.beliefs.servers)
-        self.assertTrue(self.beliefs.is_usable(server, self.back + 9_000))
+        self.assertTrue(self.beliefs.is_usable(server, self.return_at + 9_000))
 
-    def test_one_that_is_still_missing_is_gone(self):
-        """It had its time to come back; nothing runs there any more."""
-        self.beliefs.forget_left(self.back + 2_300)
+    def test_server_that_stays_missing_is_removed(self):
+        """The time to register again is over, so nothing runs there."""
+        self.beliefs.forget_left(self.return_at + 2_300)
         self.assertNotIn('a-0', self.beliefs.servers)
         self.assertEqual(set(), self.beliefs.lapsed)
 
-    def test_without_an_outage_a_removal_counts_at_once(self):
+    def test_removal_without_an_outage_applies_at_once(self):
         self.beliefs.proof.renew(20_000)
         self.beliefs.note_contact(20_500)
         self.beliefs.remove_server('b-0', 20_500)
--- a/tests/application/routing/test_fuzzing.py
+++ b/tests/application/routing/test_fuzzing.py
@@ -1,8 +1,8 @@
-"""Random histories of requests and faults against a simple oracle.
+"""Random histories of requests and faults, checked against a simple oracle.
 
-Each history draws requests of all kinds and lets servers answer, refuse,
-break, hang or vanish in any order, callers leave, and time pass. The oracle
-knows what every server really ran.
+Each history sends requests of all kinds. Servers respond, refuse, break the
+connection, hang or disappear in any order, callers disconnect, and time
+passes. The oracle counts how often servers executed each request.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 from tests.application.routing import builders
 from thornspool.application.routing import ports
 
-HISTORIES = 300
-STEPS = 60
-EVENTS = 6
+HISTORY_COUNT = 300
+STEP_COUNT = 60
+EVENT_COUNT = 6
 PATHS = ('/brief/x', '/once/x', '/read/x', '/hold/x')
 OUTCOMES = (
     'whole',
@@ -29,61 +29,74 @@
     'forged',
     'moved',
 )
-RUN_ONCE = ('/once/x', '/hold/x')
-WHOLE = b''.join(b'id: %d\ndata: x\n\n' % number for number in range(EVENTS))
+SINGLE_EXECUTION_PATHS = ('/once/x', '/hold/x')
+COMPLETE_STREAM = b''.join(
+    b'id: %d\ndata: x\n\n' % number for number in range(EVENT_COUNT)
+)
 
 
 class History:
-    """One history."""
+    """One random history of requests and faults."""
 
     def __init__(self, seed):
         self.source = random.Random(seed)
         self.world = builders.World(slack=self.source.choice((3.0, 1e6)))
         self.replies = {}
-        self.ran = collections.Counter()
-        self.open = []
-        self.seen = 0
+        self.executions = collections.Counter()
+        self.open_runs = []
+        self.collected_count = 0
         self.sent = {}
 
-    def play(self):
-        """Play it to its end."""
-        acts = (self.ask, self.ask, self.answer, self.answer, self.answer)
-        acts += (self.pass_time, self.leave, self.suspect, self.move)
-        for _ in range(STEPS):
-            self.source.choice(acts)()
-            self.collect()
-        while self.open:
-            self.answer()
-            self.collect()
+    def run_history(self):
+        """Run the history to its end."""
+        actions = (
+            self.send_request,
+            self.send_request,
+            self.complete_run,
+            self.complete_run,
+            self.complete_run,
+        )
+        actions += (
+            self.advance_clock,
+            self.disconnect_caller,
+            self.suspect_server,
+            self.fail_over_stream,
+        )
+        for _ in range(STEP_COUNT):
+            self.source.choice(actions)()
+            self.collect_runs()
+        while self.open_runs:
+            self.complete_run()
+            self.collect_runs()
         self.world.advance(21_000, 500)
-        self.collect()
-        while self.open:
-            self.answer()
-            self.collect()
+        self.collect_runs()
+        while self.open_runs:
+            self.complete_run()
+            self.collect_runs()
         self.world.advance(21_000, 500)
 
-    def collect(self):
-        """Take the runs that were sent since."""
+    def collect_runs(self):
+        """Collect the runs that were sent since the last call."""
         runs = self.world.servers.runs
-        self.open.extend(runs[self.seen :])
-        self.seen = len(runs)
-        self.open = [one for one in self.open if not one.stopped]
+        self.open_runs.extend(runs[self.collected_count :])
+        self.collected_count = len(runs)
+        self.open_runs = [run for run in self.open_runs if not run.stopped]
 
-    def ask(self):
-        """Let a caller ask."""
+    def send_request(self):
+        """Send a request as a caller."""
         number = len(self.replies)
         path = self.source.choice(PATHS)
-        patience = self.source.choice((400, 3_000, 20_000))
-        reply = self.world.serve(path, number, patience_ms=patience)
+        timeout_ms = self.source.choice((400, 3_000, 20_000))
+        reply = self.world.serve(path, number, patience_ms=timeout_ms)
         self.replies[f'request-{number}'] = (path, reply)
 
-    def answer(self):
-        """Let a server do something with a run."""
-        self.collect()
-        if not self.open:
+    def complete_run(self):
+        """Complete a run with a random outcome."""
+        self.collect_runs()
+        if not self.open_runs:
             return
-        run = self.source.choice(self.open)
-        self.open.remove(run)
+        run = self.source.choice(self.open_runs)
+        self.open_runs.remove(run)
         outcome = self.source.choice(OUTCOMES)
         if outcome == 'refuse':
             run.refuse()
@@ -92,11 +105,11 @@
         elif outcome == 'not sent':
             run.end(ports.Ending.NOT_SENT)
         else:
-            self.ran[run.run.inquiry.id] += 1
-            self.execute(run, outcome)
+            self.executions[run.run.inquiry.id] += 1
+            self.execute_run(run, outcome)
 
-    def execute(self, run, outcome):
-        """Let a server run a request."""
+    def execute_run(self, run, outcome):
+        """Complete a run whose request the server executes."""
         if outcome == 'lost':
             run.end(ports.Ending.BROKEN)
         elif outcome == 'error':
@@ -107,32 +120,32 @@
             broken = outcome == 'cut'
             run.end(ports.Ending.BROKEN if broken else ports.Ending.WHOLE)
         else:
-            self.stream(run, outcome)
+            self.stream_events(run, outcome)
 
-    def stream(self, run, outcome):
-        """Let an engine write events, all or up to the middle of one."""
+    def stream_events(self, run, outcome):
+        """Send events as an engine, all of them or up to the middle of one."""
         run.begin(genuine=outcome != 'forged')
         first = int(run.run.resume_after or -1) + 1
         if outcome != 'cut':
-            run.send(first, EVENTS)
+            run.send(first, EVENT_COUNT)
             run.end()
             return
-        end = self.source.randint(first, EVENTS)
+        end = self.source.randint(first, EVENT_COUNT)
         run.send(first, end)
-        if end < EVENTS:
+        if end < EVENT_COUNT:
             run.listener.take_body(b'id: %d\nda' % end)
         run.end(
             self.source.choice((ports.Ending.BROKEN, ports.Ending.WHOLE))
-            if end < EVENTS
+            if end < EVENT_COUNT
             else ports.Ending.BROKEN
         )
 
-    def pass_time(self):
-        """Let time pass."""
+    def advance_clock(self):
+        """Advance the clock by a random time."""
         self.world.advance(self.source.choice((25, 200, 1_000)))
 
-    def leave(self):
-        """Let a caller leave."""
+    def disconnect_caller(self):
+        """Disconnect a caller."""
         waiting = [
             reply
             for _, reply in self.replies.values()
@@ -140,56 +153,63 @@
         ]
         if waiting:
             reply = self.source.choice(waiting)
-            reply.left = True
+            reply.disconnected = True
             reply.leave()
 
-    def suspect(self):
-        """Let a server be suspected."""
+    def suspect_server(self):
+        """Suspect a server."""
         name = self.source.choice(list(self.world.beliefs.servers))
         self.world.beliefs.suspect(name, 'not_reached', self.world.clock.now())
 
-    def move(self):
-        """Move a stream off its path."""
+    def fail_over_stream(self):
+        """Make a stream fail over to another path."""
         flights = [
-            one for one in self.world.streams.flights if one.stop is not None
+            flight
+            for flight in self.world.streams.flights
+            if flight.stop is not None
         ]
         if flights:
             flight = self.source.choice(flights)
             self.world.streams.mend(flight, 'silent')
-            for run in self.open:
-                # One that was not stopped goes on, and counts at its end.
+            for run in self.open_runs:
+                # A run that was not stopped continues and is counted when
+                # it completes.
                 if run.stopped and (
                     run.run.inquiry is flight.exchange.inquiry
                 ):
-                    self.ran[run.run.inquiry.id] += 1
+                    self.executions[run.run.inquiry.id] += 1
 
 
 class FuzzingTest(unittest.TestCase):
-    def test_what_callers_are_told_is_true(self):
-        for seed in range(HISTORIES):
+    def test_responses_match_what_servers_executed(self):
+        for seed in range(HISTORY_COUNT):
             with self.subTest(seed=seed):
                 history = History(seed)
-                history.play()
-                for name, (path, reply) in history.replies.items():
-                    self.check(history, name, path, reply)
+                history.run_history()
+                for request_id, (path, reply) in history.replies.items():
+                    self.check(history, request_id, path, reply)
                 self.check_end(history)
 
-    def check(self, history, name, path, reply):
-        """Compare what a caller got with what servers ran."""
-        ran = history.ran[name]
-        if path in RUN_ONCE:
-            self.assertLessEqual(ran, 1, name)
+    def check(self, history, request_id, path, reply):
+        """Compare the response of a caller with what servers executed."""
+        executions = history.executions[request_id]
+        if path in SINGLE_EXECUTION_PATHS:
+            self.assertLessEqual(executions, 1, request_id)
             if reply.status in {429, 503}:
-                self.assertEqual(0, ran, name)
+                self.assertEqual(0, executions, request_id)
         if reply.status == 200 and reply.whole:
-            self.assertGreaterEqual(ran, 1, name)
+            self.assertGreaterEqual(executions, 1, request_id)
             streamed = path in {'/brief/x', '/once/x'}
-            self.assertEqual(WHOLE if streamed else b'done', reply.body)
-        left = getattr(reply, 'left', False)
-        self.assertTrue(reply.whole or reply.aborted or left, name)
+            self.assertEqual(
+                COMPLETE_STREAM if streamed else b'done', reply.body
+            )
+        disconnected = getattr(reply, 'disconnected', False)
+        self.assertTrue(
+            reply.whole or reply.aborted or disconnected, request_id
+        )
 
     def check_end(self, history):
-        """Check that nothing is left behind."""
+        """Check that no request, reservation or stream is left."""
         world = history.world
         self.assertEqual(0, world.intake.in_flight)
         self.assertEqual({}, world.taken.own)
--- a/tests/application/routing/test_intake.py
+++ b/tests/application/routing/test_intake.py
@@ -1,4 +1,4 @@
-"""Tests of requests that are refused before they are routed."""
+"""Tests of requests to an entry whose local copy is outdated."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from thornspool.application.routing import streams
 
 
-class OutdatedTest(unittest.TestCase):
+class OutdatedEntryTest(unittest.TestCase):
     def setUp(self):
         self.world = builders.World()
         self.world.clock.advance(5_000)
 
-    def test_a_caller_returns_at_once_where_others_are_current(self):
-        """Guards against drafts that are late by the wait alone."""
+    def test_retry_after_is_short_when_another_entry_is_current(self):
+        """Guards against requests that miss their target by the wait alone."""
         self.world.others_serve = True
         reply = self.world.serve()
         self.assertEqual(503, reply.status)
         self.assertEqual(streams.DRAINING_RETRY_MS, reply.retry_after_ms)
 
-    def test_a_caller_returns_later_while_the_store_is_away_from_all(self):
-        """Guards against callers who use up their tries in an outage."""
+    def test_retry_after_is_long_while_no_entry_reaches_the_store(self):
+        """Guards against callers that use up their attempts in an outage."""
         reply = self.world.serve()
         self.assertEqual(503, reply.status)
         self.assertEqual(intake.NOT_READY_RETRY_MS, reply.retry_after_ms)
 
-    def test_routes_that_need_no_key_are_served(self):
+    def test_routes_without_keys_are_served(self):
         reply = self.world.serve('/open/x')
         self.assertIsNone(reply.status)
--- a/tests/application/routing/test_membership.py
+++ b/tests/application/routing/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of news in fleets too large for everybody to tell everybody."""
+"""Tests of state updates in fleets that are too large for a full mesh."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from thornspool.domain.entries import messages
 from thornspool.domain.fleet import marks
 
-MARK = marks.compute_mark(fleet_module.ENGINE)
+ENGINE_HASH = marks.compute_mark(fleet_module.ENGINE)
 
 
 class GroupTest(unittest.TestCase):
@@ -31,21 +31,24 @@
         ]
         self.assertEqual(['a-00', 'b-00', 'c-00'], collecting)
 
-    def test_all_entries_count_as_serving_all_the_time(self):
-        """Entries of a large fleet hear each other rarely."""
+    def test_all_entries_are_serving_at_all_times(self):
+        """Guards against serving entries that count as unresponsive.
+
+        In a large fleet most entries receive updates only through collectors.
+        """
         for _ in range(40):
             self.fleet.play(200)
             for host, member in self.members.items():
-                alive = member.view.list_serving(self.fleet.clock.now())
-                self.assertEqual(29, len(alive), host)
+                serving = member.view.list_serving(self.fleet.clock.now())
+                self.assertEqual(29, len(serving), host)
 
-    def test_messages_grow_with_the_fleet_and_not_with_its_square(self):
+    def test_message_count_is_linear_in_the_fleet_size(self):
         before = self.fleet.sent
         self.fleet.play(4_000)
         rate = (self.fleet.sent - before) / 4 / len(self.members)
         self.assertLess(rate, 8)
 
-    def test_everybody_knows_what_all_others_have_taken(self):
+    def test_each_entry_has_the_reservations_of_all_others(self):
         self.fleet.take('a-05', 1_000.0)
         self.fleet.take('a-00', 200.0)
         self.fleet.take('c-03', 30.0)
@@ -60,41 +63,41 @@
         ):
             with self.subTest(host):
                 taken = self.members[host].taken
-                self.assertEqual({MARK: others}, taken.others)
+                self.assertEqual({ENGINE_HASH: others}, taken.others)
 
-    def test_one_entry_may_repeat_what_the_others_do_not(self):
-        """An engine fails whose requests all come through one entry."""
+    def test_one_entry_may_use_the_retries_of_the_others(self):
+        """The requests of a failing engine all came through one entry."""
         for member in self.members.values():
             for _ in range(20):
                 member.budget.record_request('drafting')
         self.fleet.play(2_000)
         budget = self.members['b-07'].budget
-        taken = 0
+        retries = 0
         for _ in range(20):
             self.fleet.play(200)
             while budget.take('drafting', urgent=True):
-                taken += 1
-        self.assertGreater(taken, 25)
+                retries += 1
+        self.assertGreater(retries, 25)
         self.fleet.play(1_600)
-        left = self.members['a-03'].budget
-        used = left._find('drafting')._others.repeats
-        self.assertEqual(taken, used)
-
-    def test_a_refusal_is_known_in_its_domain_at_once(self):
-        """An engine has just gone, and the list shows it still."""
-        found = self.members['b-07']
-        found.beliefs.refusals.note('b-engine', self.fleet.clock.now())
-        found.service.tell_failures()
+        other = self.members['a-03'].budget
+        reported = other._get_pool('drafting')._others.repeats
+        self.assertEqual(retries, reported)
+
+    def test_refusal_is_reported_in_its_domain_at_once(self):
+        """An engine has just stopped and is still listed."""
+        reporter = self.members['b-07']
+        reporter.beliefs.refusals.note('b-engine', self.fleet.clock.now())
+        reporter.service.tell_failures()
         now = self.fleet.clock.now()
         for host in ('b-00', 'b-03', 'a-00', 'c-00'):
             refusals = self.members[host].beliefs.refusals
             self.assertTrue(refusals.is_refusing('b-engine', now), host)
         sent = self.fleet.sent
-        found.service.tell_failures()
+        reporter.service.tell_failures()
         self.assertEqual(sent, self.fleet.sent)
 
-    def test_breaks_that_two_entries_saw_eject_an_engine_for_all(self):
-        """Guards against each entry finding out a faulty engine by itself."""
+    def test_broken_runs_at_two_entries_eject_an_engine_for_all(self):
+        """Guards against a faulty engine that each entry detects by itself."""
         now = self.fleet.clock.now()
         for member in self.members.values():
             for number in range(8):
@@ -102,17 +105,17 @@
                     fleet_builders.build_server(f'b-{number}'), now
                 )
         for host in ('b-07', 'b-03'):
-            found = self.members[host]
-            found.beliefs.note_broken_run('b-5', now)
-            found.service.tell_failures()
+            reporter = self.members[host]
+            reporter.beliefs.note_broken_run('b-5', now)
+            reporter.service.tell_failures()
         for host, member in self.members.items():
             refusals = member.beliefs.refusals
             if host.startswith('b'):
                 self.assertTrue(refusals.is_refusing('b-5', now), host)
             self.assertFalse(refusals.is_refusing('b-4', now), host)
 
-    def test_an_entry_that_died_is_named_no_longer(self):
-        """A host loses power; its lease in the store runs on."""
+    def test_dead_entry_is_not_listed(self):
+        """A host loses power while its lease in the store is still valid."""
         self.fleet.take('b-04', 500.0)
         self.fleet.play(1_000)
         self.fleet.kill('b-04')
@@ -123,7 +126,7 @@
                 self.assertNotIn('b-04:80', addresses)
                 self.assertEqual({}, self.members[host].taken.others)
 
-    def test_another_entry_collects_when_the_collector_dies(self):
+    def test_collector_is_replaced_when_it_dies(self):
         self.fleet.take('a-05', 500.0)
         self.fleet.play(1_000)
         self.fleet.kill('a-00')
@@ -132,13 +135,13 @@
         for host in ('a-01', 'a-02', 'b-00', 'c-05'):
             with self.subTest(host):
                 member = self.members[host]
-                self.assertEqual({MARK: 500.0}, member.taken.others)
+                self.assertEqual({ENGINE_HASH: 500.0}, member.taken.others)
                 addresses = self.list_addresses(host)
                 self.assertNotIn('a-00:80', addresses)
                 self.assertIn('a-07:80', addresses)
 
-    def test_another_entry_collects_when_the_registration_ends(self):
-        """The collector's host is cut off until its lease has ended."""
+    def test_collector_is_replaced_when_its_registration_ends(self):
+        """The collector's host is disconnected until its lease has expired."""
         self.fleet.kill('b-00')
         self.fleet.play(600)
         self.fleet.unregister('b-00')
@@ -147,8 +150,11 @@
         fed = self.members['b-05'].service.is_fed()
         self.assertTrue(fed)
 
-    def test_a_collector_that_was_cut_off_takes_nobody_for_dead(self):
-        """It hears its entries again after eight seconds."""
+    def test_collector_that_was_isolated_lists_its_entries(self):
+        """Guards against a collector that reports its entries as absent.
+
+        It receives their updates again after 8 s without any.
+        """
         self.fleet.cut_off('b-00')
         self.fleet.play(8_000)
         self.fleet.rejoin('b-00')
@@ -158,7 +164,7 @@
                 addresses = self.members[host].service.list_addresses('b')
                 self.assertGreaterEqual(len(addresses), 9, host)
 
-    def test_a_domain_that_is_lost_is_named_no_longer(self):
+    def test_lost_domain_is_not_listed(self):
         for host in list(self.members):
             if host.startswith('c'):
                 self.fleet.kill(host)
@@ -170,8 +176,8 @@
         self.fleet.play(1_000)
         self.assertEqual(20, len(self.list_addresses('a-05', 'c')))
 
-    def test_a_domain_is_named_no_longer_before_its_leases_end(self):
-        """Registrations outlive the hosts of a lost domain for seconds."""
+    def test_lost_domain_is_not_listed_before_its_leases_end(self):
+        """Registrations stay valid for seconds after the hosts are lost."""
         for host in list(self.members):
             if host.startswith('c'):
                 self.fleet.kill(host)
@@ -180,14 +186,14 @@
             addresses = self.list_addresses(host, 'c')
             self.assertEqual(20, len(addresses), host)
 
-    def test_an_entry_that_leaves_is_named_no_longer(self):
+    def test_leaving_entry_is_not_listed(self):
         self.members['b-04'].service.set_state(messages.State.LEAVING)
         self.fleet.play(800)
         for host in ('a-05', 'b-09', 'c-00'):
             self.assertNotIn('b-04:80', self.list_addresses(host, 'b'))
 
-    def test_callers_have_addresses_while_the_store_is_away_from_all(self):
-        """The store goes down for 10 s, and no entry is current."""
+    def test_addresses_are_listed_while_no_entry_reaches_the_store(self):
+        """The store is down for 10 s, and no entry has a current copy."""
         self.fleet.chooses_states = True
         self.fleet.play(2_000)
         sent = self.fleet.sent
@@ -200,8 +206,8 @@
         rate = (self.fleet.sent - sent) / 14 / len(self.members)
         self.assertLess(rate, 8)
 
-    def test_an_entry_that_alone_is_outdated_is_named_no_longer(self):
-        """An entry is cut off from the store and from the others."""
+    def test_entry_that_alone_is_outdated_is_not_listed(self):
+        """An entry reaches neither the store nor the other entries."""
         self.fleet.chooses_states = True
         self.fleet.cut_off('b-04')
         self.fleet.shut_out.add('b-04')
@@ -214,8 +220,8 @@
         for host in ('a-03', 'b-05', 'c-00'):
             self.assertIn('b-04:80', self.list_addresses(host, 'b'))
 
-    def test_an_entry_serves_again_though_its_word_was_lost(self):
-        """An entry says once that it serves, and most do not hear it."""
+    def test_serving_entry_is_listed_though_its_update_was_lost(self):
+        """An entry reports once that it serves, and the update is lost."""
         entry = self.members['b-04']
         entry.service.set_state(messages.State.STARTING)
         self.fleet.play(2_000)
@@ -226,25 +232,25 @@
         for host in ('a-00', 'a-03', 'b-00', 'b-05', 'c-07'):
             self.assertIn('b-04:80', self.list_addresses(host, 'b'), host)
 
-    def test_lost_datagrams_make_nobody_absent(self):
+    def test_lost_datagrams_make_few_entries_absent(self):
         fleet = fleet_module.Fleet(loss=0.05)
         fleet.play(3_000)
         missing = 0
         for _ in range(50):
             fleet.play(200)
             for member in fleet.members.values():
-                alive = member.view.list_serving(fleet.clock.now())
-                missing += 29 - len(alive)
+                serving = member.view.list_serving(fleet.clock.now())
+                missing += 29 - len(serving)
         self.assertLess(missing / (50 * 30 * 29), 0.01)
 
 
-class FeedTest(unittest.TestCase):
+class ChangeFeedTest(unittest.TestCase):
     def setUp(self):
         self.fleet = fleet_module.Fleet()
         self.members = self.fleet.members
         self.fleet.play(3_000)
 
-    def list_unfed(self):
+    def list_not_fed(self):
         return [
             host
             for host, member in self.members.items()
@@ -252,10 +258,10 @@
         ]
 
     def test_only_collectors_follow_the_store(self):
-        """Every entry watched the store, and each call is priced."""
-        self.assertEqual(['a-00', 'b-00', 'c-00'], self.list_unfed())
+        """Guards against watches by all entries; each call has a cost."""
+        self.assertEqual(['a-00', 'b-00', 'c-00'], self.list_not_fed())
 
-    def test_proofs_reach_every_entry(self):
+    def test_freshness_reaches_every_entry(self):
         now = self.fleet.clock.now()
         ages = [
             member.beliefs.proof.compute_age(now)
@@ -263,47 +269,50 @@
         ]
         self.assertLess(max(ages), 1_000)
 
-    def test_an_entry_turns_to_the_store_when_its_collector_is_silent(self):
-        """The collector's host freezes."""
+    def test_entries_query_the_store_when_the_collector_stops(self):
+        """The collector's host is suspended."""
         self.fleet.kill('b-00')
         self.fleet.play(1_200)
         self.assertLessEqual(
             {f'b-{number:02}' for number in range(1, 10)},
-            set(self.list_unfed()),
+            set(self.list_not_fed()),
         )
 
-    def test_an_entry_turns_to_the_store_when_its_collector_can_not(self):
-        """The store turns the collector away and serves the others."""
+    def test_entries_query_the_store_when_the_collector_is_rejected(self):
+        """The store rejects the collectors and answers the other entries."""
         self.fleet.play(2_600, prove=False)
-        self.assertEqual(30, len(self.list_unfed()))
+        self.assertEqual(30, len(self.list_not_fed()))
+
+    def test_domain_stays_fed_though_the_store_rejects_some_hosts(self):
+        """Guards against all entries of a domain querying the store.
 
-    def test_a_domain_stays_fed_though_the_store_turns_hosts_away(self):
-        """Each entry asked the store where its collector was refused."""
+        They did so when the store rejected their collector.
+        """
         self.fleet.turned_away = {'b-00', 'b-01', 'b-03'}
         for _ in range(45):
             self.fleet.play(200)
-            asking = [one for one in self.list_unfed() if one[0] == 'b']
-            self.assertLessEqual(len(asking), 2, asking)
+            querying = [host for host in self.list_not_fed() if host[0] == 'b']
+            self.assertLessEqual(len(querying), 2, querying)
         self.assertTrue(self.members['b-02'].view.collects)
 
-    def test_a_collector_that_is_answered_again_collects(self):
-        """The store turned the first entry away for a moment."""
+    def test_first_entry_collects_again_after_a_rejection(self):
+        """The store rejects the first entry for a short time."""
         self.fleet.turned_away = {'b-00'}
         self.fleet.play(1_000)
         self.fleet.turned_away = set()
         self.assertTrue(self.members['b-01'].view.collects)
         self.fleet.play(collectors.SHUT_OUT_MS + 1_000)
         self.assertTrue(self.members['b-00'].view.collects)
-        self.assertEqual(['a-00', 'b-00', 'c-00'], self.list_unfed())
+        self.assertEqual(['a-00', 'b-00', 'c-00'], self.list_not_fed())
 
-    def test_a_lone_entry_of_a_domain_keeps_collecting(self):
-        """There is nobody to hand over to."""
+    def test_single_entry_of_a_domain_keeps_collecting(self):
+        """There is no other entry to hand collecting over to."""
         self.fleet.add('d-00', 'd')
         self.fleet.turned_away = {'d-00'}
         self.fleet.play(2_000)
         self.assertTrue(self.members['d-00'].view.collects)
 
-    def test_entries_know_an_outage_that_their_collector_shares(self):
+    def test_entries_detect_an_outage_that_the_collector_shares(self):
         """The store is down for all."""
         member = self.members['b-05']
         self.assertFalse(member.service.shares_outage())
@@ -314,8 +323,8 @@
         self.assertFalse(member.service.shares_outage())
         self.assertTrue(member.service.is_fed())
 
-    def test_an_entry_that_the_store_answers_shares_no_outage(self):
-        """Guards against waiting for a collector that is behind."""
+    def test_entry_that_the_store_answers_shares_no_outage(self):
+        """Guards against waiting for a collector that lags behind."""
         member = self.members['b-05']
         self.fleet.play(5_000, prove=False)
         self.assertTrue(member.service.shares_outage())
@@ -325,54 +334,54 @@
         self.assertFalse(member.service.shares_outage())
         self.assertTrue(self.members['b-06'].service.shares_outage())
 
-    def test_an_entry_that_missed_a_change_asks_for_it(self):
+    def test_entry_that_missed_a_change_queries_the_store(self):
         """The datagram with a withdrawn key is lost."""
         for member in self.members.values():
             member.revision = 2
         self.members['a-06'].revision = 1
         age = self.members['a-06'].beliefs.proof.compute_age
         self.fleet.play(1_000)
-        self.assertEqual(['a-00', 'a-06', 'b-00', 'c-00'], self.list_unfed())
+        self.assertEqual(['a-00', 'a-06', 'b-00', 'c-00'], self.list_not_fed())
         self.assertGreater(age(self.fleet.clock.now()), 800)
 
-    def test_an_entry_that_missed_a_change_gets_it_again(self):
-        """The store turns the host away, so that it can't ask itself."""
+    def test_missed_change_is_sent_again(self):
+        """The store rejects the host, so it can't query the change itself."""
         self.fleet.resends = True
         for member in self.members.values():
             member.revision = 2
         self.members['a-06'].revision = 1
         for _ in range(10):
             self.fleet.play(200)
-            self.assertEqual(['a-00', 'b-00', 'c-00'], self.list_unfed())
+            self.assertEqual(['a-00', 'b-00', 'c-00'], self.list_not_fed())
         self.assertEqual(2, self.members['a-06'].revision)
 
-    def test_entries_wait_for_their_collector_when_the_store_is_back(self):
-        """Each of them read all keys at the moment of its return."""
+    def test_entries_wait_for_the_collector_after_an_outage(self):
+        """Guards against all entries reading all keys as the store returns."""
         self.fleet.play(6_000, prove=False)
         for member in self.members.values():
             member.revision = 2 if member.view.collects else 1
         self.fleet.resends = True
-        asking = set()
+        querying = set()
         for _ in range(10):
             self.fleet.play(200)
-            asking.update(
+            querying.update(
                 host
-                for host in self.list_unfed()
+                for host in self.list_not_fed()
                 if not self.members[host].service.may_catch_up()
                 and not self.members[host].service.shares_outage()
             )
-        self.assertEqual({'a-00', 'b-00', 'c-00'}, asking)
+        self.assertEqual({'a-00', 'b-00', 'c-00'}, querying)
 
-    def test_an_entry_that_stays_behind_asks_the_store(self):
-        """The collector does not know the entry, and sends it nothing."""
+    def test_entry_that_keeps_lagging_queries_the_store(self):
+        """The collector does not know the entry and sends it no changes."""
         for member in self.members.values():
             member.revision = 2
         self.members['a-06'].revision = 1
         self.fleet.play(1_400)
-        self.assertIn('a-06', self.list_unfed())
+        self.assertIn('a-06', self.list_not_fed())
         self.assertFalse(self.members['a-06'].service.may_catch_up())
 
-    def test_a_small_fleet_asks_the_store_itself(self):
+    def test_entries_of_a_small_fleet_query_the_store(self):
         small = fleet_module.Fleet(hosts=2)
         small.play(3_000)
         fed = [
@@ -384,7 +393,7 @@
 
 
 class ConstantsTest(unittest.TestCase):
-    def test_an_entry_notices_before_its_proof_is_too_old(self):
-        """Keys stop at 0.85 of the bound of 5 s."""
-        noticed = membership.FED_PROOF_MS + 100
-        self.assertLess(noticed, 0.85 * 5_000 - 700)
+    def test_old_copy_is_detected_before_keys_are_rejected(self):
+        """Keys are rejected from 0.85 of the 5 s bound on."""
+        detected_ms = membership.MAX_COPY_AGE_MS + 100
+        self.assertLess(detected_ms, 0.85 * 5_000 - 700)
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -68,15 +68,16 @@
     'moves-told': (
         Edit(
             f'{_ROUTING}/placement.py',
-            'if self._beliefs.moves.begin(order.server, kept):\n',
+            'if self._routing_state.moves.begin(order.server, retained):\n',
             'if False:\n',
         ),
     ),
     'no-moves-while-slow': (
         Edit(
             f'{_ROUTING}/placement.py',
-            'if self._beliefs.paces.select((one.id for one in engines), now):'
-            '\n',
+            'if self._routing_state.paces.select(\n'
+            '            (engine.id for engine in engines), now\n'
+            '        ):\n',
             'if False:\n',
         ),
     ),
@@ -140,14 +141,15 @@
     'suspicion-told': (
         Edit(
             f'{_ROUTING}/membership.py',
-            'for name in news.suspects:\n',
-            'for name in ():\n',
+            'for server_id in update.suspects:\n',
+            'for server_id in ():\n',
         ),
     ),
     'refusals-told': (
         Edit(
             f'{_ROUTING}/membership.py',
-            'self._beliefs.take_refusals(news.refusing, now, direct)\n',
+            'self._routing_state.take_refusals(update.refusing, now, direct)'
+            '\n',
             'pass\n',
         ),
     ),
@@ -210,8 +212,8 @@
     'repeats-for-begun-streams-first': (
         Edit(
             f'{_ROUTING}/repeats.py',
-            'COMMON_PART = 0.6\n',
-            'COMMON_PART = 1.0\n',
+            'REGULAR_SHARE = 0.6\n',
+            'REGULAR_SHARE = 1.0\n',
         ),
     ),
     'balancing-moves': (
@@ -245,7 +247,7 @@
     'missed-changes-sent-again': (
         Edit(
             f'{_ROUTING}/membership.py',
-            'if direct and 0 < news.revision < self._told_revision:\n',
+            'if direct and 0 < update.revision < self._reported_revision:\n',
             'if False:\n',
         ),
     ),
@@ -266,14 +268,14 @@
     'old-lease': (
         Edit(
             f'{_ROUTING}/registration.py',
-            'if old and not self._took_over:\n',
+            'if old_lease and not self._tried_old_lease:\n',
             'if False:\n',
         ),
     ),
     'outdated-retry': (
         Edit(
             f'{_ROUTING}/intake.py',
-            'if self._do_others_serve():\n',
+            'if self._is_peer_current():\n',
             'if False:\n',
         ),
     ),
