--- a/deploy/build.py
+++ b/deploy/build.py
@@ -1,4 +1,4 @@
-"""Install the libraries that pyproject.toml declares into target/deps."""
+"""Install the dependencies in pyproject.toml into target/deps."""
 
 from __future__ import annotations
 
@@ -10,22 +10,25 @@
 ROOT = pathlib.Path(__file__).parents[1]
 PROJECT = ROOT / 'pyproject.toml'
 TARGET = ROOT / 'target' / 'deps'
-STAMP = ROOT / 'target' / 'deps.installed'
+INSTALLED_MARKER = ROOT / 'target' / 'deps.installed'
 
 
 def main() -> int:
-    """Install them unless that was done for this pyproject.toml."""
-    needed = '\n'.join(
+    """Install the dependencies unless the installed ones are up to date."""
+    requirements = '\n'.join(
         tomllib.loads(PROJECT.read_text())['project']['dependencies']
     )
-    if STAMP.exists() and STAMP.read_text() == needed:
+    if (
+        INSTALLED_MARKER.exists()
+        and INSTALLED_MARKER.read_text() == requirements
+    ):
         return 0
     command = [sys.executable, '-m', 'pip', 'install', '--quiet', '--upgrade']
-    command += ['--target', str(TARGET), *needed.splitlines()]
-    done = subprocess.run(command, check=False, cwd=ROOT)
-    if done.returncode == 0:
-        STAMP.write_text(needed)
-    return done.returncode
+    command += ['--target', str(TARGET), *requirements.splitlines()]
+    result = subprocess.run(command, check=False, cwd=ROOT)
+    if result.returncode == 0:
+        INSTALLED_MARKER.write_text(requirements)
+    return result.returncode
 
 
 if __name__ == '__main__':
--- a/deploy/thornspoold.py
+++ b/deploy/thornspoold.py
@@ -1,16 +1,16 @@
-"""Start an entry on the platform from a checkout."""
+"""Start an entry on the platform from a source checkout."""
 
 from __future__ import annotations
 
 import pathlib
 import sys
 
-SOURCES = pathlib.Path(__file__).parents[1] / 'src'
+SOURCE_FOLDER = pathlib.Path(__file__).parents[1] / 'src'
 
 
 def main() -> int:
-    """Run the entry with the sources beside this file."""
-    sys.path.insert(0, str(SOURCES))
+    """Run the daemon with the sources of this checkout."""
+    sys.path.insert(0, str(SOURCE_FOLDER))
     from thornspool.platform import daemon
 
     return daemon.main()
