--- a/src/thornspool/platform/__init__.py
+++ b/src/thornspool/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The users' platform: its settings, store, engines and callers.
+"""Adapter for the deployment platform: settings, store, engines and callers.
 
-The only package that knows the platform's names and formats. It decodes
-them once into the project's types and decides nothing.
+Only this package uses the platform's names and formats. It converts them
+into the project's types and contains no routing decisions.
 """
--- a/src/thornspool/platform/callers.py
+++ b/src/thornspool/platform/callers.py
@@ -1,4 +1,4 @@
-"""The callers' side: requests, answers, lookups and readiness."""
+"""HTTP endpoints for callers: requests, address lookups and readiness."""
 
 from __future__ import annotations
 
@@ -19,62 +19,64 @@
 
     from thornspool import clock as clock_module
 
-DEFAULT_PATIENCE_MS = 30_000
-"""Patience of a caller that does not tell his."""
+DEFAULT_TIMEOUT_MS = 30_000
+"""Timeout of a request that does not state one."""
 
 ADDRESS_TTL_S = 2.0
-"""Time for which callers keep addresses.
+"""Time for which callers cache addresses.
 
-Short, as a host that dies stays in the answers that callers hold; each
-lookup takes 0.2 ms of processor time.
+It is short because callers keep using a failed host until their cached
+addresses expire. Each lookup takes 0.2 ms of processor time.
 """
 
 LOOKUP_PATH = '/v1/lookup'
 READINESS_PATH = '/v1/readiness'
 
-_REASONS = http.client.responses
+_REASON_PHRASES = http.client.responses
 
 logger = structlog.get_logger(__name__)
 
-Serve = typing.Callable[[ports.Inquiry, ports.Reply], None]
+RequestHandler = typing.Callable[[ports.Inquiry, ports.Reply], None]
 
 
-class Front(httputil.HTTPServerConnectionDelegate):
-    """Takes callers' requests.
+class CallerDelegate(httputil.HTTPServerConnectionDelegate):
+    """Receives requests from callers.
 
     Parameters
     ----------
     clock : clock_module.Clock
         Source of time.
     serve : callable
-        Takes each whole request.
+        Called with each complete request and its reply.
     """
 
-    def __init__(self, clock: clock_module.Clock, serve: Serve) -> None:
+    def __init__(
+        self, clock: clock_module.Clock, serve: RequestHandler
+    ) -> None:
         self._clock = clock
         self._serve = serve
 
     def start_request(
         self, server_conn: object, request_conn: httputil.HTTPConnection
     ) -> httputil.HTTPMessageDelegate:
-        """Take the next request of a connection."""
-        return _Message(self._clock, self._serve, request_conn)
+        """Create the delegate of the next request of a connection."""
+        return _RequestCollector(self._clock, self._serve, request_conn)
 
 
-class _Message(httputil.HTTPMessageDelegate):
-    """Collects one request."""
+class _RequestCollector(httputil.HTTPMessageDelegate):
+    """Collects the parts of one request."""
 
     def __init__(
         self,
         clock: clock_module.Clock,
-        serve: Serve,
+        serve: RequestHandler,
         connection: httputil.HTTPConnection,
     ) -> None:
         self._clock = clock
         self._serve = serve
         self._connection = connection
         self._body = bytearray()
-        self._line = httputil.RequestStartLine('', '', '')
+        self._start_line = httputil.RequestStartLine('', '', '')
         self._headers = httputil.HTTPHeaders()
 
     def headers_received(
@@ -82,56 +84,74 @@
         start_line: httputil.RequestStartLine | httputil.ResponseStartLine,
         headers: httputil.HTTPHeaders,
     ) -> None:
-        self._line = typing.cast(httputil.RequestStartLine, start_line)
+        self._start_line = typing.cast(httputil.RequestStartLine, start_line)
         self._headers = headers
 
     def data_received(self, chunk: bytes) -> None:
         self._body.extend(chunk)
 
     def finish(self) -> None:
-        inquiry = decode_inquiry(
-            self._line, self._headers, bytes(self._body), self._clock.now()
+        request = decode_request(
+            self._start_line,
+            self._headers,
+            bytes(self._body),
+            self._clock.now(),
         )
-        reply = Reply(self._connection, self._line.method)
+        reply = Reply(self._connection, self._start_line.method)
         try:
-            self._serve(inquiry, reply)
+            self._serve(request, reply)
         except Exception:
-            # Left alone, the connection would stay open and say nothing
-            # until the caller gives up; a request that may have run gets
-            # no promise.
-            logger.exception('request_failed', id=inquiry.id)
+            # Without a response the connection would stay open until the
+            # caller times out. The request may have been executed, so the
+            # response must not state that it was not.
+            logger.exception('request_failed', id=request.id)
             reply.refuse(500, 'internal')
 
     def on_connection_close(self) -> None:
         self._body.clear()
 
 
-def decode_inquiry(
-    line: httputil.RequestStartLine,
+def decode_request(
+    start_line: httputil.RequestStartLine,
     headers: httputil.HTTPHeaders,
     body: bytes,
     now: int,
 ) -> ports.Inquiry:
-    """Decode a request into the project's words.
+    """Decode a request into the project's type.
+
+    A header with a malformed value is treated as missing.
 
-    A header that can't be read counts as not there: the request is served
-    without what it would tell.
+    Parameters
+    ----------
+    start_line : httputil.RequestStartLine
+        Method and target.
+    headers : httputil.HTTPHeaders
+        All headers, as sent.
+    body : bytes
+        The complete body.
+    now : int
+        Time of arrival, in milliseconds of the clock.
+
+    Returns
+    -------
+    ports.Inquiry
+        The request.
     """
-    prompt, most = _read_usage(headers.get('Token-Usage', ''))
-    expected = _read_number(headers.get('Length-Hint', ''))
-    if most and expected:
-        expected = min(expected, most)
+    prompt, max_output = _parse_usage(headers.get('Token-Usage', ''))
+    expected = _parse_number(headers.get('Length-Hint', ''))
+    if max_output and expected:
+        expected = min(expected, max_output)
     scheme, _, key = headers.get('Authorization', '').partition(' ')
     return ports.Inquiry(
         id=headers.get('Attempt-Id', ''),
-        method=line.method,
-        target=line.path,
+        method=start_line.method,
+        target=start_line.path,
         host=headers.get('Host', '').partition(':')[0].lower(),
-        headers=engines.choose_request_headers(headers.get_all()),
+        headers=engines.filter_request_headers(headers.get_all()),
         body=body,
         key=key.strip() if scheme.lower() == 'bearer' else None,
         patience_ms=round(
-            _read_number(headers.get('Deadline-Ms', '')) or DEFAULT_PATIENCE_MS
+            _parse_number(headers.get('Deadline-Ms', '')) or DEFAULT_TIMEOUT_MS
         ),
         arrived_at=now,
         prompt_tokens=prompt,
@@ -140,43 +160,43 @@
     )
 
 
-def _read_number(text: str) -> float:
+def _parse_number(text: str) -> float:
     try:
         return max(0.0, float(text))
     except ValueError:
         return 0.0
 
 
-def _read_usage(text: str) -> tuple[float, float]:
-    """Read the prompt tokens and the most output tokens."""
-    prompt, _, most = text.partition(',')
-    return _read_number(prompt), _read_number(most)
+def _parse_usage(text: str) -> tuple[float, float]:
+    """Parse the number of prompt tokens and the limit on output tokens."""
+    prompt, _, max_output = text.partition(',')
+    return _parse_number(prompt), _parse_number(max_output)
 
 
 class Reply:
-    """The answer to one request over tornado's server.
+    """Sends the response to one request through tornado's HTTP server.
 
     Parameters
     ----------
     connection : httputil.HTTPConnection
-        Where the request came from.
+        Connection on which the request arrived.
     method : str
-        Its method; an answer to HEAD has no body.
+        Method of the request; a response to HEAD has no body.
     """
 
     def __init__(
         self, connection: httputil.HTTPConnection, method: str
     ) -> None:
-        # Its server side has more than the interface declares.
+        # tornado's implementation has members that the interface lacks.
         self._connection = typing.cast(typing.Any, connection)
         self._method = method
         self._on_close: Callable[[], None] | None = None
         self._done = False
-        self._begun = False
+        self._started = False
         self._connection.set_close_callback(self._close)
 
     def set_on_close(self, call: Callable[[], None]) -> None:
-        """Have a function called when the caller leaves."""
+        """Register a callback for the caller's disconnection."""
         self._on_close = call
         if self._done:
             call()
@@ -184,7 +204,7 @@
     def refuse(
         self, status: int, reason: str, retry_after_ms: int | None = None
     ) -> None:
-        """Answer with an error of the router's own."""
+        """Send an error response that the router creates."""
         headers = [('Content-Type', 'application/json')]
         if retry_after_ms is not None:
             headers.append(('Retry-After', f'{retry_after_ms / 1000:.3f}'))
@@ -193,14 +213,14 @@
         )
 
     def begin(self, status: int, headers: ports.Headers) -> None:
-        """Begin an answer of unknown length."""
-        if self._done or self._begun:
+        """Start a response of unknown length."""
+        if self._done or self._started:
             return
-        self._begun = True
+        self._started = True
         self._write_head(status, headers, b'')
 
     def write(self, chunk: bytes) -> None:
-        """Send a piece of it."""
+        """Send a chunk of the response body."""
         if self._done:
             return
         try:
@@ -209,25 +229,25 @@
             self._close()
 
     def finish(self) -> None:
-        """End it as complete."""
+        """Finish the response as complete."""
         if self._done:
             return
         self._done = True
         self._connection.finish()
 
     def abort(self) -> None:
-        """Close the connection, so that it can't look complete."""
+        """Close the connection, so that the response is visibly incomplete."""
         if self._done:
             return
         self._done = True
         self._connection.close()
 
     def answer(self, status: int, headers: ports.Headers, body: bytes) -> None:
-        """Send a whole answer."""
-        if self._done or self._begun:
+        """Send a complete response."""
+        if self._done or self._started:
             self.abort()
             return
-        self._begun = True
+        self._started = True
         self._done = True
         if status not in {204, 304}:
             headers = (*headers, ('Content-Length', str(len(body))))
@@ -240,19 +260,21 @@
     def _write_head(
         self, status: int, headers: ports.Headers, body: bytes
     ) -> None:
-        line = httputil.ResponseStartLine(
-            'HTTP/1.1', status, _REASONS.get(status, 'Unknown')
+        start_line = httputil.ResponseStartLine(
+            'HTTP/1.1', status, _REASON_PHRASES.get(status, 'Unknown')
         )
-        listed = httputil.HTTPHeaders()
+        http_headers = httputil.HTTPHeaders()
         for name, value in headers:
-            listed.add(name, value)
+            http_headers.add(name, value)
         try:
-            self._watch(self._connection.write_headers(line, listed, body))
+            self._watch(
+                self._connection.write_headers(start_line, http_headers, body)
+            )
         except iostream.StreamClosedError:
             self._close()
 
     def _watch(self, future: typing.Any) -> None:
-        """Mark the error of a caller that left as seen."""
+        """Retrieve the future's error, so that asyncio does not log it."""
         future.add_done_callback(lambda done: done.exception())
 
     def _close(self) -> None:
@@ -263,66 +285,86 @@
             self._on_close()
 
 
-class Questions(httputil.HTTPServerConnectionDelegate):
-    """Answers short questions without a body: lookups and readiness.
+class QueryDelegate(httputil.HTTPServerConnectionDelegate):
+    """Serves GET requests without a body, such as lookups and readiness.
 
     Parameters
     ----------
-    answers : dict of str to callable
-        By path; each takes the query and returns a status and a document.
+    handlers : dict of str to callable
+        Handler of each path. A handler takes the query arguments and
+        returns a status, a body and its content type.
     """
 
     def __init__(
         self,
-        answers: dict[str, Callable[[dict[str, str]], tuple[int, bytes, str]]],
+        handlers: dict[
+            str, Callable[[dict[str, str]], tuple[int, bytes, str]]
+        ],
     ) -> None:
-        self._answers = answers
+        self._handlers = handlers
 
     def start_request(
         self, server_conn: object, request_conn: httputil.HTTPConnection
     ) -> httputil.HTTPMessageDelegate:
-        """Take the next request of a connection."""
-        return _Question(self._answers, request_conn)
+        """Create the delegate of the next request of a connection."""
+        return _QueryHandler(self._handlers, request_conn)
 
 
-class _Question(httputil.HTTPMessageDelegate):
+class _QueryHandler(httputil.HTTPMessageDelegate):
     def __init__(
         self,
-        answers: dict[str, Callable[[dict[str, str]], tuple[int, bytes, str]]],
+        handlers: dict[
+            str, Callable[[dict[str, str]], tuple[int, bytes, str]]
+        ],
         connection: httputil.HTTPConnection,
     ) -> None:
-        self._answers = answers
+        self._handlers = handlers
         self._connection = connection
-        self._line = httputil.RequestStartLine('', '', '')
+        self._start_line = httputil.RequestStartLine('', '', '')
 
     def headers_received(
         self,
         start_line: httputil.RequestStartLine | httputil.ResponseStartLine,
         headers: httputil.HTTPHeaders,
     ) -> None:
-        self._line = typing.cast(httputil.RequestStartLine, start_line)
+        self._start_line = typing.cast(httputil.RequestStartLine, start_line)
 
     def finish(self) -> None:
-        path, _, query = self._line.path.partition('?')
-        reply = Reply(self._connection, self._line.method)
-        answer = self._answers.get(path)
-        if answer is None:
+        path, _, query = self._start_line.path.partition('?')
+        reply = Reply(self._connection, self._start_line.method)
+        handler = self._handlers.get(path)
+        if handler is None:
             reply.refuse(404, 'unknown_path')
             return
-        values = {
-            name: found[-1]
-            for name, found in urllib.parse.parse_qs(query).items()
+        arguments = {
+            name: values_of_name[-1]
+            for name, values_of_name in urllib.parse.parse_qs(query).items()
         }
-        status, body, kind = answer(values)
-        reply.answer(status, (('Content-Type', kind),), body)
+        status, body, content_type = handler(arguments)
+        reply.answer(status, (('Content-Type', content_type),), body)
 
 
-def answer_lookup(
+def handle_lookup(
     list_addresses: Callable[[str], tuple[str, ...]],
     max_ttl_s: float,
     query: dict[str, str],
 ) -> tuple[int, bytes, str]:
-    """Answer a caller that asks where to connect."""
+    """Return the addresses that a caller may connect to.
+
+    Parameters
+    ----------
+    list_addresses : callable
+        Returns the addresses for a failure domain.
+    max_ttl_s : float
+        Longest time for which callers may cache addresses, in seconds.
+    query : dict of str to str
+        Query arguments; ``zone`` is the caller's failure domain.
+
+    Returns
+    -------
+    tuple of int, bytes and str
+        Status, body and content type.
+    """
     addresses = list_addresses(query.get('zone', ''))
     if not addresses:
         return 503, b'{"error":"no_entry"}', 'application/json'
@@ -331,10 +373,10 @@
     return 200, body, 'application/json'
 
 
-def answer_readiness(
+def handle_readiness(
     is_ready: Callable[[], bool], _query: dict[str, str]
 ) -> tuple[int, bytes, str]:
-    """Answer the platform's question whether this entry is ready."""
+    """Return the result of the platform's readiness check."""
     ready = is_ready()
     return (
         200 if ready else 503,
--- a/src/thornspool/platform/daemon.py
+++ b/src/thornspool/platform/daemon.py
@@ -1,4 +1,4 @@
-"""An entry on the platform: put together, started, drained."""
+"""Builds, starts and drains one entry of the router on the platform."""
 
 from __future__ import annotations
 
@@ -54,48 +54,55 @@
 EXIT_FAILED = 1
 EXIT_SETTINGS = 2
 
-QUICK_MS = 25
-"""Interval at which waiting requests are tried and deadlines are looked at."""
+FAST_TICK_INTERVAL_MS = 25
+"""Interval at which queued requests are retried and deadlines checked."""
 
-DETECT_MS = 100
-"""Interval at which silent streams are looked for; a third of the shortest
-silence that counts."""
+DETECTION_INTERVAL_MS = 100
+"""Interval of the check for stalled streams.
 
-NEWS_MS = 200
-"""Interval of news to peers; the engines' own reports lag as much."""
+It is a third of the shortest idle time that counts as a stall.
+"""
+
+STATE_UPDATE_INTERVAL_MS = 200
+"""Interval of state updates to peers; reports of engines lag as much."""
 
-PLAN_MS = 100
+PLACEMENT_INTERVAL_MS = 100
 """Interval at which placement is planned."""
 
-REGISTER_MS = 200
-"""Interval at which registration and lead are looked at."""
+REGISTRATION_INTERVAL_MS = 200
+"""Interval at which registration and leadership are checked."""
 
-FORGET_MS = 200
-"""Interval at which servers that left and old suspicions are forgotten."""
+PURGE_INTERVAL_MS = 200
+"""Interval at which removed servers and old suspicions are purged."""
 
-USAGE_MS = 10_000
-"""Interval of the log line that counts the calls to the store."""
+USAGE_LOG_INTERVAL_MS = 10_000
+"""Interval of the log line with the number of store calls."""
 
-TAKE_NEW_MS = 2_500
-"""Time after the order to stop in which requests are still taken.
+ACCEPT_NEW_MS = 2_500
+"""Time after the stop signal in which new requests are still accepted.
 
-Callers hold this address for up to two lookups; a request that comes later
-could not end within the grace period.
+Callers cache this address for up to two lookups. A later request could not
+finish within the grace period.
 """
 
-LINGER_MS = 3_500
-"""Least time for which a stopping entry answers, so that callers who still
-hold its address are told where else to go in place of a broken connection."""
+MIN_DRAIN_MS = 3_500
+"""Minimum time for which a stopping entry responds.
+
+Callers that still cache its address get a refusal that names the reason, and
+not a connection error, and go to another entry.
+"""
 
-MAX_LEFT_NAMED = 10
-"""Requests named in the line that tells the end of a drain."""
+MAX_LOGGED_REQUESTS = 10
+"""Number of requests listed in the log line at the end of a drain."""
 
-FLUSH_MS = 200
-"""Longest wait for callers to read the end of their answers."""
+FLUSH_TIMEOUT_MS = 200
+"""Longest time for callers to read the rest of their responses."""
 
 EXIT_MARGIN_MS = 500
-"""Time before the end of the grace period at which the entry exits; closing
-takes some 250 ms."""
+"""Time between the exit and the end of the grace period.
+
+Closing takes about 250 ms.
+"""
 
 _MS_PER_S = 1000.0
 
@@ -103,7 +110,7 @@
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """Make the parser of the command line."""
+    """Create the command-line parser."""
     parser = argparse.ArgumentParser(
         prog='thornspoold',
         description='Run one entry of the router on the platform. Its '
@@ -116,7 +123,7 @@
         '--log-level',
         default='info',
         choices=('debug', 'info', 'warning', 'error'),
-        help='least level of log lines (default: info)',
+        help='minimum level of log lines (default: info)',
     )
     return parser
 
@@ -127,36 +134,36 @@
     Parameters
     ----------
     arguments : sequence of str, optional
-        Command line without the program's name.
+        Command-line arguments without the program name.
 
     Returns
     -------
     int
-        0 after a drain, 1 when the entry failed, 2 for wrong settings.
+        0 after a drain, 1 if the entry failed, 2 for invalid settings.
     """
     options = make_parser().parse_args(arguments)
     try:
-        read = settings_module.read_settings(settings_module.find_file())
+        settings = settings_module.read_settings(settings_module.find_file())
     except exceptions.ThornspoolError as error:
         print(error, file=sys.stderr)
         return EXIT_SETTINGS
     if options.check:
         return EXIT_OK
-    logs.configure_logs(options.log_level, read.host, to_output=True)
+    logs.configure_logs(options.log_level, settings.host, to_output=True)
     try:
-        asyncio.run(_run(read))
+        asyncio.run(_run_entry(settings))
     except exceptions.ThornspoolError as error:
         logger.error('entry_failed', reason=str(error))
         return EXIT_FAILED
     return EXIT_OK
 
 
-async def _run(settings: settings_module.NodeSettings) -> None:
+async def _run_entry(settings: settings_module.NodeSettings) -> None:
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
-    loop.add_signal_handler(signal.SIGHUP, _note_reload, settings)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopping.set)
+    loop.add_signal_handler(signal.SIGHUP, _check_reloaded_settings, settings)
     seed = random.SystemRandom().getrandbits(64)
     entry = Entry(settings, clock_module.Clock(), random.Random(seed))
     await entry.start()
@@ -171,27 +178,27 @@
     logger.info('entry_stopped')
 
 
-def _note_reload(settings: settings_module.NodeSettings) -> None:
-    """Check a changed settings file; addresses change only by a restart."""
+def _check_reloaded_settings(settings: settings_module.NodeSettings) -> None:
+    """Validate a changed settings file; new addresses need a restart."""
     try:
-        read = settings_module.read_settings(settings_module.find_file())
+        reloaded = settings_module.read_settings(settings_module.find_file())
     except exceptions.ThornspoolError as error:
         logger.error('settings_refused', reason=str(error))
         return
-    logger.info('settings_reloaded', changed=read != settings)
+    logger.info('settings_reloaded', changed=reloaded != settings)
 
 
 class Entry:
-    """One entry.
+    """One entry of the router.
 
     Parameters
     ----------
     settings : settings_module.NodeSettings
-        Checked settings.
+        Validated settings.
     clock : clock_module.Clock
         Source of time.
     random_source : random.Random
-        Source of every random choice.
+        Source of all random choices.
     """
 
     def __init__(
@@ -207,71 +214,73 @@
         self._listeners: list[listeners.Listener] = []
 
     async def start(self) -> None:
-        """Listen and begin to follow the store."""
+        """Open the listeners and start the periodic tasks."""
         self._build()
-        await self._datagrams.open(self._settings.ip, self._settings.peer_port)
+        await self._peer_socket.open(
+            self._settings.ip, self._settings.peer_port
+        )
         self._listen()
         self._run(self._follower.run())
-        self._repeat(REGISTER_MS, self._register)
-        self._repeat(QUICK_MS, self._work_quickly)
-        self._repeat(DETECT_MS, self._detect)
-        self._repeat(NEWS_MS, self._tell_news)
-        self._repeat(PLAN_MS, self._plan)
-        self._repeat(USAGE_MS, self._log_usage)
+        self._repeat(REGISTRATION_INTERVAL_MS, self._register)
+        self._repeat(FAST_TICK_INTERVAL_MS, self._work_quickly)
+        self._repeat(DETECTION_INTERVAL_MS, self._detect)
+        self._repeat(STATE_UPDATE_INTERVAL_MS, self._tell_news)
+        self._repeat(PLACEMENT_INTERVAL_MS, self._plan)
+        self._repeat(USAGE_LOG_INTERVAL_MS, self._log_usage)
 
     async def stop(self) -> None:
-        """Drain: leave lookups, finish what is in flight, then close."""
-        began = self._clock.now()
-        last = began + self._settings.bounds.grace_ms - EXIT_MARGIN_MS
+        """Leave lookups, finish in-flight requests, then close."""
+        started_at = self._clock.now()
+        deadline = started_at + self._settings.bounds.grace_ms - EXIT_MARGIN_MS
         self._membership.set_state(messages.State.LEAVING)
         logger.info('drain_began', in_flight=self._intake.in_flight)
-        self._front.send_away()
-        self._streams.set_end(last)
+        self._caller_listener.send_away()
+        self._streams.set_end(deadline)
         await self._registration.step_down()
         while True:
             now = self._clock.now()
-            waited = now - began
-            if waited >= TAKE_NEW_MS:
+            elapsed_ms = now - started_at
+            if elapsed_ms >= ACCEPT_NEW_MS:
                 self._intake.refuses_new = True
             idle = self._intake.in_flight == 0
-            if now >= last or (idle and waited >= LINGER_MS):
+            if now >= deadline or (idle and elapsed_ms >= MIN_DRAIN_MS):
                 break
             await asyncio.sleep(0.05)
         logger.info(
             'drain_ended',
             in_flight=self._intake.in_flight,
-            left=self._describe_left(),
+            left=self._describe_in_flight(),
         )
         for task in self._tasks:
             task.cancel()
         for listener in self._listeners:
-            await listener.stop(timeout_ms=FLUSH_MS)
+            await listener.stop(timeout_ms=FLUSH_TIMEOUT_MS)
         self._registration.leave()
-        self._datagrams.close()
+        self._peer_socket.close()
         self._session.close()
 
-    def _describe_left(self) -> str:
-        """Name the requests that are still in flight, with their ages."""
+    def _describe_in_flight(self) -> str:
+        """Format the in-flight requests with their ages for the log."""
         now = self._clock.now()
-        exchanges = [one.exchange for one in self._streams.flights]
-        exchanges += [one.exchange for one in self._calls.calls]
+        exchanges = [flight.exchange for flight in self._streams.flights]
+        exchanges += [call.exchange for call in self._calls.calls]
         return ','.join(
-            f'{one.inquiry.id}:{now - one.inquiry.arrived_at}ms'
-            for one in exchanges[:MAX_LEFT_NAMED]
+            f'{exchange.inquiry.id}:{now - exchange.inquiry.arrived_at}ms'
+            for exchange in exchanges[:MAX_LOGGED_REQUESTS]
         )
 
     def is_ready(self) -> bool:
-        """Tell whether callers may come."""
+        """Return whether this entry can serve callers."""
         return (
             self._membership.state is messages.State.SERVING
             and self._intake.is_fresh()
         )
 
     def _build(self) -> None:
-        """Put the parts together."""
+        """Create the services and connect them."""
         settings, clock = self._settings, self._clock
         bounds = settings.bounds
-        own = messages.Record(
+        local_record = messages.Record(
             settings.host,
             f'{settings.host}-{self._random.getrandbits(48):012x}',
             settings.failure_domain,
@@ -286,8 +295,8 @@
         self._beliefs.refusals.patience = self._random.uniform(
             1.0, refusals.MOST_PATIENCE
         )
-        self._view = view_module.View(own)
-        self._lead = leadership.Leadership(own.incarnation)
+        self._view = view_module.View(local_record)
+        self._lead = leadership.Leadership(local_record.incarnation)
         self._follower = follower.Follower(
             clock,
             store,
@@ -297,7 +306,7 @@
             follower.compute_watch_ms(
                 bounds.withdrawn_key_ms * proofs.KEY_AGE_SHARE
             ),
-            follower.Sharing(
+            follower.Coordination(
                 lambda: self._membership.is_fed(),
                 lambda: self._membership.shares_outage(),
                 self._feed,
@@ -307,16 +316,16 @@
                 self._random.random,
             ),
         )
-        taken = reservations.Reservations()
-        self._datagrams = peers.Datagrams(
+        held_reservations = reservations.Reservations()
+        self._peer_socket = peers.PeerSocket(
             self._take_news,
-            self._follower.take_update,
+            self._follower.apply_change_set,
         )
         budget = repeats.Repeats(
             clock,
-            bounds.repeat_ratio,
-            bounds.repeat_slack,
-            bounds.repeat_window_ms,
+            bounds.retry_ratio,
+            bounds.retry_slack,
+            bounds.retry_window_ms,
             self._view.count_entries,
             self._random.getrandbits(32),
         )
@@ -324,9 +333,9 @@
             clock,
             self._view,
             self._beliefs,
-            taken,
+            held_reservations,
             budget,
-            self._datagrams.send,
+            self._peer_socket.send,
             lambda: self._follower.revision,
             self._send_missed,
         )
@@ -335,13 +344,13 @@
             self._view,
             self._lead,
             registry.Registry(store),
-            lambda: self._follower.old_lease,
+            lambda: self._follower.previous_lease,
         )
         servers = engines.Servers(self._session)
         self._streams = streams.StreamService(
             clock,
             self._beliefs,
-            taken,
+            held_reservations,
             servers,
             budget,
             settings.failure_domain,
@@ -382,15 +391,15 @@
                 self._intake.key_bound_ms, clock.now()
             ),
         )
-        readings.add_readings(
+        readings.add_entry_metrics(
             self._metrics,
-            readings.Sources(
+            readings.MetricSources(
                 clock,
                 store,
                 self._beliefs,
                 self._view,
                 self._lead,
-                taken,
+                held_reservations,
                 budget,
                 self._membership,
                 self._placement,
@@ -398,36 +407,37 @@
             ),
         )
 
-    def _take_news(self, news: messages.News) -> None:
-        """Take what a peer tells, and leave engines that it has lost."""
-        self._membership.take_news(news)
-        if news.suspects:
+    def _take_news(self, state_update: messages.News) -> None:
+        """Apply a peer's state update; reroute streams from its suspects."""
+        self._membership.take_news(state_update)
+        if state_update.suspects:
             self._detector.leave_suspects()
 
-    def _feed(self, update: follower.Update) -> int:
-        """Pass changes on to the entries that rely on this one."""
-        fed = self._membership.list_fed()
-        if fed and update.until > update.since:
-            self._datagrams.send_update(fed, update)
-        return len(fed)
+    def _feed(self, change_set: follower.ChangeSet) -> int:
+        """Send changes to the entries that use this one as collector."""
+        receivers = self._membership.list_fed()
+        if receivers and change_set.until > change_set.since:
+            self._peer_socket.send_change_set(receivers, change_set)
+        return len(receivers)
 
     def _send_missed(self, address: str, since: int) -> None:
-        """Send an entry the changes that it missed, if they are kept."""
-        update = self._follower.find_since(since)
-        if update is not None:
-            self._datagrams.send_update([address], update)
+        """Send an entry the changes that it missed, if they are retained."""
+        change_set = self._follower.find_changes_since(since)
+        if change_set is not None:
+            self._peer_socket.send_change_set([address], change_set)
 
     def _listen(self) -> None:
         settings = self._settings
-        self._front = self._open(
-            settings.callers, callers.Front(self._clock, self._intake.serve)
+        self._caller_listener = self._open(
+            settings.callers,
+            callers.CallerDelegate(self._clock, self._intake.serve),
         )
         self._open(
             settings.lookups,
-            callers.Questions(
+            callers.QueryDelegate(
                 {
                     callers.LOOKUP_PATH: functools.partial(
-                        callers.answer_lookup,
+                        callers.handle_lookup,
                         self._membership.list_addresses,
                         settings.bounds.max_address_ttl_s,
                     )
@@ -436,17 +446,17 @@
         )
         self._open(
             settings.readiness,
-            callers.Questions(
+            callers.QueryDelegate(
                 {
                     callers.READINESS_PATH: functools.partial(
-                        callers.answer_readiness, self.is_ready
+                        callers.handle_readiness, self.is_ready
                     )
                 }
             ),
         )
         self._open(
             f'{settings.ip}:{settings.metrics_port}',
-            callers.Questions({'/metrics': self._answer_metrics}),
+            callers.QueryDelegate({'/metrics': self._answer_metrics}),
         )
 
     def _open(
@@ -460,8 +470,8 @@
     def _answer_metrics(
         self, _query: dict[str, str]
     ) -> tuple[int, bytes, str]:
-        body, kind = self._metrics.render()
-        return 200, body, kind
+        body, content_type = self._metrics.render()
+        return 200, body, content_type
 
     async def _register(self) -> None:
         await self._registration.work()
@@ -471,7 +481,8 @@
         self._calls.work()
         self._detector.look()
         if self._membership.state is messages.State.STARTING:
-            # Callers get no address while all entries start.
+            # While all entries start, lookups return no address, so this
+            # state is checked at the shorter interval.
             self._update_state()
         self._membership.tell_failures()
 
@@ -492,7 +503,7 @@
         self._placement.work()
 
     async def _log_usage(self) -> None:
-        """Log what the store was asked since the start, by kind of call."""
+        """Log the number of store calls since the start, by kind."""
         calls = {
             kind.replace('-', '_'): count
             for kind, count in self._store.calls.items()
@@ -502,7 +513,7 @@
     def _repeat(
         self, interval_ms: int, work: Callable[[], Awaitable[None]]
     ) -> None:
-        self._run(_repeat_forever(interval_ms, work))
+        self._run(_run_forever(interval_ms, work))
 
     def _run(
         self, work: typing.Coroutine[typing.Any, typing.Any, None]
@@ -510,16 +521,16 @@
         self._tasks.append(asyncio.get_running_loop().create_task(work))
 
 
-async def _repeat_forever(
+async def _run_forever(
     interval_ms: int, work: Callable[[], Awaitable[None]]
 ) -> None:
-    """Run a piece of work again and again, whatever one run of it meets."""
+    """Run a task periodically; an exception does not end the loop."""
     while True:
         try:
             await work()
         except Exception:
-            # A loop that ended would leave, say, the lease to lapse, and
-            # nobody would be told.
+            # If a loop ended, its effects would stop without notice; for
+            # example the lease would expire.
             logger.exception('work_failed', work=work.__name__)
         await asyncio.sleep(interval_ms / _MS_PER_S)
 
--- a/src/thornspool/platform/documents.py
+++ b/src/thornspool/platform/documents.py
@@ -1,4 +1,4 @@
-"""Decoding of what operators and servers write to the store."""
+"""Decodes the configuration and the server entries in the store."""
 
 from __future__ import annotations
 
@@ -38,10 +38,10 @@
     traffic_split: list[_Split] = []
 
 
-class _Kind(msgspec.Struct):
+class _AcceleratorKind(msgspec.Struct):
     name: str
     size_mb: float
-    # Slowness of decoding, not a rate: a larger value is slower.
+    # Slowdown factor of decoding, not a rate: a larger value is slower.
     pace: float = 1.0
     read_factor: float = 1.0
 
@@ -50,7 +50,7 @@
     load_s: float = 0.0
 
 
-class _Usual(msgspec.Struct):
+class _TypicalRequest(msgspec.Struct):
     prompt: float = 500.0
     answer: float = 200.0
 
@@ -62,9 +62,9 @@
     read_per_s: float = 100_000.0
     layers: int = 0
     layer_mb: float = 0.0
-    kinds: list[_Kind] = []
+    kinds: list[_AcceleratorKind] = []
     models: list[_Model] = []
-    usual: _Usual = msgspec.field(default_factory=_Usual)
+    usual: _TypicalRequest = msgspec.field(default_factory=_TypicalRequest)
     activation_bytes: float = 0.0
     pipe_mbps: float = 0.0
 
@@ -97,7 +97,7 @@
     to: int
 
 
-class _Beat(msgspec.Struct):
+class _ServerEntry(msgspec.Struct):
     service: str
     address: str
     zone: str
@@ -111,36 +111,51 @@
 def decode_configuration(raw: bytes) -> routing.Configuration:
     """Decode the operators' configuration.
 
+    Parameters
+    ----------
+    raw : bytes
+        JSON document.
+
+    Returns
+    -------
+    routing.Configuration
+        The configuration.
+
     Raises
     ------
     exceptions.DecodeError
-        Names the field.
+        If the document is malformed; the message names the field.
     """
     try:
-        read = msgspec.json.decode(raw, type=_Configuration)
-        routes = [_convert_route(one) for one in read.routes]
+        document = msgspec.json.decode(raw, type=_Configuration)
+        routes = [_convert_route(route) for route in document.routes]
     except (msgspec.DecodeError, ValueError) as error:
-        raise exceptions.DecodeError(f'Configuration: {error}.') from error
+        raise exceptions.DecodeError(
+            f'Malformed configuration: {error}.'
+        ) from error
     return routing.Configuration(
-        version=read.version,
+        version=document.version,
         routes=routing.group_routes(routes),
         services={
-            one.name: routing.Service(one.name, _convert_model(one.engine))
-            for one in read.services
+            service.name: routing.Service(
+                service.name, _convert_model(service.engine)
+            )
+            for service in document.services
         },
         workspaces={
             key: routing.Workspace(tenant.name, tenant.priority)
-            for tenant in read.tenants
+            for tenant in document.tenants
             for key in tenant.api_keys
         },
-        needs_keys=bool(read.tenants),
-        max_body_bytes=read.limits.max_body_bytes,
+        needs_keys=bool(document.tenants),
+        max_body_bytes=document.limits.max_body_bytes,
     )
 
 
 def _convert_route(route: _Route) -> routing.Route:
     shares = tuple(
-        routing.Share(one.service, one.weight) for one in route.traffic_split
+        routing.Share(split.service, split.weight)
+        for split in route.traffic_split
     )
     return routing.Route(
         name=route.name,
@@ -172,8 +187,10 @@
         usual_prompt=engine.usual.prompt,
         usual_answer=engine.usual.answer,
         accelerators={
-            one.name: fleet.Accelerator(one.size_mb, one.pace, one.read_factor)
-            for one in engine.kinds
+            kind.name: fleet.Accelerator(
+                kind.size_mb, kind.pace, kind.read_factor
+            )
+            for kind in engine.kinds
         },
         activation_bytes=engine.activation_bytes,
         pipe_mbps=engine.pipe_mbps,
@@ -181,32 +198,39 @@
 
 
 def decode_server(key: str, raw: bytes) -> fleet.Server | None:
-    """Decode a server's entry in the list.
+    """Decode a server's entry in the server list.
+
+    Other programs can write to the list. A malformed entry is skipped, so
+    that it does not affect the other entries.
 
-    Any writer may leave an entry there. One that is not of the published
-    form names no server to use; the others hold.
+    Parameters
+    ----------
+    key : str
+        Key of the entry in the store.
+    raw : bytes
+        JSON document.
 
     Returns
     -------
     fleet.Server or None
-        None for an entry that can't be used; a line is logged.
+        None for a malformed entry, which is logged.
     """
     try:
-        beat = msgspec.json.decode(raw, type=_Beat)
+        entry = msgspec.json.decode(raw, type=_ServerEntry)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         logger.warning('server_entry_ignored', key=key, reason=str(error))
         return None
     layers = None
-    if beat.layers is not None and beat.layers.to > beat.layers.from_ >= 0:
-        layers = fleet.LayerRange(beat.layers.from_, beat.layers.to)
+    if entry.layers is not None and entry.layers.to > entry.layers.from_ >= 0:
+        layers = fleet.LayerRange(entry.layers.from_, entry.layers.to)
     return fleet.Server(
         id=key.removeprefix(SERVERS_PREFIX),
-        service=beat.service,
-        address=beat.address,
-        failure_domain=beat.zone,
-        slots=beat.slots,
-        draining=beat.state == 'draining',
-        born=beat.born,
-        kind=beat.kind,
+        service=entry.service,
+        address=entry.address,
+        failure_domain=entry.zone,
+        slots=entry.slots,
+        draining=entry.state == 'draining',
+        born=entry.born,
+        kind=entry.kind,
         layers=layers,
     )
--- a/src/thornspool/platform/engines.py
+++ b/src/thornspool/platform/engines.py
@@ -1,4 +1,4 @@
-"""Calls to engines and plain servers, in the platform's words."""
+"""HTTP client for engines and plain servers, in the platform's format."""
 
 from __future__ import annotations
 
@@ -17,24 +17,26 @@
     from thornspool.domain.fleet import messages as fleet
     from thornspool.domain.paths import search
 
-CONNECT_MS = 400
-"""Longest wait for a connection to a server.
+CONNECT_TIMEOUT_MS = 400
+"""Longest time to connect to a server.
 
-Hosts are 0.25 ms apart; a lost opening packet comes again after 1 s, which
-is later than another server's answer.
+The network latency between hosts is 0.25 ms. TCP retransmits a lost SYN only
+after 1 s; another server responds earlier than that.
 """
 
-ORDER_MS = 1_000
-"""Longest wait for the answer to an order."""
+ORDER_TIMEOUT_MS = 1_000
+"""Longest time for the response to an order."""
 
-REPATH_MS = 150
-"""Longest wait for the answer to a change of path; the stream stands still
-meanwhile and can go on in a new run."""
+REPATH_TIMEOUT_MS = 150
+"""Longest time for the response to a change of path.
+
+The stream is stalled meanwhile, and a new run can resume it.
+"""
 
 DEADLINE_MARGIN_MS = 150
-"""Time left to pass on an answer that a server makes at its deadline."""
+"""Time reserved to forward a response that a server sends at its deadline."""
 
-_ONE_CONNECTION_ONLY = frozenset(
+_HOP_BY_HOP_HEADERS = frozenset(
     {
         'connection',
         'keep-alive',
@@ -48,8 +50,8 @@
     }
 )
 
-# Set by the router, whatever a caller sends.
-_OWN_REQUEST_HEADERS = frozenset(
+# The router sets these itself and drops the values that callers send.
+_ROUTER_REQUEST_HEADERS = frozenset(
     {
         'accept-encoding',
         'authorization',
@@ -66,7 +68,7 @@
     }
 )
 
-_OWN_ANSWER_HEADERS = frozenset(
+_SERVER_RESPONSE_HEADERS = frozenset(
     {'content-length', 'engine-load', 'at-server', 'date', 'server'}
 )
 
@@ -84,27 +86,28 @@
 logger = structlog.get_logger(__name__)
 
 
-class _StalledRow(msgspec.Struct):
+class _StalledRequest(msgspec.Struct):
     id: str = ''
     address: str = ''
 
 
 class _Report(msgspec.Struct):
-    # Number of orders begun, unlike the field of that name in the list.
+    # Number of orders started. The field of this name in the server list
+    # has another meaning.
     sequence: int = 0
     busy: bool = False
-    # Slowness: over 1 for a slow engine.
+    # Slowdown factor: above 1 for a slow engine.
     pace: float = 1.0
     born: int | None = None
-    stalled: list[_StalledRow] = []
+    stalled: list[_StalledRequest] = []
 
 
-def choose_request_headers(
+def filter_request_headers(
     headers: typing.Iterable[tuple[str, str]],
 ) -> tuple[tuple[str, str], ...]:
-    """Return the headers of a request that pass on to a server."""
+    """Return the request headers that are forwarded to a server."""
     listed = list(headers)
-    dropped = _ONE_CONNECTION_ONLY | _OWN_REQUEST_HEADERS
+    dropped = _HOP_BY_HOP_HEADERS | _ROUTER_REQUEST_HEADERS
     dropped |= _list_connection_options(listed)
     return tuple(
         (name, value) for name, value in listed if name.lower() not in dropped
@@ -125,14 +128,14 @@
 class Servers:
     """Engines and plain servers over HTTP.
 
-    Each request gets a connection of its own. What a server sends behind an
-    answer, a connection that it closed silently, and a request that libcurl
-    sends a second time then never touch another request.
+    Each request uses a new connection. This isolates requests from surplus
+    bytes after a response, from connections that the server has closed, and
+    from libcurl's automatic resending on reused connections.
 
     Parameters
     ----------
     session : transfers.Session
-        Carries the calls.
+        Executes the transfers.
     """
 
     def __init__(self, session: transfers.Session) -> None:
@@ -141,22 +144,37 @@
     def send(
         self, run: ports.Run, listener: ports.Listener
     ) -> Callable[[], None]:
-        """Send a request; returns what ends it."""
-        inquiry = run.inquiry
-
-        def take_head(status: int, headers: transfers.Headers) -> None:
-            listener.take_head(_decode_head(inquiry.id, status, headers))
+        """Send a request to a server.
+
+        Parameters
+        ----------
+        run : ports.Run
+            The request and its path.
+        listener : ports.Listener
+            Receives the response.
+
+        Returns
+        -------
+        callable
+            Cancels the request.
+        """
+        caller_request = run.inquiry
+
+        def handle_head(status: int, headers: transfers.Headers) -> None:
+            listener.take_head(
+                _decode_head(caller_request.id, status, headers)
+            )
 
         request = transfers.Request(
-            f'http://{run.server.address}{inquiry.target}',
-            inquiry.method,
+            f'http://{run.server.address}{caller_request.target}',
+            caller_request.method,
             _build_headers(run),
-            inquiry.body or None,
-            CONNECT_MS,
+            caller_request.body or None,
+            CONNECT_TIMEOUT_MS,
         )
         return self._session.start(
             request,
-            take_head,
+            handle_head,
             listener.take_body,
             lambda ending: listener.take_end(_ENDINGS[ending]),
         ).cancel
@@ -164,17 +182,30 @@
     async def ask_report(
         self, server: fleet.Server, wait_ms: int = ports.REPORT_MS
     ) -> ports.Report | None:
-        """Ask an engine for its state."""
+        """Probe an engine for its report.
+
+        Parameters
+        ----------
+        server : fleet.Server
+            The engine.
+        wait_ms : int, optional
+            Longest time for the response, in milliseconds.
+
+        Returns
+        -------
+        ports.Report or None
+            None if no valid report arrives in time.
+        """
         request = transfers.Request(
             f'http://{server.address}/v1/report',
             connect_ms=wait_ms,
             total_ms=wait_ms,
         )
         try:
-            answer = await self._session.fetch(request)
-            if answer.status != 200:
+            response = await self._session.fetch(request)
+            if response.status != 200:
                 return None
-            read = msgspec.json.decode(answer.body, type=_Report)
+            report = msgspec.json.decode(response.body, type=_Report)
         except (
             transfer_errors.TransportError,
             msgspec.DecodeError,
@@ -185,17 +216,23 @@
             )
             return None
         return ports.Report(
-            read.sequence,
-            read.busy,
-            read.pace,
-            read.born,
-            tuple(ports.Stalled(one.id, one.address) for one in read.stalled),
+            report.sequence,
+            report.busy,
+            report.pace,
+            report.born,
+            tuple(
+                ports.Stalled(row.id, row.address) for row in report.stalled
+            ),
         )
 
     async def place(
         self, server: fleet.Server, layers: fleet.LayerRange, orders: int
     ) -> ports.OrderResult:
-        """Order an engine to hold a range."""
+        """Order an engine to load a range of layers.
+
+        ``orders`` is the number of orders that the engine has started; the
+        engine rejects the order if its count differs.
+        """
         return await self._order(
             server,
             {
@@ -210,7 +247,7 @@
     async def repath(
         self, request: str, hops: tuple[search.Hop, ...]
     ) -> ports.OrderResult:
-        """Order a running request's first engine to use another path."""
+        """Order the first engine of an in-flight request to use a new path."""
         return await self._order(
             hops[0].server,
             {
@@ -218,25 +255,25 @@
                 'id': request,
                 'path': format_path(hops),
             },
-            REPATH_MS,
+            REPATH_TIMEOUT_MS,
         )
 
     async def _order(
         self,
         server: fleet.Server,
         body: dict[str, object],
-        wait_ms: int = ORDER_MS,
+        wait_ms: int = ORDER_TIMEOUT_MS,
     ) -> ports.OrderResult:
         request = transfers.Request(
             f'http://{server.address}/v1/order',
             'POST',
             (*_JSON, ('Expect-Instance', server.id)),
             msgspec.json.encode(body),
-            min(CONNECT_MS, wait_ms),
+            min(CONNECT_TIMEOUT_MS, wait_ms),
             wait_ms,
         )
         try:
-            answer = await self._session.fetch(request)
+            response = await self._session.fetch(request)
         except transfer_errors.TransportError as error:
             logger.warning('order_failed', server=server.id, reason=str(error))
             return ports.OrderResult.UNKNOWN
@@ -245,26 +282,26 @@
             202: ports.OrderResult.BEGUN,
             409: ports.OrderResult.CONFLICT,
         }
-        result = results.get(answer.status, ports.OrderResult.REFUSED)
-        if answer.status not in results:
+        result = results.get(response.status, ports.OrderResult.REFUSED)
+        if response.status not in results:
             logger.warning(
-                'order_refused', server=server.id, status=answer.status
+                'order_refused', server=server.id, status=response.status
             )
         return result
 
 
 def format_path(hops: typing.Iterable[search.Hop]) -> str:
-    """Write a path as the engines read it."""
+    """Format a path for the header and the order that engines parse."""
     return ','.join(
         f'{hop.server.address}={hop.first}-{hop.end}' for hop in hops
     )
 
 
 def _build_headers(run: ports.Run) -> tuple[tuple[str, str], ...]:
-    inquiry = run.inquiry
-    headers = [('Host', inquiry.host), *inquiry.headers]
-    left_ms = max(1, run.left_ms - DEADLINE_MARGIN_MS)
-    headers.append(('Deadline-Ms', str(left_ms)))
+    caller_request = run.inquiry
+    headers = [('Host', caller_request.host), *caller_request.headers]
+    remaining_ms = max(1, run.left_ms - DEADLINE_MARGIN_MS)
+    headers.append(('Deadline-Ms', str(remaining_ms)))
     headers.append(('Expect-Instance', run.server.id))
     if run.workspace:
         headers.append(('Tenant', run.workspace))
@@ -277,10 +314,10 @@
 
 
 def _decode_head(
-    request: str, status: int, headers: transfers.Headers
+    request_id: str, status: int, headers: transfers.Headers
 ) -> ports.Head:
     values = {name.lower(): value for name, value in headers}
-    dropped = _ONE_CONNECTION_ONLY | _OWN_ANSWER_HEADERS
+    dropped = _HOP_BY_HOP_HEADERS | _SERVER_RESPONSE_HEADERS
     dropped |= _list_connection_options(headers)
     return ports.Head(
         status=status,
@@ -293,7 +330,7 @@
         fault_address=values.get('at-server', ''),
         load=_decode_load(values.get('engine-load')),
         genuine='response-seal' in values
-        and values.get('attempt-id', request) == request,
+        and values.get('attempt-id', request_id) == request_id,
     )
 
 
@@ -301,7 +338,7 @@
     if text is None:
         return None
     try:
-        running, waiting, slots = (int(one) for one in text.split(','))
+        running, waiting, slots = (int(part) for part in text.split(','))
     except ValueError:
         logger.warning('load_malformed', text=text)
         return None
--- a/src/thornspool/platform/exceptions.py
+++ b/src/thornspool/platform/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors about the platform."""
+"""Exceptions of the platform adapter."""
 
 from __future__ import annotations
 
@@ -6,40 +6,40 @@
 
 
 class PlatformError(exceptions.ThornspoolError):
-    """Base of the errors about the platform."""
+    """Base class of the platform exceptions."""
 
 
-class NodeFileError(PlatformError):
-    """The settings file of this process can't be used."""
+class SettingsFileError(PlatformError):
+    """The settings file of this process is missing or malformed."""
 
 
 class DecodeError(PlatformError):
-    """A document of the platform is not of its published form."""
+    """A document of the platform does not match its published schema."""
 
 
 class StoreError(PlatformError):
-    """Base of the failures of a call to the store."""
+    """Base class of the failures of a store call."""
 
 
 class StoreRefused(StoreError):
-    """The store answered that it did nothing."""
+    """The call was not sent, or the store rejected it without effect."""
 
 
 class StoreUnanswered(StoreError):
-    """No whole answer came; a write may have been done or be done later."""
+    """No complete response arrived; a write may take effect now or later."""
 
 
-class KeyUnknown(StoreError):
+class KeyNotFound(StoreError):
     """The key does not exist."""
 
 
 class HistoryLost(StoreError):
-    """The changes after a revision are no longer to be had."""
+    """The store no longer keeps the changes after a revision."""
 
 
 class ConditionFailed(StoreError):
-    """A condition of a write did not hold; nothing was written."""
+    """A precondition of a write failed; nothing was written."""
 
 
 class LeaseEnded(StoreError):
-    """The lease is unknown to the store."""
+    """The lease has expired or does not exist."""
--- a/src/thornspool/platform/follower.py
+++ b/src/thornspool/platform/follower.py
@@ -1,4 +1,4 @@
-"""Keeps the local copy of the store's keys current, with a proof."""
+"""Keeps the local copy of the store's keys current and dates it."""
 
 from __future__ import annotations
 
@@ -23,106 +23,131 @@
     from thornspool.domain.entries import view as view_module
 
 MAX_WATCH_MS = 1_800
-"""Longest watch: one priced call in that time."""
+"""Longest wait of a watch; each watch is one call that the store charges."""
 
-FEEDING_WATCH_MS = 800
-"""Longest watch of an entry that others rely on: the age of its proof is up
-to twice that, and theirs adds two turns of news."""
+COLLECTOR_WATCH_MS = 800
+"""Longest wait of a collector's watch.
 
-PROBE_WATCH_MS = 200
-"""Length of the first watch after a failure, so that the proof is renewed
-at once when the store answers again."""
+The age of its copy is up to twice that, and the age of its peers' copies is
+larger by two intervals of state updates.
+"""
+
+RECOVERY_WATCH_MS = 200
+"""Wait of the first watch after a failure.
+
+It is short, so that the copy is confirmed as soon as the store responds.
+"""
+
+FULL_READ_AGE_MS = 5_000
+"""Age of the copy above which all keys are read instead of changes."""
 
-REREAD_AGE_MS = 5_000
-"""Age of the proof past which all keys are read in place of changes."""
+FEED_CHECK_MS = 100
+"""Interval at which an entry checks that its collector keeps it current.
 
-FED_CHECK_MS = 100
-"""Pause of an entry that is kept current by another one; it turns to the
-store within this when that stops."""
+It calls the store itself within this time after the feed stops.
+"""
 
 COALESCE_MS = 250
-"""Pause after changes, so that changes in quick succession come with one
-answer; the shortest bound for them is 2 s."""
+"""Delay after changes, so that one watch returns several of them.
+
+The shortest bound for applying a change is 2 s.
+"""
 
 RETRY_MS = 150
-"""Pause after the first call that failed; it doubles with each further one,
-since the store counts calls that it refuses too."""
+"""Delay after the first failed call.
+
+It doubles with each further failure, because the store also charges calls
+that it rejects.
+"""
 
 MAX_RETRY_MS = 700
-"""Longest pause between calls that fail: the proof is renewed within this
-of the store's return."""
+"""Longest delay between failed calls.
 
-SHARED_RETRY_MS = (2_500, 5_000)
-"""Range of the pause of an entry whose collector can't reach the store either.
+The copy is confirmed within this time after the store recovers.
+"""
 
-The collector's next answer keeps it current without a call of its own.
+OUTAGE_RETRY_RANGE_MS = (2_500, 5_000)
+"""Range of the retry delay while the collector can't reach the store either.
+
+When the collector reaches the store, its change feed makes a call of this
+entry unnecessary.
 """
 
-SHARED_AGE_MS = (3_200, 6_000)
-"""Range of the age of its proof at which such an entry asks the store itself.
+OUTAGE_MAX_AGE_RANGE_MS = (3_200, 6_000)
+"""Range of the age of the copy at which such an entry calls the store itself.
 
-Other entries collect in turn until the store answers one of them; an entry
-that alone is answered still asks, and most shared outages end before.
+Before that age, entries become collector one after the other until the store
+responds to one of them, and most shared outages end. Beyond it, an entry that
+alone can reach the store does so.
 """
 
 FEED_WAIT_MS = 800
-"""Age of the proof up to which an entry waits for its collector's word before
-another call; changes that must be in force within 2 s are seen in time."""
+"""Age of the copy up to which an entry waits for its collector's feed.
+
+Above it the entry calls the store, early enough to apply changes that must
+be in force within 2 s.
+"""
 
-JOIN_PAUSE_MS = 400
-"""Pause between the first reading and the first watch.
+FIRST_WATCH_DELAY_MS = 400
+"""Delay between the first read of all keys and the first watch.
 
-Entries that start together register within it; a watch begun at once would
-return with the first of them, and so would the next.
+Entries that start together register in this time. Without it, each
+registration would end a watch.
 """
 
-MAX_UPDATES = 64
-"""Changes that are kept for entries that missed them; some 10 s of those that
-come one after the other."""
+MAX_CHANGE_SETS = 64
+"""Number of change sets retained for entries that missed them.
+
+It covers about 10 s of consecutive changes.
+"""
 
 _MS_PER_S = 1000.0
 
 
 def compute_watch_ms(bound_ms: float) -> int:
-    """Compute how long a watch may wait.
+    """Compute the longest wait of a watch.
 
-    A proof is dated at the sending of a watch that then waits. When the
-    next one hangs on a connection that went silent, it is given up and a
-    short one asks again; all that must fit into the time for which a proof
-    counts. With watches of 1.8 s and a bound of 4.25 s one silent
-    connection made an entry refuse every keyed request for 0.3 s.
+    A watch confirms the copy as of the time at which it was sent. If the
+    next watch gets no response, it times out and a short one follows; the
+    copy must stay valid for the sum of these times. With watches of 1.8 s
+    and a bound of 4.25 s, one unresponsive connection made an entry refuse
+    all requests with keys for 0.3 s.
 
     Parameters
     ----------
     bound_ms : float
-        Time for which a proof counts, in milliseconds.
+        Age up to which the copy is valid, in milliseconds.
 
     Returns
     -------
     int
-        Milliseconds, at most ``MAX_WATCH_MS``.
+        Wait in milliseconds, at most ``MAX_WATCH_MS``.
     """
-    spent = store_module.WATCH_SLACK_MS + RETRY_MS + 2 * PROBE_WATCH_MS
-    return max(PROBE_WATCH_MS, min(MAX_WATCH_MS, int(bound_ms - spent) // 2))
+    overhead_ms = (
+        store_module.WATCH_TIMEOUT_MARGIN_MS + RETRY_MS + 2 * RECOVERY_WATCH_MS
+    )
+    return max(
+        RECOVERY_WATCH_MS, min(MAX_WATCH_MS, int(bound_ms - overhead_ms) // 2)
+    )
 
 
 logger = structlog.get_logger(__name__)
 
 
 @attrs.frozen
-class Update:
+class ChangeSet:
     """All changes between two revisions of the store.
 
     Attributes
     ----------
     since, until : int
-        Revisions; a copy that has reached the first reaches the second.
+        Revisions; the changes advance a copy from the first to the second.
     items : tuple of store_module.Item
-        Keys that changed.
+        Changed keys.
     exact : bool
-        Whether only a copy that has reached just ``since`` may take it: it
-        names no key that came and went in between, which a copy further on
-        may hold.
+        Whether it applies only to a copy that is exactly at ``since``. Keys
+        that were created and deleted in between are not listed, and a newer
+        copy may contain them.
     """
 
     since: int
@@ -132,293 +157,310 @@
 
 
 @attrs.frozen
-class Sharing:
-    """How entries spare each other calls; by default they do not.
+class Coordination:
+    """Callbacks by which entries share store calls through a collector.
+
+    With the defaults an entry uses no collector.
 
     Attributes
     ----------
-    is_fed : callable
-        Tells whether another entry keeps this copy current.
+    receives_feed : callable
+        Returns whether a collector keeps this copy current.
     shares_outage : callable
-        Tells whether the entry that would do so can't reach the store
+        Returns whether the collector responds but can't reach the store
         either.
-    feed : callable
-        Passes changes on to those whom this entry keeps current; returns
-        how many these are.
+    send_feed : callable
+        Sends changes to the entries that this one keeps current; returns
+        the number of these entries.
     has_collector : callable
-        Tells whether another entry is to keep this copy current.
-    may_catch_up : callable
-        Tells whether that entry is current and will bring what is missing.
-    hand_over : callable
-        Leaves keeping others current to another entry, where this one does.
-    draw : callable
-        Random numbers from 0 to under 1.
+        Returns whether another entry is the collector of this one.
+    expects_catch_up : callable
+        Returns whether the collector is current and will send the changes
+        that this copy lacks.
+    hand_over_collection : callable
+        Makes another entry the collector, if this entry is one.
+    draw_random : callable
+        Returns a random number from 0 (inclusive) to 1 (exclusive).
     """
 
-    is_fed: Callable[[], bool] = lambda: False
+    receives_feed: Callable[[], bool] = lambda: False
     shares_outage: Callable[[], bool] = lambda: False
-    feed: Callable[[Update], int] = lambda update: 0
+    send_feed: Callable[[ChangeSet], int] = lambda change_set: 0
     has_collector: Callable[[], bool] = lambda: False
-    may_catch_up: Callable[[], bool] = lambda: False
-    hand_over: Callable[[], None] = lambda: None
-    draw: Callable[[], float] = lambda: 0.0
+    expects_catch_up: Callable[[], bool] = lambda: False
+    hand_over_collection: Callable[[], None] = lambda: None
+    draw_random: Callable[[], float] = lambda: 0.0
 
 
 class Follower:
-    """Reads all keys once and then follows their changes.
+    """Reads all keys once and then applies their changes.
 
     Parameters
     ----------
     clock : clock_module.Clock
         Source of time.
     store : store_module.Store
-        The store.
-    beliefs : beliefs_module.Beliefs
-        Takes configuration and servers.
+        Client of the store.
+    routing_state : beliefs_module.Beliefs
+        Receives configuration and servers.
     view : view_module.View
-        Takes registrations.
-    lead : leadership_module.Leadership
-        Takes who leads.
+        Receives registrations of entries.
+    leadership : leadership_module.Leadership
+        Receives changes of the leader.
     watch_ms : int
-        Length of a watch, in milliseconds.
-    sharing : Sharing, optional
-        How it spares calls.
+        Wait of a watch, in milliseconds.
+    coordination : Coordination, optional
+        Callbacks for sharing store calls.
 
     Attributes
     ----------
     revision : int
-        Revision of the store that the copy has reached.
-    old_lease : int or None
-        Lease under which an earlier process of this host was registered; 0
-        for none, None before the first reading.
+        Store revision of the local copy.
+    previous_lease : int or None
+        Lease under which an earlier process of this host is registered; 0
+        for none, None before the first read.
     """
 
     def __init__(
         self,
         clock: clock_module.Clock,
         store: store_module.Store,
-        beliefs: beliefs_module.Beliefs,
+        routing_state: beliefs_module.Beliefs,
         view: view_module.View,
-        lead: leadership_module.Leadership,
+        leadership: leadership_module.Leadership,
         watch_ms: int = MAX_WATCH_MS,
-        sharing: Sharing | None = None,
+        coordination: Coordination | None = None,
     ) -> None:
         self._clock = clock
         self._store = store
-        self._beliefs = beliefs
+        self._beliefs = routing_state
         self._view = view
-        self._lead = lead
+        self._lead = leadership
         self.revision = 0
-        self._must_read = True
-        self.old_lease: int | None = None
+        self._must_read_all = True
+        self.previous_lease: int | None = None
         self._known: dict[str, int] = {}
-        self._updates: collections.deque[Update] = collections.deque(
-            maxlen=MAX_UPDATES
+        self._change_sets: collections.deque[ChangeSet] = collections.deque(
+            maxlen=MAX_CHANGE_SETS
         )
         self._watch_ms = watch_ms
-        self._sharing = sharing or Sharing()
-        self._feeds = False
-        self._was_fed = False
+        self._coordination = coordination or Coordination()
+        self._sends_feed = False
+        self._received_feed = False
         self._reachable = False
         self._pause_ms = RETRY_MS
-        self._shared_age_ms = self._draw_from(SHARED_AGE_MS)
+        self._outage_max_age_ms = self._draw_uniform(OUTAGE_MAX_AGE_RANGE_MS)
 
     async def run(self) -> None:
         """Follow the store until cancelled."""
         while True:
             try:
-                if self._must_read:
+                if self._must_read_all:
                     await self._read_all()
-                    await asyncio.sleep(JOIN_PAUSE_MS / _MS_PER_S)
-                if self._sharing.is_fed():
-                    self._was_fed = True
-                    await asyncio.sleep(FED_CHECK_MS / _MS_PER_S)
-                elif self._awaits_feed():
-                    await asyncio.sleep(FED_CHECK_MS / _MS_PER_S)
+                    await asyncio.sleep(FIRST_WATCH_DELAY_MS / _MS_PER_S)
+                if self._coordination.receives_feed():
+                    self._received_feed = True
+                    await asyncio.sleep(FEED_CHECK_MS / _MS_PER_S)
+                elif self._should_wait_for_collector():
+                    await asyncio.sleep(FEED_CHECK_MS / _MS_PER_S)
                 elif self._is_far_behind():
                     await self._read_all()
                 else:
                     await self._watch()
             except exceptions.HistoryLost:
                 logger.warning('history_lost', revision=self.revision)
-                self._must_read = True
+                self._must_read_all = True
             except exceptions.StoreError as error:
                 self._note_reachable(False, str(error))
-                self._sharing.hand_over()
+                self._coordination.hand_over_collection()
                 await self._pause()
 
-    def _awaits_feed(self) -> bool:
-        """Tell whether a word of the collector may still spare a call."""
-        if self._sharing.may_catch_up():
+    def _should_wait_for_collector(self) -> bool:
+        """Return whether the collector's feed may still replace a call."""
+        if self._coordination.expects_catch_up():
             return True
         age = self._beliefs.proof.compute_age(self._clock.now())
-        if age is None or not self._sharing.has_collector():
+        if age is None or not self._coordination.has_collector():
             return False
-        if self._sharing.shares_outage():
-            return age < self._shared_age_ms
+        if self._coordination.shares_outage():
+            return age < self._outage_max_age_ms
         return age < FEED_WAIT_MS
 
-    def _draw_from(self, limits: tuple[int, int]) -> int:
-        """Draw a time, so that entries do not ask together."""
-        least, most = limits
-        return round(least + self._sharing.draw() * (most - least))
+    def _draw_uniform(self, range_ms: tuple[int, int]) -> int:
+        """Draw a random time, so that entries do not call simultaneously."""
+        minimum, maximum = range_ms
+        return round(
+            minimum + self._coordination.draw_random() * (maximum - minimum)
+        )
 
     async def _pause(self) -> None:
-        """Wait until the store is worth another call.
+        """Wait before the next call after a failure.
 
-        The long pause of a shared outage ends with it: whoever is to collect
-        next would else be waited for by its whole failure domain.
+        The long delay ends together with the shared outage. Otherwise the
+        next collector could still be waiting, and its whole failure domain
+        with it.
         """
-        begun = self._clock.now()
-        end = begun + self._pause_ms
-        shared_end = begun
+        started_at = self._clock.now()
+        retry_at = started_at + self._pause_ms
+        outage_retry_at = started_at
         self._pause_ms = min(MAX_RETRY_MS, 2 * self._pause_ms)
-        if self._sharing.shares_outage():
-            shared_end = begun + self._draw_from(SHARED_RETRY_MS)
-        while not self._sharing.is_fed():
+        if self._coordination.shares_outage():
+            outage_retry_at = started_at + self._draw_uniform(
+                OUTAGE_RETRY_RANGE_MS
+            )
+        while not self._coordination.receives_feed():
             now = self._clock.now()
-            if now < shared_end and self._sharing.shares_outage():
-                left_ms = shared_end - now
+            if now < outage_retry_at and self._coordination.shares_outage():
+                remaining_ms = outage_retry_at - now
             else:
-                left_ms = end - now
-            if left_ms <= 0:
+                remaining_ms = retry_at - now
+            if remaining_ms <= 0:
                 return
-            await asyncio.sleep(min(FED_CHECK_MS, left_ms) / _MS_PER_S)
+            await asyncio.sleep(min(FEED_CHECK_MS, remaining_ms) / _MS_PER_S)
 
     async def _read_all(self) -> None:
-        """Read every key, and drop what is no longer there."""
+        """Read all keys and remove those that no longer exist."""
         sent_at = self._clock.now()
-        read = await self._store.read_all('')
-        # Another entry may have brought this copy further meanwhile.
+        snapshot = await self._store.read_all('')
+        # Changes from another entry may have been applied meanwhile.
         since = self.revision
         self._beliefs.note_contact(self._clock.now())
-        if self.old_lease is None:
-            self.old_lease = self._find_old_lease(read)
-        changes = self._compare(read)
+        if self.previous_lease is None:
+            self.previous_lease = self._find_previous_lease(snapshot)
+        changes = self._compare(snapshot)
         for item in changes:
             self._apply(item)
-        self.revision = max(since, read.revision)
-        self._must_read = False
+        self.revision = max(since, snapshot.revision)
+        self._must_read_all = False
         if since:
-            self._pass_on(Update(since, self.revision, changes, exact=True))
+            self._pass_on(ChangeSet(since, self.revision, changes, exact=True))
         self._beliefs.proof.renew(sent_at)
         self._note_reachable(True, '')
 
-    def _find_old_lease(self, read: store_module.Changes) -> int:
-        """Find the lease of an earlier process of this host; 0 for none."""
-        own_key = registry.ENTRIES_PREFIX + self._view.own.host
+    def _find_previous_lease(self, snapshot: store_module.Changes) -> int:
+        """Return the lease of an earlier process of this host; 0 for none."""
+        local_key = registry.ENTRIES_PREFIX + self._view.own.host
         return next(
-            (item.lease for item in read.items if item.key == own_key), 0
+            (item.lease for item in snapshot.items if item.key == local_key), 0
         )
 
     def _compare(
-        self, read: store_module.Changes
+        self, snapshot: store_module.Changes
     ) -> tuple[store_module.Item, ...]:
-        """List what has changed since the copy's revision, deletions first.
+        """List the changes since the copy's revision, deletions first.
 
-        A key that the copy has in a newer version than its revision is
-        listed too, as other copies of that revision may lack it.
+        Keys that this copy already has in a newer version than its revision
+        are listed too, because other copies of that revision may lack them.
         """
-        present = {item.key for item in read.items}
-        gone = [
-            store_module.Item(key, read.revision, None)
+        present = {item.key for item in snapshot.items}
+        deleted = [
+            store_module.Item(key, snapshot.revision, None)
             for key in self._known
             if key not in present
         ]
-        new = [item for item in read.items if item.revision > self.revision]
-        return (*gone, *new)
+        changed = [
+            item for item in snapshot.items if item.revision > self.revision
+        ]
+        return (*deleted, *changed)
+
+    def _pass_on(self, change_set: ChangeSet) -> None:
+        """Retain changes and send them to entries that use this collector."""
+        self._keep(change_set)
+        self._sends_feed = self._coordination.send_feed(change_set) > 0
 
-    def _pass_on(self, update: Update) -> None:
-        """Keep changes, and pass them on to those who rely on this entry."""
-        self._keep(update)
-        self._feeds = self._sharing.feed(update) > 0
+    def _keep(self, change_set: ChangeSet) -> None:
+        if change_set.until > change_set.since:
+            self._change_sets.append(change_set)
 
-    def _keep(self, update: Update) -> None:
-        if update.until > update.since:
-            self._updates.append(update)
+    def find_changes_since(self, revision: int) -> ChangeSet | None:
+        """Combine all changes after the revision of another copy.
 
-    def find_since(self, revision: int) -> Update | None:
-        """Find all changes after a revision that another copy has reached.
+        Parameters
+        ----------
+        revision : int
+            Revision that the other copy has reached.
 
         Returns
         -------
-        Update or None
-            None where there are none, or they are no longer kept.
+        ChangeSet or None
+            None if there are no changes or they are no longer retained.
         """
         items: dict[str, store_module.Item] = {}
-        reached = self.revision
+        covered_since = self.revision
         exact = False
-        for update in reversed(self._updates):
-            if reached <= revision:
+        for change_set in reversed(self._change_sets):
+            if covered_since <= revision:
                 break
-            if update.until < reached:
+            if change_set.until < covered_since:
                 return None
-            if update.exact and update.since < revision:
+            if change_set.exact and change_set.since < revision:
                 return None
-            for item in update.items:
-                known = items.get(item.key)
-                if known is None or known.revision < item.revision:
+            for item in change_set.items:
+                previous = items.get(item.key)
+                if previous is None or previous.revision < item.revision:
                     items[item.key] = item
-            reached = min(reached, update.since)
-            exact = exact or update.exact
-        if reached > revision or self.revision <= revision:
+            covered_since = min(covered_since, change_set.since)
+            exact = exact or change_set.exact
+        if covered_since > revision or self.revision <= revision:
             return None
-        return Update(revision, self.revision, tuple(items.values()), exact)
+        return ChangeSet(revision, self.revision, tuple(items.values()), exact)
 
     async def _watch(self) -> None:
         sent_at = self._clock.now()
         since = self.revision
-        changes = await self._store.watch('', since, self._choose_wait())
+        changes = await self._store.watch('', since, self._choose_watch_ms())
         self._beliefs.note_contact(self._clock.now())
-        self._was_fed = False
+        self._received_feed = False
         for item in changes.items:
             self._apply(item)
         self.revision = max(self.revision, changes.revision)
-        self._pass_on(Update(since, changes.revision, changes.items))
-        # What was acknowledged before the call was sent is in its answer.
+        self._pass_on(ChangeSet(since, changes.revision, changes.items))
+        # The response includes every write acknowledged before the call was
+        # sent.
         self._beliefs.proof.renew(sent_at)
         self._note_reachable(True, '')
-        self._shared_age_ms = self._draw_from(SHARED_AGE_MS)
+        self._outage_max_age_ms = self._draw_uniform(OUTAGE_MAX_AGE_RANGE_MS)
         if changes.items:
             await asyncio.sleep(COALESCE_MS / _MS_PER_S)
 
     def _is_far_behind(self) -> bool:
-        """Tell whether reading all is cheaper than all changes since.
+        """Return whether reading all keys is cheaper than a watch.
 
-        A watch brings each version of a key that was written meanwhile.
+        A watch returns each version of a key that was written meanwhile.
         """
         age = self._beliefs.proof.compute_age(self._clock.now())
-        return age is None or age > REREAD_AGE_MS
-
-    def _choose_wait(self) -> int:
-        """Choose the length of the next watch."""
-        if not self._reachable or self._was_fed:
-            # The one who kept this copy current is no longer relied on,
-            # and its proof has aged meanwhile.
-            return PROBE_WATCH_MS
-        if self._feeds:
-            return min(FEEDING_WATCH_MS, self._watch_ms)
+        return age is None or age > FULL_READ_AGE_MS
+
+    def _choose_watch_ms(self) -> int:
+        """Choose the wait of the next watch."""
+        if not self._reachable or self._received_feed:
+            # The collector no longer keeps this copy current, and the copy
+            # has aged meanwhile.
+            return RECOVERY_WATCH_MS
+        if self._sends_feed:
+            return min(COLLECTOR_WATCH_MS, self._watch_ms)
         return self._watch_ms
 
-    def take_update(self, update: Update) -> None:
-        """Take changes that another entry has passed on.
+    def apply_change_set(self, change_set: ChangeSet) -> None:
+        """Apply changes that another entry has sent.
 
-        One that begins later than this copy ends is left: one before it
-        was lost, and the news that follow show that this copy is behind.
+        Changes that start after the revision of this copy are ignored. An
+        earlier datagram was lost, and the next state update reports that
+        this copy is behind.
         """
-        if self.revision == 0 or update.since > self.revision:
+        if self.revision == 0 or change_set.since > self.revision:
             return
-        if update.exact and update.since != self.revision:
+        if change_set.exact and change_set.since != self.revision:
             return
         self._beliefs.note_contact(self._clock.now())
-        for item in update.items:
+        for item in change_set.items:
             self._apply(item)
-        if update.until > self.revision:
-            self.revision = update.until
-            self._keep(update)
+        if change_set.until > self.revision:
+            self.revision = change_set.until
+            self._keep(change_set)
 
     def _apply(self, item: store_module.Item) -> None:
-        """Apply a change once; a repeated or older one changes nothing."""
+        """Apply a change; a duplicate or an older one has no effect."""
         if item.revision <= self._known.get(item.key, 0):
             return
         if item.value is None:
@@ -431,7 +473,7 @@
     def _take(self, key: str, value: bytes, revision: int) -> None:
         now = self._clock.now()
         if key == documents.CONFIGURATION_KEY:
-            self._take_configuration(value)
+            self._apply_configuration(value)
         elif key.startswith(documents.SERVERS_PREFIX):
             server = documents.decode_server(key, value)
             if server is not None:
@@ -443,20 +485,21 @@
             record = registry.decode_record(key, value)
             if record is not None:
                 self._view.take_record(record, now)
-        elif key == registry.LEAD_KEY:
+        elif key == registry.LEADER_KEY:
             self._lead.take_holder(
-                registry.decode_holder(value, revision), now
+                registry.decode_leader(value, revision), now
             )
 
-    def _take_configuration(self, value: bytes) -> None:
+    def _apply_configuration(self, value: bytes) -> None:
         try:
-            read = documents.decode_configuration(value)
+            configuration = documents.decode_configuration(value)
         except exceptions.DecodeError as error:
-            # The store takes only valid ones, so this is a form that this
-            # version does not know. The one in force stays.
+            # The store accepts only valid configurations, so this one uses a
+            # schema that this version does not support. The configuration in
+            # force stays.
             logger.error('configuration_malformed', reason=str(error))
             return
-        self._beliefs.take_configuration(read)
+        self._beliefs.take_configuration(configuration)
 
     def _remove(self, key: str) -> None:
         now = self._clock.now()
@@ -465,7 +508,7 @@
             self._beliefs.remove_server(name, now)
         elif key.startswith(registry.ENTRIES_PREFIX):
             self._view.remove(key.removeprefix(registry.ENTRIES_PREFIX))
-        elif key == registry.LEAD_KEY:
+        elif key == registry.LEADER_KEY:
             self._lead.take_holder(None, now)
 
     def _note_reachable(self, reachable: bool, reason: str) -> None:
--- a/src/thornspool/platform/peers.py
+++ b/src/thornspool/platform/peers.py
@@ -1,8 +1,8 @@
-"""Datagrams between entries: news, and changes of the store's keys.
+"""Datagrams between entries: state updates and changes of store keys.
 
-News is worth nothing after half a second, and a connection to a host that
-is frozen or cut off would keep it for later; so it goes by datagrams, one
-loss of which the next one mends.
+A state update is outdated after half a second. A connection to a suspended
+or unreachable host would buffer it for later delivery. Datagrams avoid this,
+and the next one makes up for a lost one.
 """
 
 from __future__ import annotations
@@ -23,198 +23,228 @@
     from collections.abc import Callable
     from collections.abc import Iterable
 
-MAX_BYTES = 60_000
-"""Largest datagram that is sent; UDP over IPv4 ends at 65,507."""
+MAX_DATAGRAM_BYTES = 60_000
+"""Largest datagram that is sent; the limit of UDP over IPv4 is 65,507."""
 
-TAKEN_UNIT = 1000.0
-"""Token-layers of one unit in news; a usual request takes some 8,000."""
+RESERVED_UNIT_TOKEN_LAYERS = 1000.0
+"""Token-layers per unit in a state update; a usual request reserves about
+8,000."""
 
-PACE_UNITS = 10
-"""Units of a pace in news: tenths, as finer ones change no path."""
+SLOWDOWN_UNITS = 10
+"""Units per 1.0 of a slowdown factor; finer differences change no path."""
 
 COMPRESSION_LEVEL = 1
-"""The fastest; a configuration of 1,900 routes shrinks from 376 kB to under
-a tenth of it in some 4 ms."""
+"""Fastest level of zlib.
+
+It compresses a configuration of 1,900 routes from 376 kB to less than a
+tenth in about 4 ms.
+"""
 
 logger = structlog.get_logger(__name__)
 
 
-class _News(msgspec.Struct, array_like=True, tag=0):
+class _StateUpdate(msgspec.Struct, array_like=True, tag=0):
     host: str
     incarnation: str
     state: str
     stamp: int
-    heard_stamp: int
+    received_stamp: int
     revision: int
     proof_age_ms: int
-    # Thousands, which are two bytes in place of five.
-    taken: dict[int, int]
+    # In RESERVED_UNIT_TOKEN_LAYERS, which takes two bytes instead of five.
+    reserved: dict[int, int]
     suspects: list[str]
     scope: str
-    absent: list[str]
-    # Tenths.
-    slow: dict[int, int]
+    absent_hosts: list[str]
+    # In tenths, see SLOWDOWN_UNITS.
+    slowdowns: dict[int, int]
     refusing: list[int]
-    work: dict[int, int]
-    breaking: list[int] = []
-    # First layer and end.
-    moving: dict[int, tuple[int, int]] = {}
-    shut_out_ms: int = 0
+    request_counts: dict[int, int]
+    failing: list[int] = []
+    # First layer and end of each retained range.
+    retained_ranges: dict[int, tuple[int, int]] = {}
+    rejected_ms: int = 0
 
 
-class _Update(msgspec.Struct, array_like=True, tag=1):
+class _ChangeSet(msgspec.Struct, array_like=True, tag=1):
     since: int
     until: int
-    # Compressed.
+    # Compressed, see _ChangedItems.
     items: bytes
     exact: bool = False
 
 
-_Items = list[tuple[str, int, bytes | None]]
+_ChangedItems = list[tuple[str, int, bytes | None]]
 
-_DECODER = msgspec.msgpack.Decoder(_News | _Update)
+_DECODER = msgspec.msgpack.Decoder(_StateUpdate | _ChangeSet)
 
 
-def encode_news(news: messages.News) -> bytes:
-    """Encode news."""
+def encode_news(state_update: messages.News) -> bytes:
+    """Encode a state update as a datagram."""
     return msgspec.msgpack.encode(
-        _News(
-            news.host,
-            news.incarnation,
-            news.state.value,
-            news.stamp,
-            news.heard_stamp,
-            news.revision,
-            news.proof_age_ms,
+        _StateUpdate(
+            state_update.host,
+            state_update.incarnation,
+            state_update.state.value,
+            state_update.stamp,
+            state_update.heard_stamp,
+            state_update.revision,
+            state_update.proof_age_ms,
+            {
+                server_hash: math.ceil(reserved / RESERVED_UNIT_TOKEN_LAYERS)
+                for server_hash, reserved in state_update.taken.items()
+            },
+            list(state_update.suspects),
+            state_update.scope.value,
+            list(state_update.absent),
             {
-                mark: math.ceil(taken / TAKEN_UNIT)
-                for mark, taken in news.taken.items()
+                server_hash: round(slowdown * SLOWDOWN_UNITS)
+                for server_hash, slowdown in state_update.slow.items()
             },
-            list(news.suspects),
-            news.scope.value,
-            list(news.absent),
+            list(state_update.refusing),
             {
-                mark: round(pace * PACE_UNITS)
-                for mark, pace in news.slow.items()
+                server_hash: round(count)
+                for server_hash, count in state_update.work.items()
             },
-            list(news.refusing),
-            {mark: round(amount) for mark, amount in news.work.items()},
-            list(news.breaking),
-            news.moving,
-            news.shut_out_ms,
+            list(state_update.breaking),
+            state_update.moving,
+            state_update.shut_out_ms,
         )
     )
 
 
-def encode_update(update: follower.Update) -> bytes:
-    """Encode changes of the store's keys."""
-    items = [(one.key, one.revision, one.value) for one in update.items]
-    packed = zlib.compress(msgspec.msgpack.encode(items), COMPRESSION_LEVEL)
+def encode_change_set(change_set: follower.ChangeSet) -> bytes:
+    """Encode changes of store keys as a datagram."""
+    items = [
+        (item.key, item.revision, item.value) for item in change_set.items
+    ]
+    compressed = zlib.compress(
+        msgspec.msgpack.encode(items), COMPRESSION_LEVEL
+    )
     return msgspec.msgpack.encode(
-        _Update(update.since, update.until, packed, update.exact)
+        _ChangeSet(
+            change_set.since, change_set.until, compressed, change_set.exact
+        )
     )
 
 
-def decode(raw: bytes) -> messages.News | follower.Update | None:
-    """Decode a datagram; None for bytes that are none, which are logged."""
+def decode(raw: bytes) -> messages.News | follower.ChangeSet | None:
+    """Decode a datagram; malformed ones are logged and give None."""
     try:
-        read = _DECODER.decode(raw)
-        if isinstance(read, _Update):
-            return _convert_update(read)
-        return _convert_news(read)
+        message = _DECODER.decode(raw)
+        if isinstance(message, _ChangeSet):
+            return _convert_change_set(message)
+        return _convert_state_update(message)
     except (msgspec.DecodeError, ValueError, zlib.error) as error:
         logger.warning('datagram_malformed', reason=str(error))
         return None
 
 
-def _convert_update(read: _Update) -> follower.Update:
-    items = msgspec.msgpack.decode(zlib.decompress(read.items), type=_Items)
-    return follower.Update(
-        read.since,
-        read.until,
-        tuple(store.Item(*one) for one in items),
-        read.exact,
+def _convert_change_set(message: _ChangeSet) -> follower.ChangeSet:
+    items = msgspec.msgpack.decode(
+        zlib.decompress(message.items), type=_ChangedItems
+    )
+    return follower.ChangeSet(
+        message.since,
+        message.until,
+        tuple(store.Item(*item) for item in items),
+        message.exact,
     )
 
 
-def _convert_news(read: _News) -> messages.News:
-    state = messages.State(read.state)
+def _convert_state_update(message: _StateUpdate) -> messages.News:
+    state = messages.State(message.state)
     return messages.News(
-        read.host,
-        read.incarnation,
+        message.host,
+        message.incarnation,
         state,
-        read.stamp,
-        read.heard_stamp,
-        read.revision,
-        read.proof_age_ms,
-        {mark: taken * TAKEN_UNIT for mark, taken in read.taken.items()},
-        tuple(read.suspects),
-        messages.Scope(read.scope),
-        tuple(read.absent),
-        {mark: pace / PACE_UNITS for mark, pace in read.slow.items()},
-        tuple(read.refusing),
-        {mark: float(amount) for mark, amount in read.work.items()},
-        tuple(read.breaking),
-        read.moving,
-        read.shut_out_ms,
+        message.stamp,
+        message.received_stamp,
+        message.revision,
+        message.proof_age_ms,
+        {
+            server_hash: units * RESERVED_UNIT_TOKEN_LAYERS
+            for server_hash, units in message.reserved.items()
+        },
+        tuple(message.suspects),
+        messages.Scope(message.scope),
+        tuple(message.absent_hosts),
+        {
+            server_hash: slowdown / SLOWDOWN_UNITS
+            for server_hash, slowdown in message.slowdowns.items()
+        },
+        tuple(message.refusing),
+        {
+            server_hash: float(count)
+            for server_hash, count in message.request_counts.items()
+        },
+        tuple(message.failing),
+        message.retained_ranges,
+        message.rejected_ms,
     )
 
 
-class Datagrams(asyncio.DatagramProtocol):
-    """Sends and takes news and changes.
+class PeerSocket(asyncio.DatagramProtocol):
+    """UDP socket that exchanges state updates and changes with peers.
 
     Parameters
     ----------
-    take_news, take_update : callable
-        Take what peers tell.
+    on_state_update : callable
+        Called with each state update that is received.
+    on_change_set : callable
+        Called with each change set that is received.
     """
 
     def __init__(
         self,
-        take_news: Callable[[messages.News], None],
-        take_update: Callable[[follower.Update], None],
+        on_state_update: Callable[[messages.News], None],
+        on_change_set: Callable[[follower.ChangeSet], None],
     ) -> None:
-        self._take_news = take_news
-        self._take_update = take_update
+        self._take_news = on_state_update
+        self._on_change_set = on_change_set
         self._transport: asyncio.DatagramTransport | None = None
 
     async def open(self, ip: str, port: int) -> None:
-        """Listen for peers."""
+        """Bind the socket to ``ip:port``."""
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(
             lambda: self, local_addr=(ip, port)
         )
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the socket."""
+        """Store the transport of the bound socket."""
         self._transport = typing.cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: object) -> None:
-        """Take one datagram."""
-        read = decode(data)
-        if isinstance(read, messages.News):
-            self._take_news(read)
-        elif read is not None:
-            self._take_update(read)
+        """Decode one datagram and call its handler."""
+        message = decode(data)
+        if isinstance(message, messages.News):
+            self._take_news(message)
+        elif message is not None:
+            self._on_change_set(message)
 
     def error_received(self, exc: Exception) -> None:
-        """Note that a datagram could not be delivered."""
+        """Log that a datagram could not be delivered."""
         logger.debug('datagram_failed', reason=str(exc))
 
-    def send(self, address: str, news: messages.News) -> None:
-        """Send news to ``ip:port``."""
-        raw = encode_news(news)
-        if len(raw) > MAX_BYTES:
+    def send(self, address: str, state_update: messages.News) -> None:
+        """Send a state update to ``ip:port``."""
+        raw = encode_news(state_update)
+        if len(raw) > MAX_DATAGRAM_BYTES:
             logger.warning('news_too_large', bytes=len(raw))
             return
         self._send_raw(address, raw)
 
-    def send_update(
-        self, addresses: Iterable[str], update: follower.Update
+    def send_change_set(
+        self, addresses: Iterable[str], change_set: follower.ChangeSet
     ) -> None:
-        """Send changes to many; large ones are left for them to ask for."""
-        raw = encode_update(update)
-        if len(raw) > MAX_BYTES:
+        """Send changes to several peers.
+
+        Changes that do not fit into a datagram are not sent; the peers read
+        them from the store.
+        """
+        raw = encode_change_set(change_set)
+        if len(raw) > MAX_DATAGRAM_BYTES:
             logger.info('update_too_large', bytes=len(raw))
             return
         for address in addresses:
--- a/src/thornspool/platform/readings.py
+++ b/src/thornspool/platform/readings.py
@@ -1,4 +1,4 @@
-"""What operators watch of an entry on the platform, read at a scrape."""
+"""Metrics of an entry on the platform, collected at each scrape."""
 
 from __future__ import annotations
 
@@ -32,30 +32,34 @@
 
 
 @attrs.frozen
-class Sources:
-    """The parts of an entry that know what is read."""
+class MetricSources:
+    """Objects of an entry from which the metrics are collected."""
 
     clock: clock_module.Clock
     store: store.Store
-    beliefs: beliefs_module.Beliefs
+    routing_state: beliefs_module.Beliefs
     view: view_module.View
-    lead: leadership.Leadership
-    taken: reservations.Reservations
-    budget: repeats.Repeats
+    leader: leadership.Leadership
+    reserved: reservations.Reservations
+    retry_budget: repeats.Repeats
     membership: membership_module.MembershipService
     placement: placement_module.PlacementService
     intake: intake_module.Intake
 
 
-def add_readings(metrics: metrics_module.Metrics, sources: Sources) -> None:
-    """Have an entry's state shown with its metrics."""
+def add_entry_metrics(
+    metrics: metrics_module.Metrics, sources: MetricSources
+) -> None:
+    """Register the metrics of an entry's state."""
     _add_entry(metrics, sources)
     _add_store(metrics, sources)
     _add_engines(metrics, sources)
 
 
-def _add_entry(metrics: metrics_module.Metrics, sources: Sources) -> None:
-    """Add what this entry does, and what it believes of the others."""
+def _add_entry(
+    metrics: metrics_module.Metrics, sources: MetricSources
+) -> None:
+    """Add metrics of this entry and its view of the other entries."""
     metrics.add_gauge(
         'thornspool_serving',
         '1 while callers are led to this entry.',
@@ -67,7 +71,7 @@
         'thornspool_leads',
         '1 while this entry gives orders to engines.',
         metrics_module.read_one(
-            lambda: sources.lead.may_act(sources.clock.now())
+            lambda: sources.leader.may_act(sources.clock.now())
         ),
     )
     metrics.add_gauge(
@@ -83,7 +87,7 @@
     metrics.add_counter(
         'thornspool_repeats_refused_total',
         'Repeats that were due and for which the budget had no room.',
-        metrics_module.read_one(lambda: sources.budget.refused),
+        metrics_module.read_one(lambda: sources.retry_budget.refused),
     )
     metrics.add_counter(
         'thornspool_orders_total',
@@ -92,8 +96,10 @@
     )
 
 
-def _add_store(metrics: metrics_module.Metrics, sources: Sources) -> None:
-    """Add how current the copy of the store is, and what that costs."""
+def _add_store(
+    metrics: metrics_module.Metrics, sources: MetricSources
+) -> None:
+    """Add metrics of the local copy's freshness and of the store calls."""
     metrics.add_gauge(
         'thornspool_configuration_version',
         'Version of the configuration in force here; 0 before the first.',
@@ -120,8 +126,10 @@
     )
 
 
-def _add_engines(metrics: metrics_module.Metrics, sources: Sources) -> None:
-    """Add what is believed of engines, by failure domain."""
+def _add_engines(
+    metrics: metrics_module.Metrics, sources: MetricSources
+) -> None:
+    """Add metrics of the engines by failure domain."""
     metrics.add_gauge(
         'thornspool_engines',
         'Servers of the list by failure domain and what is believed.',
@@ -130,17 +138,17 @@
     metrics.add_gauge(
         'thornspool_layers_missing',
         'Layers of models that no engine of a failure domain holds.',
-        lambda: _count_missing(sources),
+        lambda: _count_uncovered_layers(sources),
     )
     metrics.add_gauge(
         'thornspool_engine_memory_taken_ratio',
         'Share of the memory for tokens that requests hold, by failure '
         'domain.',
-        lambda: _measure_taken(sources),
+        lambda: _measure_reserved_ratio(sources),
     )
 
 
-def _count_entries(sources: Sources) -> list[metrics_module.Reading]:
+def _count_entries(sources: MetricSources) -> list[metrics_module.Reading]:
     serving = len(sources.view.list_serving(sources.clock.now()))
     return metrics_module.list_by(
         'state',
@@ -148,32 +156,32 @@
     )
 
 
-def _read_version(sources: Sources) -> int:
-    configuration = sources.beliefs.configuration
+def _read_version(sources: MetricSources) -> int:
+    configuration = sources.routing_state.configuration
     return 0 if configuration is None else configuration.version
 
 
-def _read_proof_age(sources: Sources) -> list[metrics_module.Reading]:
-    age = sources.beliefs.proof.compute_age(sources.clock.now())
+def _read_proof_age(sources: MetricSources) -> list[metrics_module.Reading]:
+    age = sources.routing_state.proof.compute_age(sources.clock.now())
     return [] if age is None else [metrics_module.Reading(age / _MS_PER_S)]
 
 
-def _count_engines(sources: Sources) -> list[metrics_module.Reading]:
+def _count_engines(sources: MetricSources) -> list[metrics_module.Reading]:
     counts: collections.Counter[tuple[str, str]] = collections.Counter()
-    servers = sources.beliefs.servers.values()
-    for one in servers:
-        counts[(one.failure_domain, _name_state(one, sources))] += 1
+    servers = sources.routing_state.servers.values()
+    for server in servers:
+        counts[(server.failure_domain, _name_state(server, sources))] += 1
     return [
         metrics_module.Reading(
             counts[(domain, state)], {'domain': domain, 'state': state}
         )
-        for domain in sorted({one.failure_domain for one in servers})
+        for domain in sorted({server.failure_domain for server in servers})
         for state in _STATES
     ]
 
 
-def _name_state(server: fleet.Server, sources: Sources) -> str:
-    if server.id in sources.beliefs.suspects:
+def _name_state(server: fleet.Server, sources: MetricSources) -> str:
+    if server.id in sources.routing_state.suspects:
         return 'suspected'
     if server.draining:
         return 'draining'
@@ -182,54 +190,66 @@
     return 'ready'
 
 
-def _find_model(server: fleet.Server, sources: Sources) -> fleet.Model | None:
-    return sources.beliefs.find_model(server.service)
+def _find_model(
+    server: fleet.Server, sources: MetricSources
+) -> fleet.Model | None:
+    return sources.routing_state.find_model(server.service)
 
 
 def _group_engines(
-    sources: Sources,
+    sources: MetricSources,
 ) -> dict[tuple[str, str], list[fleet.Server]]:
-    """Group the engines of models by service and failure domain."""
+    """Group the engines that serve models by service and failure domain."""
     groups: dict[tuple[str, str], list[fleet.Server]] = {}
-    for one in sources.beliefs.servers.values():
-        if _find_model(one, sources) is not None:
-            key = (one.service, one.failure_domain)
-            groups.setdefault(key, []).append(one)
+    for server in sources.routing_state.servers.values():
+        if _find_model(server, sources) is not None:
+            key = (server.service, server.failure_domain)
+            groups.setdefault(key, []).append(server)
     return groups
 
 
 def _read_groups(
-    sources: Sources,
-    read: Callable[[fleet.Model, Iterable[fleet.Server]], float],
+    sources: MetricSources,
+    compute: Callable[[fleet.Model, Iterable[fleet.Server]], float],
 ) -> list[metrics_module.Reading]:
-    """Read a value of each service in each failure domain."""
+    """Compute a value for each service in each failure domain."""
     readings = []
     for (service, domain), engines in _group_engines(sources).items():
-        model = sources.beliefs.find_model(service)
+        model = sources.routing_state.find_model(service)
         assert model is not None
         labels = {'service': service, 'domain': domain}
-        readings.append(metrics_module.Reading(read(model, engines), labels))
+        readings.append(
+            metrics_module.Reading(compute(model, engines), labels)
+        )
     return readings
 
 
-def _count_missing(sources: Sources) -> list[metrics_module.Reading]:
+def _count_uncovered_layers(
+    sources: MetricSources,
+) -> list[metrics_module.Reading]:
     def count(model: fleet.Model, engines: Iterable[fleet.Server]) -> float:
-        held = [one.layers for one in engines if one.layers is not None]
-        holes = orders_module.find_holes(held, model.layers)
-        return sum(one.count for one in holes)
+        held = [
+            server.layers for server in engines if server.layers is not None
+        ]
+        gaps = orders_module.find_holes(held, model.layers)
+        return sum(gap.count for gap in gaps)
 
     return _read_groups(sources, count)
 
 
-def _measure_taken(sources: Sources) -> list[metrics_module.Reading]:
+def _measure_reserved_ratio(
+    sources: MetricSources,
+) -> list[metrics_module.Reading]:
     def measure(model: fleet.Model, engines: Iterable[fleet.Server]) -> float:
-        holding = [one for one in engines if one.layers is not None]
-        room = sum(
-            model.compute_room(one.kind, one.layers.count)
-            for one in holding
-            if one.layers is not None
+        placed = [server for server in engines if server.layers is not None]
+        capacity = sum(
+            model.compute_room(server.kind, server.layers.count)
+            for server in placed
+            if server.layers is not None
+        )
+        reserved = sum(
+            sources.reserved.compute_taken(server.id) for server in placed
         )
-        taken = sum(sources.taken.compute_taken(one.id) for one in holding)
-        return taken / room if room > 0 else 0.0
+        return reserved / capacity if capacity > 0 else 0.0
 
     return _read_groups(sources, measure)
--- a/src/thornspool/platform/registry.py
+++ b/src/thornspool/platform/registry.py
@@ -1,4 +1,4 @@
-"""Keys of this project in the store."""
+"""Registrations of entries and the leader key in the store."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 PREFIX = 'thornspool/'
 ENTRIES_PREFIX = PREFIX + 'entries/'
-LEAD_KEY = PREFIX + 'lead'
+LEADER_KEY = PREFIX + 'lead'
 
 logger = structlog.get_logger(__name__)
 
@@ -33,50 +33,55 @@
 
 
 class Registry:
-    """Registrations and the lead in the store.
+    """Writes registrations and the leader key to the store.
 
     Parameters
     ----------
     store : store_module.Store
-        The store.
+        Client of the store.
     """
 
     def __init__(self, store: store_module.Store) -> None:
         self._store = store
 
     async def open_lease(self, ttl_ms: int) -> int:
-        """Open a lease."""
-        with _translating():
+        """Open a lease of ``ttl_ms`` milliseconds; returns its id."""
+        with _translate_errors():
             return (await self._store.grant_lease(ttl_ms)).id
 
     async def renew_lease(self, lease: int) -> None:
         """Renew a lease."""
-        with _translating():
+        with _translate_errors():
             await self._store.renew_lease(lease)
 
     async def register(self, record: messages.Record, lease: int) -> None:
-        """Write the entry's own registration."""
+        """Write the registration of the local entry under a lease."""
         key = ENTRIES_PREFIX + record.host
         put = store_module.Put(key, _encode(record), lease)
-        with _translating():
+        with _translate_errors():
             await self._store.write({}, [put])
 
     async def claim_lead(
         self, record: messages.Record, lease: int, revision: int
     ) -> int:
-        """Write the key of the lead over a revision."""
-        put = store_module.Put(LEAD_KEY, _encode(record), lease)
-        with _translating():
-            return await self._store.write({LEAD_KEY: revision}, [put])
+        """Write the leader key if its revision is unchanged.
+
+        Returns the revision of the write.
+        """
+        put = store_module.Put(LEADER_KEY, _encode(record), lease)
+        with _translate_errors():
+            return await self._store.write({LEADER_KEY: revision}, [put])
 
     async def release_lead(self, revision: int) -> None:
-        """Delete the key of the lead, if it still has a revision."""
-        with _translating():
-            await self._store.write({LEAD_KEY: revision}, deletes=[LEAD_KEY])
+        """Delete the leader key if its revision is unchanged."""
+        with _translate_errors():
+            await self._store.write(
+                {LEADER_KEY: revision}, deletes=[LEADER_KEY]
+            )
 
 
 @contextlib.contextmanager
-def _translating() -> Iterator[None]:
+def _translate_errors() -> Iterator[None]:
     try:
         yield
     except exceptions.LeaseEnded as error:
@@ -100,25 +105,25 @@
 
 
 def decode_record(key: str, raw: bytes) -> messages.Record | None:
-    """Decode a registration; None for a malformed one, which is logged."""
-    read = _decode(key, raw)
-    if read is None:
+    """Decode a registration; malformed ones are logged and give None."""
+    document = _decode(key, raw)
+    if document is None:
         return None
     return messages.Record(
-        read.host,
-        read.incarnation,
-        read.failure_domain,
-        read.callers,
-        read.peers,
+        document.host,
+        document.incarnation,
+        document.failure_domain,
+        document.callers,
+        document.peers,
     )
 
 
-def decode_holder(raw: bytes, revision: int) -> leadership.Holder | None:
-    """Decode who holds the lead; None for a malformed one."""
-    read = _decode(LEAD_KEY, raw)
-    if read is None:
+def decode_leader(raw: bytes, revision: int) -> leadership.Holder | None:
+    """Decode the leader key; a malformed value is logged and gives None."""
+    document = _decode(LEADER_KEY, raw)
+    if document is None:
         return None
-    return leadership.Holder(read.host, read.incarnation, revision)
+    return leadership.Holder(document.host, document.incarnation, revision)
 
 
 def _decode(key: str, raw: bytes) -> _Record | None:
--- a/src/thornspool/platform/settings.py
+++ b/src/thornspool/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform writes for each process."""
+"""Reads the settings file that the platform writes for each process."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from thornspool.platform import exceptions
 
 FILE_VARIABLE = 'THORNSPOOL_NODE_FILE'
-DEFAULT_FILE = '/etc/thornspool/boot.json'
+DEFAULT_PATH = '/etc/thornspool/boot.json'
 
 
 class _Listen(msgspec.Struct):
@@ -51,57 +51,59 @@
 
 @attrs.frozen
 class Bounds:
-    """Promises that the deployment sets.
+    """Service levels that the deployment requires.
 
     Attributes
     ----------
     withdrawn_key_ms : int
-        Time after which a withdrawn key must not work anywhere.
+        Time after which every entry must reject a withdrawn key.
     drain_ms : int
-        Time after which a server that is leaving gets no request.
+        Time after which a draining server must get no new request.
     configuration_ms : int
-        Time after which a version must be in force.
+        Time after which a published configuration must be in force.
     grace_ms : int
         Time from SIGTERM to SIGKILL.
-    repeat_ratio, repeat_slack : float
-        Repeats allowed for each request of a service, and besides.
-    repeat_window_ms : int
-        Window of the two.
+    retry_ratio : float
+        Retries allowed per request of a service.
+    retry_slack : float
+        Retries allowed in addition to that.
+    retry_window_ms : int
+        Window in which requests and retries are counted.
     stall_ms : int
-        Time for which work waits for a lost engine before it is cut off.
+        Time for which a request waits for a lost engine until it is aborted.
     max_address_ttl_s : float
-        Longest time for which callers keep addresses.
+        Longest time for which callers may cache addresses.
     """
 
     withdrawn_key_ms: int
     drain_ms: int
     configuration_ms: int
     grace_ms: int
-    repeat_ratio: float
-    repeat_slack: float
-    repeat_window_ms: int
+    retry_ratio: float
+    retry_slack: float
+    retry_window_ms: int
     stall_ms: int
     max_address_ttl_s: float
 
 
 @attrs.frozen
 class NodeSettings:
-    """Settings of this process, in the project's words.
+    """Settings of this process.
 
     Attributes
     ----------
     host : str
         Name of this host.
     ip : str
-        Its address.
+        IP address of this host.
     failure_domain, region : str
-        Where it stands.
+        Location of this host.
     callers : str
-        ``ip:port`` for callers.
+        ``ip:port`` on which requests of callers are served.
     readiness : str
-        ``ip:port`` on which the platform asks whether it is ready.
+        ``ip:port`` on which the platform's readiness checks are served.
     lookups : str
-        ``ip:port`` on which callers ask for addresses.
+        ``ip:port`` on which callers look up addresses.
     peer_port : int
         Port for datagrams between entries, the same on every host.
     metrics_port : int
@@ -111,7 +113,7 @@
     heartbeat_ms : int
         Interval at which servers renew their entries in the list.
     bounds : Bounds
-        Promises.
+        Required service levels.
     """
 
     host: str
@@ -130,21 +132,32 @@
 
 def find_file() -> pathlib.Path:
     """Return the path of the settings file."""
-    return pathlib.Path(os.environ.get(FILE_VARIABLE, DEFAULT_FILE))
+    return pathlib.Path(os.environ.get(FILE_VARIABLE, DEFAULT_PATH))
 
 
 def read_settings(path: pathlib.Path) -> NodeSettings:
-    """Read and check the settings file.
+    """Read and validate the settings file.
+
+    Parameters
+    ----------
+    path : pathlib.Path
+        The file.
+
+    Returns
+    -------
+    NodeSettings
+        The settings.
 
     Raises
     ------
-    exceptions.NodeFileError
-        Names the file and the field.
+    exceptions.SettingsFileError
+        If the file is missing or malformed; the message names the file and
+        the field.
     """
     try:
         raw = path.read_bytes()
     except OSError as error:
-        raise exceptions.NodeFileError(
+        raise exceptions.SettingsFileError(
             f'{path}: {error.strerror}.',
             f'Set {FILE_VARIABLE} to the settings file of this host.',
         ) from error
@@ -152,32 +165,32 @@
 
 
 def decode_settings(raw: bytes, source: str) -> NodeSettings:
-    """Decode settings from bytes; ``source`` names them in errors."""
+    """Decode settings from JSON; error messages name ``source``."""
     try:
-        node = msgspec.json.decode(raw, type=_NodeFile)
+        document = msgspec.json.decode(raw, type=_NodeFile)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise exceptions.NodeFileError(f'{source}: {error}.') from error
-    bounds = node.bounds
+        raise exceptions.SettingsFileError(f'{source}: {error}.') from error
+    bounds = document.bounds
     return NodeSettings(
-        host=node.node,
-        ip=node.ip,
-        failure_domain=node.zone,
-        region=node.region,
-        callers=node.listen.front,
-        readiness=node.listen.ready,
-        lookups=node.listen.directory,
-        peer_port=node.port_range[0],
-        metrics_port=node.port_range[1],
-        store=node.platform.address,
-        heartbeat_ms=node.heartbeat_ms,
+        host=document.node,
+        ip=document.ip,
+        failure_domain=document.zone,
+        region=document.region,
+        callers=document.listen.front,
+        readiness=document.listen.ready,
+        lookups=document.listen.directory,
+        peer_port=document.port_range[0],
+        metrics_port=document.port_range[1],
+        store=document.platform.address,
+        heartbeat_ms=document.heartbeat_ms,
         bounds=Bounds(
             withdrawn_key_ms=bounds.revoke_ms,
             drain_ms=bounds.drain_ms,
             configuration_ms=bounds.config_ms,
             grace_ms=round(bounds.grace_s * 1000),
-            repeat_ratio=bounds.budget_ratio,
-            repeat_slack=bounds.budget_slack,
-            repeat_window_ms=round(bounds.budget_window_s * 1000),
+            retry_ratio=bounds.budget_ratio,
+            retry_slack=bounds.budget_slack,
+            retry_window_ms=round(bounds.budget_window_s * 1000),
             stall_ms=bounds.stall_ms,
             max_address_ttl_s=bounds.ttl_max_s,
         ),
--- a/src/thornspool/platform/store.py
+++ b/src/thornspool/platform/store.py
@@ -15,27 +15,29 @@
 from thornspool.platform import exceptions
 
 CALL_TIMEOUT_MS = 1_500
-"""Longest wait for an answer.
+"""Longest time for a response.
 
-The store answers in 4 ms and, when it is slow, in some 60 times that; a call
-that it leaves without an answer must not hold up the proof of freshness,
-whose shortest bound is 5 s.
+The store responds in 4 ms, or about 60 times that when it is slow. A call
+without a response must not delay the confirmation of freshness, whose
+shortest bound is 5 s.
 """
 
-WATCH_SLACK_MS = 750
-"""Longest wait for the answer to a watch, beyond what it was to wait; three
-times what the store takes when it is slow (4 ms x 60)."""
+WATCH_TIMEOUT_MARGIN_MS = 750
+"""Time added to the wait of a watch for its response.
 
-PAUSE_MS = 750
-"""Longest pause inside an answer.
+It is three times the latency of a slow store (4 ms x 60).
+"""
+
+IDLE_TIMEOUT_MS = 750
+"""Longest time without a byte within a response.
 
-An entry that fell behind gets several versions of a large configuration,
-which take seconds on a slow link. A bound on the whole answer would keep it
-from ever catching up.
+An entry that is behind receives several versions of a large configuration,
+which takes seconds on a slow link. With a limit on the whole response it
+could never catch up.
 """
 
 CONNECT_TIMEOUT_MS = 800
-"""Longest wait for a connection: two lost opening packets are too many."""
+"""Longest time to connect; it is exceeded after two lost SYN packets."""
 
 CALL_KINDS = (
     'kv-key',
@@ -45,7 +47,7 @@
     'kv-lease',
     'kv-keep',
 )
-"""Names of calls, as they stand in their paths and in logs and metrics."""
+"""Names of the calls in request paths, logs and metrics."""
 
 _JSON = (('Content-Type', 'application/json'),)
 
@@ -54,7 +56,7 @@
 _OK = 200
 _NOT_FOUND = 404
 _CONDITION_FAILED = 412
-_HISTORY_GONE = 410
+_GONE = 410
 _SERVER_ERROR = 500
 _UNAVAILABLE = 503
 
@@ -68,13 +70,13 @@
     tombstone: bool = False
 
 
-class _Range(msgspec.Struct):
+class _RangePage(msgspec.Struct):
     as_of: int
     items: list[_Item] = []
     has_more: bool = False
 
 
-class _Watched(msgspec.Struct):
+class _WatchResult(msgspec.Struct):
     as_of: int
     events: list[_Item] = []
 
@@ -84,7 +86,7 @@
     ttl_ms: int
 
 
-class _Written(msgspec.Struct):
+class _WriteResult(msgspec.Struct):
     revision: int
 
 
@@ -95,13 +97,13 @@
     Attributes
     ----------
     key : str
-        Its name.
+        Name of the key.
     revision : int
-        Store's revision of its last change.
+        Store revision of its last change.
     value : bytes or None
-        None for a key that was deleted.
+        None for a deleted key.
     lease : int
-        The lease that it goes with; 0 for none.
+        Lease with which the key expires; 0 for none.
     """
 
     key: str
@@ -112,7 +114,7 @@
 
 @attrs.frozen
 class Changes:
-    """Items with the store's revision up to which they are complete."""
+    """Items, and the store revision up to which they are complete."""
 
     items: tuple[Item, ...]
     revision: int
@@ -120,7 +122,7 @@
 
 @attrs.frozen
 class Put:
-    """A value to write; ``lease`` 0 keeps it until it is deleted."""
+    """A value to write; with ``lease`` 0 it does not expire."""
 
     key: str
     value: bytes
@@ -129,30 +131,30 @@
 
 @attrs.frozen
 class Lease:
-    """A lease that was granted."""
+    """A granted lease; ``ttl_ms`` is its duration in milliseconds."""
 
     id: int
     ttl_ms: int
 
 
 class Store:
-    """Calls to the store; each is sent at most once.
+    """Client of the store that sends each call at most once.
 
     Parameters
     ----------
     session : transfers.Session
-        Carries the calls.
+        Executes the transfers.
     address : str
-        ``ip:port``.
+        ``ip:port`` of the store.
     timeout_ms : int, optional
-        Longest wait for an answer, in milliseconds.
+        Longest time for a response, in milliseconds.
 
     Attributes
     ----------
     calls : collections.Counter of str
-        Calls that left, by the names of ``CALL_KINDS``.
+        Number of calls sent, by the names of ``CALL_KINDS``.
     failures : int
-        Calls without a whole answer.
+        Number of calls without a complete response.
     """
 
     def __init__(
@@ -162,24 +164,25 @@
         timeout_ms: int = CALL_TIMEOUT_MS,
     ) -> None:
         self._session = session
-        self._base = f'http://{address}'
+        self._base_url = f'http://{address}'
         self._timeout_ms = timeout_ms
         self.calls: collections.Counter[str] = collections.Counter()
         self.failures = 0
 
     async def read(self, key: str) -> Item | None:
-        """Read one key; None when it does not exist."""
+        """Read one key; returns None if it does not exist."""
         try:
             item = await self._get('/v1/kv-key', {'key': key}, _Item)
-        except exceptions.KeyUnknown:
+        except exceptions.KeyNotFound:
             return None
-        return _convert(item)
+        return _convert_item(item)
 
     async def read_all(self, prefix: str) -> Changes:
         """Read all keys under a prefix.
 
-        Pages are no snapshot: the revision returned is that of the first
-        page, so that a watch from there repeats what changed meanwhile.
+        Pages are not a consistent snapshot. The returned revision is that
+        of the first page, so a watch from there includes all changes made
+        while later pages were read.
         """
         items: list[Item] = []
         revision = 0
@@ -188,9 +191,9 @@
             query = {'prefix': prefix}
             if after:
                 query['after'] = after
-            page = await self._get('/v1/kv-range', query, _Range)
+            page = await self._get('/v1/kv-range', query, _RangePage)
             revision = revision or page.as_of
-            items.extend(_convert(one) for one in page.items)
+            items.extend(_convert_item(item) for item in page.items)
             if not page.has_more or not page.items:
                 return Changes(tuple(items), revision)
             after = page.items[-1].key
@@ -198,10 +201,26 @@
     async def watch(self, prefix: str, after: int, wait_ms: int) -> Changes:
         """Wait for changes after a revision.
 
+        Parameters
+        ----------
+        prefix : str
+            Prefix of the keys to watch.
+        after : int
+            Revision after which changes are returned.
+        wait_ms : int
+            Longest time for which the store waits for a change, in
+            milliseconds.
+
+        Returns
+        -------
+        Changes
+            The changes; empty if there were none in time.
+
         Raises
         ------
         exceptions.HistoryLost
-            When the changes are gone: read all keys again.
+            If the store no longer keeps these changes; the caller must
+            read all keys again.
         """
         query = {
             'prefix': prefix,
@@ -209,9 +228,12 @@
             'wait_ms': str(wait_ms),
         }
         watched = await self._get(
-            '/v1/kv-watch', query, _Watched, wait_ms + WATCH_SLACK_MS
+            '/v1/kv-watch',
+            query,
+            _WatchResult,
+            wait_ms + WATCH_TIMEOUT_MARGIN_MS,
         )
-        items = tuple(_convert(one) for one in watched.events)
+        items = tuple(_convert_item(item) for item in watched.events)
         return Changes(items, watched.as_of)
 
     async def write(
@@ -220,12 +242,12 @@
         puts: typing.Sequence[Put] = (),
         deletes: typing.Sequence[str] = (),
     ) -> int:
-        """Write under conditions, all or nothing.
+        """Write atomically if all preconditions hold.
 
         Parameters
         ----------
         conditions : dict of str to int
-            Revision that each key must have; 0 for no such key.
+            Revision that each key must have; 0 if it must not exist.
         puts : sequence of Put
             Values to write.
         deletes : sequence of str
@@ -234,14 +256,16 @@
         Returns
         -------
         int
-            Revision of the change.
+            Revision of the write.
 
         Raises
         ------
         exceptions.ConditionFailed, exceptions.LeaseEnded
-            Nothing was written.
+            If a precondition failed or a lease has expired; nothing was
+            written.
         exceptions.StoreUnanswered
-            The change may have been made, or be made later.
+            If no complete response arrived; the write may take effect now
+            or later.
         """
         body = {
             'expected': [
@@ -250,65 +274,69 @@
             ],
             'puts': [
                 {
-                    'key': one.key,
-                    'value': base64.b64encode(one.value).decode(),
-                    'lease': one.lease,
+                    'key': put.key,
+                    'value': base64.b64encode(put.value).decode(),
+                    'lease': put.lease,
                 }
-                for one in puts
+                for put in puts
             ],
             'deletes': list(deletes),
         }
-        answer = await self._call('POST', '/v1/kv-txn', body)
-        if answer.status == _CONDITION_FAILED:
-            raise exceptions.ConditionFailed('A key has changed.')
-        if answer.status == _NOT_FOUND:
-            raise exceptions.LeaseEnded('The lease has ended.')
-        return _decode(answer, _Written).revision
+        response = await self._call('POST', '/v1/kv-txn', body)
+        if response.status == _CONDITION_FAILED:
+            raise exceptions.ConditionFailed(
+                'The revision of a key has changed.'
+            )
+        if response.status == _NOT_FOUND:
+            raise exceptions.LeaseEnded('The lease has expired.')
+        return _decode_body(response, _WriteResult).revision
 
     async def grant_lease(self, ttl_ms: int) -> Lease:
-        """Open a lease; it runs from the arrival of the call."""
-        answer = await self._call('POST', '/v1/kv-lease', {'ttl_ms': ttl_ms})
-        granted = _decode(answer, _Lease)
+        """Open a lease; it starts when the store receives the call."""
+        response = await self._call('POST', '/v1/kv-lease', {'ttl_ms': ttl_ms})
+        granted = _decode_body(response, _Lease)
         return Lease(granted.lease, granted.ttl_ms)
 
     async def renew_lease(self, lease: int) -> None:
-        """Renew a lease; raises ``LeaseEnded`` when it is unknown."""
-        answer = await self._call('POST', f'/v1/kv-keep/{lease}', None)
-        if answer.status == _NOT_FOUND:
-            raise exceptions.LeaseEnded('The lease has ended.')
-        _check(answer)
+        """Renew a lease; raises ``LeaseEnded`` if it has expired."""
+        response = await self._call('POST', f'/v1/kv-keep/{lease}', None)
+        if response.status == _NOT_FOUND:
+            raise exceptions.LeaseEnded('The lease has expired.')
+        _raise_for_status(response)
 
     async def _get(
         self,
         path: str,
         query: dict[str, str],
-        kind: type[Body],
+        body_type: type[Body],
         timeout_ms: int = 0,
     ) -> Body:
-        url = f'{self._base}{path}?{urllib.parse.urlencode(query)}'
+        url = f'{self._base_url}{path}?{urllib.parse.urlencode(query)}'
         request = transfers.Request(
             url,
             connect_ms=min(CONNECT_TIMEOUT_MS, self._timeout_ms),
             total_ms=timeout_ms or self._timeout_ms,
-            pause_ms=PAUSE_MS,
+            pause_ms=IDLE_TIMEOUT_MS,
             own_connection=False,
         )
-        answer = await self._fetch(request)
-        if answer.status == _HISTORY_GONE:
-            raise exceptions.HistoryLost('The history is gone.')
-        if answer.status == _NOT_FOUND:
-            raise exceptions.KeyUnknown('There is no such key.')
-        return _decode(answer, kind)
+        response = await self._fetch(request)
+        if response.status == _GONE:
+            raise exceptions.HistoryLost(
+                'The store no longer keeps the changes after this revision.'
+            )
+        if response.status == _NOT_FOUND:
+            raise exceptions.KeyNotFound('The key does not exist.')
+        return _decode_body(response, body_type)
 
     async def _call(
         self, method: str, path: str, body: object
     ) -> transfers.Answer:
-        # Written on a connection of its own: libcurl repeats a request whose
-        # kept connection broke, and a repeated conditional write fails by
-        # its own first sending.
+        # Writes use a new connection each. libcurl resends a request when a
+        # reused connection breaks, and a resent conditional write fails
+        # because its first attempt has changed the revision.
         return await self._fetch(
             transfers.Request(
-                self._base + path,
+                self._base_url + path,
                 method,
                 _JSON,
                 b'' if body is None else msgspec.json.encode(body),
@@ -318,7 +346,7 @@
         )
 
     async def _fetch(self, request: transfers.Request) -> transfers.Answer:
-        self.calls[_find_kind(request.url)] += 1
+        self.calls[_extract_call_kind(request.url)] += 1
         try:
             return await self._session.fetch(request)
         except transfer_errors.NotSent as error:
@@ -329,38 +357,40 @@
             raise exceptions.StoreUnanswered(str(error)) from error
 
 
-def _find_kind(url: str) -> str:
-    """Find the name of a call, the second part of its path."""
+def _extract_call_kind(url: str) -> str:
+    """Return the name of a call, the second segment of its path."""
     return urllib.parse.urlsplit(url).path.split('/')[2]
 
 
-def _check(answer: transfers.Answer) -> None:
-    if answer.status == _OK:
+def _raise_for_status(response: transfers.Answer) -> None:
+    if response.status == _OK:
         return
-    reason = f'The store answered {answer.status}.'
-    if answer.status >= _SERVER_ERROR and answer.status != _UNAVAILABLE:
-        # Only 503 says that nothing was done. After any other failure of
-        # the store a write may stand, and its writer must look.
+    reason = f'The store returned status {response.status}.'
+    if response.status >= _SERVER_ERROR and response.status != _UNAVAILABLE:
+        # Only 503 states that the call had no effect. After any other
+        # server error a write may have been applied, so its caller must
+        # check.
         raise exceptions.StoreUnanswered(reason)
     raise exceptions.StoreRefused(reason)
 
 
-def _decode(answer: transfers.Answer, kind: type[Body]) -> Body:
-    _check(answer)
+def _decode_body(response: transfers.Answer, body_type: type[Body]) -> Body:
+    _raise_for_status(response)
     try:
-        return msgspec.json.decode(answer.body, type=kind)
+        return msgspec.json.decode(response.body, type=body_type)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise exceptions.StoreUnanswered(
-            f'The answer of the store is malformed: {error}.'
+            f'The response of the store is malformed: {error}.'
         ) from error
 
 
-def _convert(item: _Item) -> Item:
+def _convert_item(item: _Item) -> Item:
     if item.tombstone:
         return Item(item.key, item.revision, None)
     try:
         value = base64.b64decode(item.value, validate=True)
     except ValueError:
-        # Another writer's bytes; its reader logs and skips what is empty.
+        # Another program wrote this value. Decoders log and skip an empty
+        # one.
         value = b''
     return Item(item.key, item.revision, value, item.lease)
--- a/tests/platform/deployment.py
+++ b/tests/platform/deployment.py
@@ -1,4 +1,4 @@
-"""Real entries on the platform's stand-ins, as processes of a test."""
+"""Runs entries as processes against simulated platform services."""
 
 from __future__ import annotations
 
@@ -24,36 +24,42 @@
 
 
 PORTS = range(15_000, 32_000)
-"""Below those that the system hands out by itself: one that was found free
-there was taken by another process before its entry listened."""
+"""Ports below the ephemeral range of the operating system.
 
-_handed_out: set[int] = set()
+A free port from the ephemeral range was allocated to another process before
+the entry bound it.
+"""
+
+_allocated_ports: set[int] = set()
 
 
 def find_ports(count: int) -> list[int]:
-    """Find free loopback ports that this process has not handed out yet."""
+    """Find free loopback ports that this process has not allocated yet."""
     found: list[int] = []
     source = random.Random()
     while len(found) < count:
         port = source.choice(PORTS)
-        if port not in _handed_out and _is_free(port):
-            _handed_out.add(port)
+        if port not in _allocated_ports and _is_free(port):
+            _allocated_ports.add(port)
             found.append(port)
     return found
 
 
 def _is_free(port: int) -> bool:
-    with socket.socket() as one:
+    with socket.socket() as probe:
         try:
-            one.bind(('127.0.0.1', port))
+            probe.bind(('127.0.0.1', port))
         except OSError:
             return False
     return True
 
 
 @attrs.define
-class Answer:
-    """What a caller got."""
+class Response:
+    """Response that a caller received.
+
+    ``whole`` tells whether the body is complete.
+    """
 
     status: int
     headers: dict[str, str]
@@ -63,7 +69,7 @@
 
 @attrs.define(eq=False)
 class Entry:
-    """One entry."""
+    """An entry that runs as a process."""
 
     popen: subprocess.Popen[bytes]
     log: pathlib.Path
@@ -73,15 +79,15 @@
 
     @property
     def callers(self) -> str:
-        """Address for callers."""
+        """``ip:port`` on which callers are served."""
         return f'127.0.0.1:{self.ports[0]}'
 
     def read_log(self) -> list[str]:
-        """Return its log lines."""
+        """Return the log lines of the entry."""
         return self.log.read_text(errors='replace').splitlines()
 
     def find_lines(self, event: str, **fields: object) -> list[str]:
-        """Return the log lines of an event with these fields."""
+        """Return the log lines of an event that have all given fields."""
         wanted = [f'event={event}']
         wanted += [f'{name}={value}' for name, value in fields.items()]
         return [
@@ -91,11 +97,11 @@
         ]
 
     def has_started(self) -> bool:
-        """Tell whether it has said so since it was launched last."""
+        """Return whether the last launch has logged its start."""
         return len(self.find_lines('entry_started')) == self.launches
 
     def is_ready(self) -> bool:
-        """Ask it whether it is ready."""
+        """Return the result of its readiness check."""
         try:
             url = f'http://127.0.0.1:{self.ports[1]}/v1/readiness'
             with urllib.request.urlopen(url, timeout=2):
@@ -104,20 +110,20 @@
             return False
 
     def look_up(self, domain: str) -> list[str]:
-        """Ask it for addresses as a caller does."""
+        """Look up addresses as a caller does."""
         url = (
             f'http://127.0.0.1:{self.ports[2]}/v1/lookup'
             f'?name={kv_fleet.HOST}&region=r&zone={domain}'
         )
-        with urllib.request.urlopen(url, timeout=2) as answer:
-            addresses: list[str] = json.load(answer)['addresses']
+        with urllib.request.urlopen(url, timeout=2) as response:
+            addresses: list[str] = json.load(response)['addresses']
         return addresses
 
     def read_metrics(self) -> dict[str, float]:
-        """Return its metrics: values by name with labels."""
+        """Return the metric values by name with labels."""
         url = f'http://127.0.0.1:{self.ports[4]}/metrics'
-        with urllib.request.urlopen(url, timeout=2) as answer:
-            lines = answer.read().decode().splitlines()
+        with urllib.request.urlopen(url, timeout=2) as response:
+            lines = response.read().decode().splitlines()
         pairs = [one.rsplit(' ', 1) for one in lines if one[:1] != '#']
         return {name: float(value) for name, value in pairs}
 
@@ -128,8 +134,8 @@
         number: int | str,
         key: str = kv_fleet.KEY,
         **headers: str,
-    ) -> Answer:
-        """Send a request and read its whole answer."""
+    ) -> Response:
+        """Send a request and read its response to the end."""
         connection = http.client.HTTPConnection(
             '127.0.0.1', self.ports[0], timeout=15
         )
@@ -143,20 +149,20 @@
         }
         try:
             connection.request(method, path, b'{}', sent)
-            answer = connection.getresponse()
+            response = connection.getresponse()
             try:
-                body, whole = answer.read(), True
+                body, whole = response.read(), True
             except http.client.IncompleteRead as error:
                 body, whole = error.partial, False
-            return Answer(
-                answer.status, dict(answer.getheaders()), body, whole
+            return Response(
+                response.status, dict(response.getheaders()), body, whole
             )
         finally:
             connection.close()
 
 
 class Deployment:
-    """A store, a small fleet and entries."""
+    """A simulated store, a small simulated fleet and entries."""
 
     def __init__(self, running: processes.Processes) -> None:
         self._running = running
@@ -171,7 +177,7 @@
     def start_entry(
         self, domain: str = 'a', store_address: str | None = None
     ) -> Entry:
-        """Start an entry; does not wait for it."""
+        """Start an entry without waiting until it is ready."""
         ports = find_ports(5)
         name = f'entry-{len(self.entries)}'
         settings = {
@@ -196,9 +202,9 @@
         return entry
 
     def restart(self, entry: Entry) -> None:
-        """Start an entry that has ended, at its addresses."""
+        """Restart an entry that has exited, with the same addresses."""
         entry.launches += 1
-        entry.popen = self._launch('again', entry.settings, entry.log)
+        entry.popen = self._launch('restarted', entry.settings, entry.log)
 
     def _launch(
         self, name: str, settings: pathlib.Path, log: pathlib.Path
@@ -214,31 +220,31 @@
         return popen
 
     def control(self, **orders: object) -> typing.Any:
-        """Give the fleet an order."""
+        """Send a command to the simulated fleet."""
         return _post(f'{self.fleet.ready["url"]}/control', orders)
 
     def control_store(self, **orders: object) -> typing.Any:
-        """Give the store an order."""
+        """Send a command to the simulated store."""
         return _post(f'{self.store_url}/control', orders)
 
     def read_fleet(self) -> dict[str, typing.Any]:
-        """Return what the fleet ran and holds."""
+        """Return the executed runs and the layers of the fleet."""
         url = f'{self.fleet.ready["url"]}/control'
-        with urllib.request.urlopen(url, timeout=5) as answer:
-            read: dict[str, typing.Any] = json.load(answer)
+        with urllib.request.urlopen(url, timeout=5) as response:
+            read: dict[str, typing.Any] = json.load(response)
         return read
 
 
 def _post(url: str, document: object) -> typing.Any:
     request = urllib.request.Request(url, json.dumps(document).encode())
-    with urllib.request.urlopen(request, timeout=5) as answer:
-        return json.load(answer)
+    with urllib.request.urlopen(request, timeout=5) as response:
+        return json.load(response)
 
 
 def wait_until(
     check: typing.Callable[[], typing.Any], timeout_s: float = START_TIMEOUT_S
 ) -> typing.Any:
-    """Wait until a check holds; returns what it returned."""
+    """Wait until a check returns a true value; returns that value."""
     end = time.monotonic() + timeout_s
     while time.monotonic() < end:
         result = check()
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -1,4 +1,4 @@
-"""Tests of what is decoded from the platform, malformed forms included."""
+"""Tests of the decoding of platform data, malformed data included."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from thornspool.platform import settings
 from thornspool.platform import store
 
-BEAT = {
+SERVER_ENTRY = {
     'service': 'drafting',
     'address': '10.0.0.1:80',
     'zone': 'a',
@@ -37,7 +37,7 @@
     'layers': {'from': 2, 'to': 7, 'version': 1},
 }
 
-NODE = {
+SETTINGS_FILE = {
     'node': 'edge-a-1',
     'ip': '10.0.0.2',
     'zone': 'a',
@@ -56,23 +56,25 @@
 
 
 class SettingsTest(unittest.TestCase):
-    def test_reads_what_it_needs_and_ignores_the_rest(self):
-        read = settings.decode_settings(json.dumps(NODE).encode(), 'file')
+    def test_decodes_settings_and_ignores_unknown_fields(self):
+        read = settings.decode_settings(
+            json.dumps(SETTINGS_FILE).encode(), 'file'
+        )
         self.assertEqual('10.9.9.9:5', read.store)
         self.assertEqual(4000, read.bounds.withdrawn_key_ms)
         self.assertEqual(6500, read.bounds.grace_ms)
         self.assertEqual((7340, 7355), (read.peer_port, read.metrics_port))
 
-    def test_names_file_and_field_of_what_is_wrong(self):
+    def test_errors_name_the_file_and_the_field(self):
         table = (
-            ({**NODE, 'platform': {}}, 'platform'),
-            ({**NODE, 'port_range': 7}, 'port_range'),
-            ({**NODE, 'listen': {'front': 1}}, 'listen'),
+            ({**SETTINGS_FILE, 'platform': {}}, 'platform'),
+            ({**SETTINGS_FILE, 'port_range': 7}, 'port_range'),
+            ({**SETTINGS_FILE, 'listen': {'front': 1}}, 'listen'),
         )
         for document, field in table:
             with (
                 self.subTest(field),
-                self.assertRaises(exceptions.NodeFileError) as caught,
+                self.assertRaises(exceptions.SettingsFileError) as caught,
             ):
                 settings.decode_settings(json.dumps(document).encode(), 'f')
             self.assertIn(field, str(caught.exception))
@@ -80,19 +82,20 @@
 
 
 class ServerEntryTest(unittest.TestCase):
-    """Another writer leaves an entry among those of the servers.
+    """Guards against malformed entries in the server list.
 
-    Taken as a server, requests would go to whatever it names; an error
-    that is not caught would stop the list for good.
+    Another program writes such an entry. If it were accepted, requests would
+    go to whatever it names; an uncaught exception would stop all updates of
+    the list.
     """
 
     def decode(self, **changes):
-        document = {**BEAT, **changes}
+        document = {**SERVER_ENTRY, **changes}
         return documents.decode_server(
             'servers/i-1', json.dumps(document).encode()
         )
 
-    def test_a_proper_entry(self):
+    def test_decodes_a_valid_entry(self):
         read = self.decode()
         self.assertEqual('i-1', read.id)
         self.assertEqual((2, 7), (read.layers.first, read.layers.end))
@@ -100,7 +103,7 @@
         self.assertTrue(self.decode(state='draining').draining)
         self.assertIsNone(self.decode(layers=None).layers)
 
-    def test_improper_entries_name_no_server(self):
+    def test_malformed_entries_are_skipped(self):
         table = (
             {'state': 'resting'},
             {'state': None},
@@ -117,7 +120,7 @@
         for raw in (b'', b'null', b'[1]', b'\xff\xfe', b'{"state":'):
             with self.subTest(raw):
                 self.assertIsNone(documents.decode_server('servers/i', raw))
-        missing = {k: v for k, v in BEAT.items() if k != 'address'}
+        missing = {k: v for k, v in SERVER_ENTRY.items() if k != 'address'}
         raw = json.dumps(missing).encode()
         self.assertIsNone(documents.decode_server('servers/i', raw))
 
@@ -127,7 +130,7 @@
         document = {**kv_fleet.build_configuration(7), **changes}
         return documents.decode_configuration(json.dumps(document).encode())
 
-    def test_a_proper_configuration(self):
+    def test_decodes_a_valid_configuration(self):
         read = self.decode()
         self.assertEqual(7, read.version)
         route = read.find_route(kv_fleet.HOST, '/hold/a/b')
@@ -141,7 +144,7 @@
         )
         self.assertIsNone(read.services['ledger'].model)
 
-    def test_the_longest_prefix_wins(self):
+    def test_the_longest_matching_prefix_is_chosen(self):
         base = kv_fleet.build_configuration(1)['routes'][0]
         routes = [
             {**base, 'name': name, 'prefix': prefix}
@@ -169,7 +172,7 @@
         self.assertEqual('one', routing.choose_service(route, 0.89))
         self.assertEqual('two', routing.choose_service(route, 0.91))
 
-    def test_a_malformed_one_is_refused(self):
+    def test_a_malformed_configuration_is_rejected(self):
         for changes in ({'version': 'new'}, {'routes': [{'name': 1}]}):
             with (
                 self.subTest(changes),
@@ -187,9 +190,9 @@
         for name, value in headers.items():
             listed.add(name.replace('_', '-'), value)
         line = httputil.RequestStartLine('POST', '/x/y?z=1', 'HTTP/1.1')
-        return callers.decode_inquiry(line, listed, b'body', 5)
+        return callers.decode_request(line, listed, b'body', 5)
 
-    def test_what_callers_tell(self):
+    def test_decodes_the_headers_of_callers(self):
         read = self.decode(
             Host='Desk.Example:80',
             Attempt_Id='abc',
@@ -205,15 +208,18 @@
             (1460.0, 80.0), (read.prompt_tokens, read.answer_tokens)
         )
 
-    def test_headers_that_can_not_be_read_count_as_missing(self):
+    def test_malformed_headers_are_treated_as_missing(self):
         read = self.decode(
             Host='h', Deadline_Ms='soon', Token_Usage='x', Length_Hint='-'
         )
-        self.assertEqual(callers.DEFAULT_PATIENCE_MS, read.patience_ms)
+        self.assertEqual(callers.DEFAULT_TIMEOUT_MS, read.patience_ms)
         self.assertEqual(0.0, read.prompt_tokens)
 
-    def test_keys_and_orders_of_the_router_do_not_pass(self):
-        """A caller sends headers by which the router speaks to servers."""
+    def test_headers_that_the_router_sets_are_not_forwarded(self):
+        """Guards against callers that set the router's own headers.
+
+        Servers act on these headers, for example on the workspace's name.
+        """
         read = self.decode(
             Host='h',
             Authorization='Bearer k',
@@ -229,7 +235,7 @@
 
 
 class ServerHeadersTest(unittest.TestCase):
-    def test_what_a_server_gets(self):
+    def test_headers_of_a_request_to_a_server(self):
         hop = search.Hop(
             fleet_builders.build_engine('a-1', 'small', 0, 8), 0, 8
         )
@@ -250,32 +256,32 @@
         self.assertLess(int(headers['Deadline-Ms']), 1_000)
         self.assertNotIn('Authorization', headers)
 
-    def test_heads(self):
-        seal = ('Response-Seal', 's')
-        own = ('Attempt-Id', 'r')
+    def test_heads_show_execution_and_authenticity(self):
+        signature = ('Response-Seal', 's')
+        request_id = ('Attempt-Id', 'r')
         table = (
             # status, headers, ran, genuine
-            (200, (seal, own), True, True),
-            (200, (seal, ('Attempt-Id', 'other')), True, False),
-            (200, (own,), True, False),
+            (200, (signature, request_id), True, True),
+            (200, (signature, ('Attempt-Id', 'other')), True, False),
+            (200, (request_id,), True, False),
             (503, (('Not-Executed', '1'),), False, False),
             (421, (('Instance-Id', 'x'),), False, False),
-            (500, (seal, own), True, True),
+            (500, (signature, request_id), True, True),
         )
         for status, headers, ran, genuine in table:
             with self.subTest(status=status, headers=headers):
                 head = engines._decode_head('r', status, headers)
                 self.assertEqual((ran, genuine), (head.ran, head.genuine))
 
-    def test_load(self):
+    def test_decodes_the_load_header(self):
         self.assertEqual(ports.Load(3, 0, 8), engines._decode_load('3,0,8'))
         for text in (None, '', '1,2', 'a,b,c'):
             self.assertIsNone(engines._decode_load(text))
 
 
-class NewsTest(unittest.TestCase):
-    def test_news_come_back_as_they_were(self):
-        news = entries.News(
+class DatagramTest(unittest.TestCase):
+    def test_state_updates_survive_encoding(self):
+        state_update = entries.News(
             'h',
             'h-1',
             entries.State.SERVING,
@@ -291,26 +297,30 @@
             (79,),
             {80: 12.0},
         )
-        self.assertEqual(news, peers.decode(peers.encode_news(news)))
+        self.assertEqual(
+            state_update, peers.decode(peers.encode_news(state_update))
+        )
 
-    def test_changes_come_back_as_they_were(self):
-        update = follower.Update(
+    def test_change_sets_survive_encoding(self):
+        change_set = follower.ChangeSet(
             4,
             9,
             (store.Item('k/1', 8, b'\xff'), store.Item('k/2', 9, None)),
         )
-        self.assertEqual(update, peers.decode(peers.encode_update(update)))
+        self.assertEqual(
+            change_set, peers.decode(peers.encode_change_set(change_set))
+        )
 
-    def test_other_bytes_are_no_news(self):
+    def test_malformed_datagrams_are_ignored(self):
         table = (b'', b'\x00', b'\xff' * 9, b'\x93\x01\x02\x03')
         for raw in (*table, b'\x94\x01\x01\x02\xc4\x01x'):
             with self.subTest(raw):
                 self.assertIsNone(peers.decode(raw))
 
 
-class OwnKeysTest(unittest.TestCase):
-    def test_a_malformed_key_is_no_entry(self):
+class RegistryKeysTest(unittest.TestCase):
+    def test_malformed_values_are_ignored(self):
         for raw in (b'', b'{}', b'\xff', b'{"host":1}'):
             with self.subTest(raw):
                 self.assertIsNone(registry.decode_record('k', raw))
-                self.assertIsNone(registry.decode_holder(raw, 3))
+                self.assertIsNone(registry.decode_leader(raw, 3))
--- a/tests/platform/test_following.py
+++ b/tests/platform/test_following.py
@@ -1,4 +1,4 @@
-"""Tests of the store's client and of the copy that follows it."""
+"""Tests of the store client, the local copy and the registration."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from thornspool.platform import registry
 from thornspool.platform import store as store_module
 
-OWN = messages.Record('one', 'one-1', 'a', 'one:80', 'one:90')
+LOCAL_RECORD = messages.Record('one', 'one-1', 'a', 'one:80', 'one:90')
 
 
 class _WithStore(unittest.IsolatedAsyncioTestCase):
@@ -47,24 +47,24 @@
 
 
 class StoreTest(_WithStore):
-    async def test_reads_pages_to_the_end(self):
+    async def test_reads_all_pages(self):
         for number in range(1_100):
             self.put(f'k/{number:04}', number)
         read = await self.store.read_all('k/')
         self.assertEqual(1_100, len(read.items))
         self.assertEqual(b'7', read.items[7].value)
 
-    async def test_a_watch_brings_changes_and_deletions(self):
+    async def test_a_watch_returns_changes_and_deletions(self):
         revision = self.put('k/1', 1)
         waiting = asyncio.create_task(self.store.watch('k/', revision, 2_000))
         await asyncio.sleep(0.05)
         self.state.write([], ['k/1'])
         changes = await waiting
         self.assertEqual([None], [one.value for one in changes.items])
-        quiet = await self.store.watch('k/', changes.revision, 20)
-        self.assertEqual((), quiet.items)
+        unchanged = await self.store.watch('k/', changes.revision, 20)
+        self.assertEqual((), unchanged.items)
 
-    async def test_conditions(self):
+    async def test_writes_check_their_preconditions(self):
         put = store_module.Put('k/1', b'x')
         revision = await self.store.write({'k/1': 0}, [put])
         with self.assertRaises(exceptions.ConditionFailed):
@@ -72,7 +72,7 @@
         await self.store.write({'k/1': revision}, deletes=['k/1'])
         self.assertEqual({}, self.state.items)
 
-    async def test_errors_have_their_types(self):
+    async def test_errors_map_to_their_exceptions(self):
         with self.assertRaises(exceptions.LeaseEnded):
             await self.store.renew_lease(5)
         with self.assertRaises(exceptions.LeaseEnded):
@@ -85,16 +85,16 @@
             await self.store.read_all('')
         self.assertEqual(4, self.store.calls.total())
 
-    async def test_a_long_history_is_forgotten(self):
-        """A host was away while thousands of changes were written."""
+    async def test_an_old_revision_raises_history_lost(self):
+        """A host was unreachable while thousands of changes were written."""
         first = self.put('k/1', 0)
         for number in range(2_100):
             self.put('k/1', number)
         with self.assertRaises(exceptions.HistoryLost):
             await self.store.watch('k/', first, 20)
 
-    async def test_a_store_that_says_nothing_is_given_up(self):
-        """The store takes the call of one host and never answers."""
+    async def test_a_call_without_a_response_times_out(self):
+        """The store accepts the connection of a host but never responds."""
         self.state.mode = 'silent'
         began = asyncio.get_running_loop().time()
         with self.assertRaises(exceptions.StoreUnanswered):
@@ -106,20 +106,20 @@
 class FollowerTest(_WithStore):
     async def asyncSetUp(self):
         await super().asyncSetUp()
-        self.beliefs = beliefs.Beliefs()
-        self.view = view_module.View(OWN)
-        self.lead = leadership.Leadership(OWN.incarnation)
+        self.routing_state = beliefs.Beliefs()
+        self.view = view_module.View(LOCAL_RECORD)
+        self.leadership = leadership.Leadership(LOCAL_RECORD.incarnation)
         self.follower = follower.Follower(
             clock_module.Clock(),
             self.store,
-            self.beliefs,
+            self.routing_state,
             self.view,
-            self.lead,
+            self.leadership,
         )
         self.put('op/config', kv_fleet.build_configuration(3))
-        self.put('servers/i-1', BEAT)
+        self.put('servers/i-1', SERVER_ENTRY)
         self.running = asyncio.create_task(self.follower.run())
-        await self.wait(lambda: self.beliefs.configuration)
+        await self.wait(lambda: self.routing_state.configuration)
 
     async def asyncTearDown(self):
         self.running.cancel()
@@ -130,44 +130,46 @@
             while not check():
                 await asyncio.sleep(0.01)
 
-    async def test_takes_what_is_there_and_what_changes(self):
-        self.assertIn('i-1', self.beliefs.servers)
-        self.put('servers/i-2', BEAT)
-        await self.wait(lambda: 'i-2' in self.beliefs.servers)
+    async def test_applies_existing_keys_and_changes(self):
+        self.assertIn('i-1', self.routing_state.servers)
+        self.put('servers/i-2', SERVER_ENTRY)
+        await self.wait(lambda: 'i-2' in self.routing_state.servers)
         self.state.write([], ['servers/i-1'])
-        await self.wait(lambda: 'i-1' in self.beliefs.leaving)
+        await self.wait(lambda: 'i-1' in self.routing_state.leaving)
         self.put('op/config', kv_fleet.build_configuration(4))
-        await self.wait(lambda: self.beliefs.configuration.version == 4)
+        await self.wait(lambda: self.routing_state.configuration.version == 4)
 
-    async def test_an_entry_that_is_none_takes_its_server_away(self):
+    async def test_a_malformed_server_entry_removes_the_server(self):
         self.put('servers/i-1', {'state': 'ready'})
-        await self.wait(lambda: 'i-1' in self.beliefs.leaving)
+        await self.wait(lambda: 'i-1' in self.routing_state.leaving)
 
-    async def test_what_changed_in_a_lost_history_is_found(self):
-        """The store forgets its history while a server leaves."""
+    async def test_changes_in_a_lost_history_are_detected(self):
+        """The store loses its history while a server is removed."""
         self.state.history.clear()
         self.state.items.pop('servers/i-1')
         self.state.revision += 5
         self.state.dropped = self.state.revision
-        await self.wait(lambda: 'i-1' in self.beliefs.leaving)
+        await self.wait(lambda: 'i-1' in self.routing_state.leaving)
 
-    async def test_the_proof_ages_while_the_store_is_away(self):
+    async def test_the_copy_ages_while_the_store_is_unavailable(self):
         now = clock_module.Clock().now
         self.state.mode = 'busy'
         await asyncio.sleep(2.2)
-        self.assertFalse(self.beliefs.proof.is_within(1_500, now()))
+        self.assertFalse(self.routing_state.proof.is_within(1_500, now()))
         self.state.mode = 'up'
-        await self.wait(lambda: self.beliefs.proof.is_within(500, now()), 2.0)
+        await self.wait(
+            lambda: self.routing_state.proof.is_within(500, now()), 2.0
+        )
 
-    async def test_registrations_and_the_lead_are_followed(self):
+    async def test_registrations_and_the_leader_are_followed(self):
         service = registration.RegistrationService(
             clock_module.Clock(),
             self.view,
-            self.lead,
+            self.leadership,
             registry.Registry(self.store),
         )
         await service.work()
-        self.assertTrue(self.lead.may_act(clock_module.Clock().now()))
+        self.assertTrue(self.leadership.may_act(clock_module.Clock().now()))
         self.assertIn('thornspool/entries/one', self.state.items)
         self.put(
             'thornspool/entries/two',
@@ -186,152 +188,176 @@
         self.assertNotIn('thornspool/entries/one', self.state.items)
 
 
-class FedFollowerTest(_WithStore):
-    """An entry that another one keeps current."""
+class FeedReceiverTest(_WithStore):
+    """Tests of an entry that a collector keeps current."""
 
     async def asyncSetUp(self):
         await super().asyncSetUp()
         self.clock = builders.FakeClock()
-        self.beliefs = beliefs.Beliefs()
-        self.fed = True
-        self.passed_on = []
+        self.routing_state = beliefs.Beliefs()
+        self.receives_feed = True
+        self.sent_change_sets = []
         self.follower = follower.Follower(
             self.clock,
             self.store,
-            self.beliefs,
-            view_module.View(OWN),
-            leadership.Leadership(OWN.incarnation),
-            sharing=follower.Sharing(is_fed=lambda: self.fed, feed=self.feed),
+            self.routing_state,
+            view_module.View(LOCAL_RECORD),
+            leadership.Leadership(LOCAL_RECORD.incarnation),
+            coordination=follower.Coordination(
+                receives_feed=lambda: self.receives_feed,
+                send_feed=self.send_feed,
+            ),
         )
         self.put('op/config', kv_fleet.build_configuration(3))
         self.running = asyncio.create_task(self.follower.run())
         async with asyncio.timeout(4):
-            while self.beliefs.configuration is None:
+            while self.routing_state.configuration is None:
                 await asyncio.sleep(0.01)
 
     async def asyncTearDown(self):
         self.running.cancel()
         await super().asyncTearDown()
 
-    def feed(self, update):
-        self.passed_on.append(update)
+    def send_feed(self, change_set):
+        self.sent_change_sets.append(change_set)
         return 1
 
-    def build_update(self, since, until, version):
+    def build_change_set(self, since, until, version):
         document = json.dumps(kv_fleet.build_configuration(version)).encode()
         item = store_module.Item('op/config', until, document)
-        return follower.Update(since, until, (item,))
+        return follower.ChangeSet(since, until, (item,))
 
-    async def test_it_does_not_ask_the_store(self):
+    async def test_a_feed_replaces_calls_to_the_store(self):
         calls = self.store.calls.total()
         await asyncio.sleep(0.5)
         self.assertEqual(calls, self.store.calls.total())
 
-    async def test_it_takes_changes_that_follow_its_copy(self):
-        at = self.follower.revision
-        self.follower.take_update(self.build_update(at, at + 2, 4))
-        self.assertEqual(4, self.beliefs.configuration.version)
-        self.assertEqual(at + 2, self.follower.revision)
-        self.follower.take_update(self.build_update(at, at + 1, 3))
-        self.assertEqual(4, self.beliefs.configuration.version)
-        self.assertEqual(at + 2, self.follower.revision)
+    async def test_applies_changes_that_follow_its_copy(self):
+        base = self.follower.revision
+        self.follower.apply_change_set(
+            self.build_change_set(base, base + 2, 4)
+        )
+        self.assertEqual(4, self.routing_state.configuration.version)
+        self.assertEqual(base + 2, self.follower.revision)
+        self.follower.apply_change_set(
+            self.build_change_set(base, base + 1, 3)
+        )
+        self.assertEqual(4, self.routing_state.configuration.version)
+        self.assertEqual(base + 2, self.follower.revision)
 
-    async def test_it_takes_no_changes_behind_a_gap(self):
+    async def test_ignores_changes_after_a_gap(self):
         """A datagram with a change was lost."""
-        at = self.follower.revision
-        self.follower.take_update(self.build_update(at + 1, at + 2, 4))
-        self.assertEqual(at, self.follower.revision)
-        self.assertEqual(3, self.beliefs.configuration.version)
+        base = self.follower.revision
+        self.follower.apply_change_set(
+            self.build_change_set(base + 1, base + 2, 4)
+        )
+        self.assertEqual(base, self.follower.revision)
+        self.assertEqual(3, self.routing_state.configuration.version)
 
-    async def test_it_asks_at_once_when_it_is_left(self):
+    async def test_calls_the_store_as_soon_as_the_feed_stops(self):
         self.put('op/config', kv_fleet.build_configuration(5))
-        self.fed = False
+        self.receives_feed = False
         async with asyncio.timeout(2):
-            while self.beliefs.configuration.version != 5:
+            while self.routing_state.configuration.version != 5:
                 await asyncio.sleep(0.01)
-        self.assertEqual(5, json.loads(self.read_passed_on())['version'])
+        self.assertEqual(
+            5, json.loads(self.read_sent_configuration())['version']
+        )
 
-    def read_passed_on(self):
-        """Return the last configuration that was passed on."""
+    def read_sent_configuration(self):
+        """Return the last configuration that was sent to peers."""
         return next(
             item.value
-            for update in reversed(self.passed_on)
-            for item in update.items
+            for change_set in reversed(self.sent_change_sets)
+            for item in change_set.items
         )
 
-    async def test_in_a_shared_outage_it_asks_seldom_and_goes_on_at_once(self):
-        """The store is down; the collector will tell when it is back."""
+    async def test_a_shared_outage_delays_retries_until_the_feed_resumes(
+        self,
+    ):
+        """Guards against needless calls while the store is unavailable.
+
+        The collector can't reach the store either; its feed resumes when the
+        store recovers.
+        """
         self.running.cancel()
         clock = clock_module.Clock()
         shared = follower.Follower(
             clock,
             self.store,
-            self.beliefs,
-            view_module.View(OWN),
-            leadership.Leadership(OWN.incarnation),
-            sharing=follower.Sharing(
-                is_fed=lambda: self.fed, shares_outage=lambda: True
+            self.routing_state,
+            view_module.View(LOCAL_RECORD),
+            leadership.Leadership(LOCAL_RECORD.incarnation),
+            coordination=follower.Coordination(
+                receives_feed=lambda: self.receives_feed,
+                shares_outage=lambda: True,
             ),
         )
-        self.fed = False
+        self.receives_feed = False
         self.state.mode = 'busy'
         self.running = asyncio.create_task(shared.run())
         await asyncio.sleep(1.2)
         calls = self.store.calls.total()
         await asyncio.sleep(1.0)
         self.assertEqual(calls, self.store.calls.total())
-        self.fed = True
+        self.receives_feed = True
         self.state.mode = 'up'
         await asyncio.sleep(0.3)
         self.assertGreater(shared.revision, 0)
 
-    async def test_its_long_pause_ends_with_the_shared_outage(self):
-        """Guards against a collector that sleeps as the store returns."""
+    async def test_the_long_retry_delay_ends_with_the_shared_outage(self):
+        """Guards against a collector that waits after the store recovered."""
         self.running.cancel()
         shared = True
-        one = follower.Follower(
+        restarted = follower.Follower(
             clock_module.Clock(),
             self.store,
             beliefs.Beliefs(),
-            view_module.View(OWN),
-            leadership.Leadership(OWN.incarnation),
-            sharing=follower.Sharing(shares_outage=lambda: shared),
+            view_module.View(LOCAL_RECORD),
+            leadership.Leadership(LOCAL_RECORD.incarnation),
+            coordination=follower.Coordination(shares_outage=lambda: shared),
         )
         self.state.mode = 'busy'
-        self.running = asyncio.create_task(one.run())
+        self.running = asyncio.create_task(restarted.run())
         await asyncio.sleep(0.6)
         self.state.mode = 'up'
         shared = False
         await asyncio.sleep(0.5)
-        self.assertGreater(one.revision, 0)
+        self.assertGreater(restarted.revision, 0)
 
-    async def restart(self, **sharing):
-        """Begin anew with other ways to spare calls."""
+    async def restart(self, **coordination):
+        """Replace the follower by one with other callbacks."""
         self.running.cancel()
         self.follower = follower.Follower(
             clock_module.Clock(),
             self.store,
-            self.beliefs,
-            view_module.View(OWN),
-            leadership.Leadership(OWN.incarnation),
-            sharing=follower.Sharing(**sharing),
+            self.routing_state,
+            view_module.View(LOCAL_RECORD),
+            leadership.Leadership(LOCAL_RECORD.incarnation),
+            coordination=follower.Coordination(**coordination),
         )
         self.running = asyncio.create_task(self.follower.run())
         await asyncio.sleep(0.05)
 
-    async def test_it_waits_for_its_collector_before_it_asks_again(self):
-        """Entries that start together watched three times each."""
-        await self.restart(is_fed=lambda: self.fed, has_collector=lambda: True)
-        self.fed = False
+    async def test_waits_for_its_collector_before_the_first_watch(self):
+        """Guards against entries that start together and each watch thrice."""
+        await self.restart(
+            receives_feed=lambda: self.receives_feed,
+            has_collector=lambda: True,
+        )
+        self.receives_feed = False
         self.put('op/config', kv_fleet.build_configuration(4))
         await asyncio.sleep(0.6)
         self.assertEqual(0, self.store.calls['kv-watch'])
         await asyncio.sleep(0.5)
         self.assertEqual(1, self.store.calls['kv-watch'])
-        self.assertEqual(4, self.beliefs.configuration.version)
+        self.assertEqual(4, self.routing_state.configuration.version)
 
-    async def test_in_a_shared_outage_it_asks_late(self):
-        """Every entry asked the store as soon as its collector could not."""
+    async def test_a_shared_outage_delays_the_next_call(self):
+        """Guards against simultaneous calls of all entries.
+
+        Each entry called the store as soon as its collector failed to.
+        """
         await self.restart(
             shares_outage=lambda: True, has_collector=lambda: True
         )
@@ -341,124 +367,140 @@
         await asyncio.sleep(1.2)
         self.assertGreater(self.store.calls.total(), calls)
 
-    async def test_it_keeps_what_another_copy_has_missed(self):
+    async def test_retains_changes_that_another_copy_missed(self):
         """A datagram with a change was lost."""
-        at = self.follower.revision
+        base = self.follower.revision
         for number in range(3):
-            self.follower.take_update(
-                self.build_update(at + 2 * number, at + 2 * number + 2, number)
+            self.follower.apply_change_set(
+                self.build_change_set(
+                    base + 2 * number, base + 2 * number + 2, number
+                )
             )
-        missed = self.follower.find_since(at + 2)
-        self.assertEqual((at + 2, at + 6), (missed.since, missed.until))
-        self.assertEqual([at + 6], [one.revision for one in missed.items])
-        self.assertIsNone(self.follower.find_since(at + 6))
-        self.assertIsNone(self.follower.find_since(at - 1))
-
-    async def test_what_is_read_after_an_outage_is_passed_on(self):
-        """Every entry read all keys though its collector just had."""
-        await self.restart(feed=self.feed)
-        self.put('servers/i-9', BEAT)
+        missed = self.follower.find_changes_since(base + 2)
+        self.assertEqual((base + 2, base + 6), (missed.since, missed.until))
+        self.assertEqual([base + 6], [one.revision for one in missed.items])
+        self.assertIsNone(self.follower.find_changes_since(base + 6))
+        self.assertIsNone(self.follower.find_changes_since(base - 1))
+
+    async def test_sends_the_changes_of_a_full_read(self):
+        """Guards against a full read by every entry after an outage.
+
+        The collector's own full read contains the same changes.
+        """
+        await self.restart(send_feed=self.send_feed)
+        self.put('servers/i-9', SERVER_ENTRY)
         async with asyncio.timeout(4):
-            while not self.passed_on:
+            while not self.sent_change_sets:
                 await asyncio.sleep(0.01)
-        self.passed_on.clear()
+        self.sent_change_sets.clear()
         since = self.follower.revision
         self.put('op/config', kv_fleet.build_configuration(6))
         self.state.write([], ['servers/i-9'])
         self.state.drop_history()
-        self.follower._must_read = True
+        self.follower._must_read_all = True
         async with asyncio.timeout(4):
             while not any(
                 item.key == 'servers/i-9'
-                for update in self.passed_on
-                for item in update.items
+                for change_set in self.sent_change_sets
+                for item in change_set.items
             ):
                 await asyncio.sleep(0.01)
-        last = self.passed_on[-1]
+        last = self.sent_change_sets[-1]
         self.assertLessEqual(since, last.until)
         self.assertIsNone(
             next(one for one in last.items if one.key == 'servers/i-9').value
         )
 
-    async def test_a_change_that_came_while_all_was_read_is_not_left_out(
+    async def test_a_full_read_includes_changes_applied_meanwhile(
         self,
     ):
-        """Guards against withdrawn keys that copies never hear of.
+        """Guards against withdrawn keys that stay valid in other copies.
 
-        A collector that was cut off reads all keys while another entry
-        brings it the same change; the others of its domain were cut off too.
+        A collector that was partitioned reads all keys while another entry
+        sends it the same change. The entries that the collector feeds were
+        partitioned too and depend on the result of the full read.
         """
-        await self.restart(feed=self.feed)
-        self.passed_on.clear()
-        at = self.follower.revision
+        await self.restart(send_feed=self.send_feed)
+        self.sent_change_sets.clear()
+        base = self.follower.revision
         read_all = self.store.read_all
 
-        async def read_while_fed(prefix):
+        async def read_while_receiving(prefix):
             read = await read_all(prefix)
-            self.follower.take_update(self.build_update(at, at + 1, 7))
+            self.follower.apply_change_set(
+                self.build_change_set(base, base + 1, 7)
+            )
             return read
 
         self.put('op/config', kv_fleet.build_configuration(7))
-        self.put('servers/i-3', BEAT)
-        self.store.read_all = read_while_fed
+        self.put('servers/i-3', SERVER_ENTRY)
+        self.store.read_all = read_while_receiving
         await self.follower._read_all()
-        for update in self.passed_on:
+        for change_set in self.sent_change_sets:
             self.assertTrue(
-                update.since > at
-                or 'op/config' in [item.key for item in update.items]
+                change_set.since > base
+                or 'op/config' in [item.key for item in change_set.items]
             )
-        self.assertEqual(at + 2, self.passed_on[-1].until)
-        self.assertTrue(self.passed_on[-1].exact)
-
-    async def test_what_was_read_fits_only_a_copy_of_its_revision(self):
-        """Guards against servers that stay listed though they are gone."""
-        at = self.follower.revision
-        self.follower.take_update(self.build_update(at, at + 4, 4))
-        update = self.build_update(at + 2, at + 6, 5)
-        exact = follower.Update(at + 2, at + 6, update.items, exact=True)
-        self.follower.take_update(exact)
-        self.assertEqual(at + 4, self.follower.revision)
-        exact = follower.Update(at + 4, at + 6, update.items, exact=True)
-        self.follower.take_update(exact)
-        self.assertEqual(at + 6, self.follower.revision)
-        self.assertTrue(self.follower.find_since(at).exact)
-        self.assertTrue(self.follower.find_since(at + 4).exact)
-        self.assertIsNone(self.follower.find_since(at + 5))
-
-    async def test_it_hands_over_when_the_store_turns_it_away(self):
-        handed = []
-        await self.restart(hand_over=lambda: handed.append(True))
+        self.assertEqual(base + 2, self.sent_change_sets[-1].until)
+        self.assertTrue(self.sent_change_sets[-1].exact)
+
+    async def test_a_full_read_applies_only_to_its_exact_base_revision(self):
+        """Guards against deleted servers that stay in newer copies."""
+        base = self.follower.revision
+        self.follower.apply_change_set(
+            self.build_change_set(base, base + 4, 4)
+        )
+        change_set = self.build_change_set(base + 2, base + 6, 5)
+        exact = follower.ChangeSet(
+            base + 2, base + 6, change_set.items, exact=True
+        )
+        self.follower.apply_change_set(exact)
+        self.assertEqual(base + 4, self.follower.revision)
+        exact = follower.ChangeSet(
+            base + 4, base + 6, change_set.items, exact=True
+        )
+        self.follower.apply_change_set(exact)
+        self.assertEqual(base + 6, self.follower.revision)
+        self.assertTrue(self.follower.find_changes_since(base).exact)
+        self.assertTrue(self.follower.find_changes_since(base + 4).exact)
+        self.assertIsNone(self.follower.find_changes_since(base + 5))
+
+    async def test_hands_over_when_the_store_rejects_it(self):
+        hand_overs = []
+        await self.restart(
+            hand_over_collection=lambda: hand_overs.append(True)
+        )
         self.state.mode = 'busy'
         async with asyncio.timeout(4):
-            while not handed:
+            while not hand_overs:
                 await asyncio.sleep(0.01)
 
-    async def test_far_behind_it_reads_all_in_place_of_all_changes(self):
-        self.fed = False
-        self.clock.advance(follower.REREAD_AGE_MS + 1)
+    async def test_an_old_copy_causes_a_full_read(self):
+        self.receives_feed = False
+        self.clock.advance(follower.FULL_READ_AGE_MS + 1)
         self.assertTrue(self.follower._is_far_behind())
-        self.clock.advance(-follower.REREAD_AGE_MS)
+        self.clock.advance(-follower.FULL_READ_AGE_MS)
         self.assertFalse(self.follower._is_far_behind())
 
 
 class WatchLengthTest(unittest.TestCase):
-    def test_one_silent_connection_does_not_use_up_the_proof(self):
-        """The connection of a watch goes silent without a reset."""
+    def test_one_unresponsive_connection_keeps_the_copy_valid(self):
+        """The connection of a watch stops responding without a reset."""
         for bound_ms in (2_000, 4_250, 9_000):
             with self.subTest(bound_ms):
                 watch_ms = follower.compute_watch_ms(bound_ms)
-                oldest = (
+                max_age_ms = (
                     2 * watch_ms
-                    + store_module.WATCH_SLACK_MS
+                    + store_module.WATCH_TIMEOUT_MARGIN_MS
                     + follower.RETRY_MS
-                    + follower.PROBE_WATCH_MS
+                    + follower.RECOVERY_WATCH_MS
                 )
-                self.assertLess(oldest, bound_ms)
+                self.assertLess(max_age_ms, bound_ms)
                 self.assertLessEqual(watch_ms, follower.MAX_WATCH_MS)
 
 
 class FakeRegistry:
-    """A registry whose next call fails as the test says."""
+    """A registry whose next call raises the error that a test sets."""
 
     def __init__(self):
         self.calls = []
@@ -492,70 +534,74 @@
     async def asyncSetUp(self):
         self.clock = builders.FakeClock()
         self.registry = FakeRegistry()
-        self.lead = leadership.Leadership(OWN.incarnation)
-        self.view = view_module.View(OWN)
+        self.leadership = leadership.Leadership(LOCAL_RECORD.incarnation)
+        self.view = view_module.View(LOCAL_RECORD)
         self.service = registration.RegistrationService(
-            self.clock, self.view, self.lead, self.registry
+            self.clock, self.view, self.leadership, self.registry
         )
         await self.service.work()
         self.registry.calls.clear()
 
-    def follow_another(self):
-        """Let another entry, which is heard, hold the lead."""
+    def let_another_lead(self):
+        """Make another entry, which is responsive, the leader."""
         now = self.clock.now()
         record = messages.Record('two', 'two-1', 'a', 'two:80', 'two:90')
         self.view.take_record(record, now)
         self.view.peers['two'].heard_at = now
-        self.lead.take_holder(leadership.Holder('two', 'two-1', 5), now)
+        self.leadership.take_holder(leadership.Holder('two', 'two-1', 5), now)
 
-    async def test_a_lease_that_ended_is_opened_anew(self):
-        """The store was away and the leases ran out meanwhile."""
+    async def test_an_expired_lease_is_replaced(self):
+        """The store was unavailable until the leases expired."""
         self.clock.advance(leadership.RENEW_MS)
-        self.follow_another()
+        self.let_another_lead()
         self.registry.error = routing_errors.LeaseLost('gone')
         await self.service.work()
-        self.assertFalse(self.lead.may_act(self.clock.now()))
+        self.assertFalse(self.leadership.may_act(self.clock.now()))
         await self.service.work()
         self.assertEqual(['renew', 'open', 'register'], self.registry.calls)
 
-    async def test_a_lead_whose_lease_ended_is_claimed_anew(self):
-        """The holder was cut off from the store for as long."""
+    async def test_leadership_is_claimed_again_after_its_lease_expired(self):
+        """The leader was partitioned from the store until the expiry."""
         self.clock.advance(leadership.LEAD_RENEW_MS)
         self.registry.error = routing_errors.LeaseLost('gone')
         await self.service.work()
         self.assertEqual(['renew', 'open', 'claim'], self.registry.calls)
-        self.assertTrue(self.lead.may_act(self.clock.now()))
+        self.assertTrue(self.leadership.may_act(self.clock.now()))
 
-    async def test_a_renewed_registration_does_not_prolong_the_lead(self):
-        """Guards against orders of a holder whose lead has ended."""
+    async def test_renewing_the_registration_does_not_extend_leadership(self):
+        """Guards against orders of a leader whose lease has expired."""
         self.clock.advance(leadership.RENEW_MS)
         self.service._lead_lease = None
         await self.service.work()
         self.assertEqual(['renew'], self.registry.calls)
-        self.assertFalse(self.lead.may_act(self.clock.now()))
+        self.assertFalse(self.leadership.may_act(self.clock.now()))
 
-    async def test_a_claim_whose_answer_is_lost_is_renewed_if_it_stands(self):
-        """Guards against a lead that nobody renews and nobody may take."""
-        self.lead.take_holder(None, self.clock.now())
+    async def test_a_claim_with_a_lost_response_is_renewed_if_it_succeeded(
+        self,
+    ):
+        """Guards against a leadership that no entry renews or can claim."""
+        self.leadership.take_holder(None, self.clock.now())
         claim = self.registry.claim_lead
 
-        async def lose_answer(record, lease, revision):
+        async def lose_response(record, lease, revision):
             await claim(record, lease, revision)
-            raise routing_errors.RegistryUnavailable('no answer')
+            raise routing_errors.RegistryUnavailable('no response')
 
-        self.registry.claim_lead = lose_answer
+        self.registry.claim_lead = lose_response
         await self.service.work()
-        holder = leadership.Holder(OWN.host, OWN.incarnation, 5)
-        self.lead.take_holder(holder, self.clock.now())
+        holder = leadership.Holder(
+            LOCAL_RECORD.host, LOCAL_RECORD.incarnation, 5
+        )
+        self.leadership.take_holder(holder, self.clock.now())
         self.registry.calls.clear()
         self.clock.advance(leadership.LEAD_RENEW_MS)
         await self.service.work()
         self.assertEqual(['renew'], self.registry.calls)
-        self.assertTrue(self.lead.may_act(self.clock.now()))
+        self.assertTrue(self.leadership.may_act(self.clock.now()))
 
-    async def test_a_registry_that_is_away_is_asked_again(self):
+    async def test_an_unavailable_registry_is_retried(self):
         self.clock.advance(leadership.RENEW_MS)
-        self.follow_another()
+        self.let_another_lead()
         self.registry.error = routing_errors.RegistryUnavailable('busy')
         await self.service.work()
         await self.service.work()
@@ -564,10 +610,12 @@
         await self.service.work()
         self.assertEqual(['renew', 'renew'], self.registry.calls)
 
-    async def test_a_registry_that_stays_away_is_asked_ever_more_seldom(self):
-        """The store counts the calls that it refuses."""
+    async def test_the_retry_delay_grows_while_the_registry_is_unavailable(
+        self,
+    ):
+        """The store also charges the calls that it rejects."""
         self.clock.advance(leadership.RENEW_MS)
-        self.follow_another()
+        self.let_another_lead()
         calls = []
         for _ in range(60):
             self.registry.error = routing_errors.RegistryUnavailable('busy')
@@ -577,76 +625,82 @@
         self.assertLessEqual(calls[-1], 6)
         self.assertGreater(calls[-1], calls[-25])
 
-    def restart(self, old_lease):
-        """Start another process, which finds an earlier one's lease."""
-        self.lead = leadership.Leadership('one-2')
-        self.lead.take_holder(
+    def restart(self, previous_lease):
+        """Start another process that finds the lease of an earlier one."""
+        self.leadership = leadership.Leadership('one-2')
+        self.leadership.take_holder(
             leadership.Holder('two', 'two-1', 5), self.clock.now()
         )
-        self.follow_another()
+        self.let_another_lead()
         self.service = registration.RegistrationService(
-            self.clock, self.view, self.lead, self.registry, lambda: old_lease
+            self.clock,
+            self.view,
+            self.leadership,
+            self.registry,
+            lambda: previous_lease,
         )
 
-    async def test_a_restarted_entry_goes_on_with_its_lease(self):
-        """All hosts restart at once, and each call is priced."""
+    async def test_a_restarted_entry_reuses_its_lease(self):
+        """All hosts restart simultaneously, and each store call costs."""
         self.restart(9)
         await self.service.work()
         self.assertEqual(['renew', 'register'], self.registry.calls)
 
-    async def test_an_old_lease_that_has_ended_is_replaced(self):
-        """The host was away for longer than its lease."""
+    async def test_an_expired_previous_lease_is_replaced(self):
+        """The host was unreachable for longer than its lease."""
         self.restart(9)
         self.registry.error = routing_errors.LeaseLost('gone')
         await self.service.work()
         self.assertEqual(['renew', 'open', 'register'], self.registry.calls)
 
-    async def test_nothing_is_opened_before_the_old_lease_is_known(self):
+    async def test_no_lease_is_opened_before_the_previous_lease_is_known(self):
         self.restart(None)
         await self.service.work()
         self.assertEqual([], self.registry.calls)
 
-    async def test_the_holder_of_the_lead_renews_more_often(self):
-        """Its orders count only shortly after each renewal."""
-        holder = leadership.Holder(OWN.host, OWN.incarnation, 5)
-        self.lead.take_holder(holder, self.clock.now())
+    async def test_the_leader_renews_more_often(self):
+        """Its orders are valid only for a short time after each renewal."""
+        holder = leadership.Holder(
+            LOCAL_RECORD.host, LOCAL_RECORD.incarnation, 5
+        )
+        self.leadership.take_holder(holder, self.clock.now())
         for _ in range(10):
             self.clock.advance(leadership.LEAD_RENEW_MS)
             await self.service.work()
-            self.assertTrue(self.lead.may_act(self.clock.now()))
+            self.assertTrue(self.leadership.may_act(self.clock.now()))
         renewals = 10 + 10 * leadership.LEAD_RENEW_MS // leadership.RENEW_MS
         self.assertEqual(['renew'] * renewals, self.registry.calls)
 
-    async def test_an_entry_may_act_as_soon_as_it_has_the_lead(self):
-        """Its own lease was renewed seconds before."""
+    async def test_an_entry_may_act_as_soon_as_it_is_leader(self):
+        """The lease of its registration was renewed seconds before."""
         self.clock.advance(leadership.RENEW_MS - 1)
-        self.lead.take_holder(None, self.clock.now())
+        self.leadership.take_holder(None, self.clock.now())
         self.clock.advance(1_000)
-        self.lead.renewed_at = self.clock.now() - leadership.ACT_MS - 1
+        self.leadership.renewed_at = self.clock.now() - leadership.ACT_MS - 1
         await self.service.work()
-        self.assertTrue(self.lead.may_act(self.clock.now()))
+        self.assertTrue(self.leadership.may_act(self.clock.now()))
 
-    async def test_nothing_is_renewed_before_it_is_due(self):
+    async def test_no_lease_is_renewed_before_it_is_due(self):
         self.clock.advance(100)
         await self.service.work()
         self.assertEqual([], self.registry.calls)
 
-    async def test_an_entry_that_leaves_claims_nothing(self):
+    async def test_a_leaving_entry_does_not_claim_leadership(self):
         self.service.leave()
         self.clock.advance(5_000)
         await self.service.work()
         self.assertEqual([], self.registry.calls)
 
-    async def test_an_entry_that_drains_stays_registered(self):
-        """A host is stopped while its streams still run for seconds."""
+    async def test_a_draining_entry_stays_registered(self):
+        """A host is stopped while its streams continue for seconds."""
         await self.service.step_down()
-        self.assertFalse(self.lead.may_act(self.clock.now()))
+        self.assertFalse(self.leadership.may_act(self.clock.now()))
         self.clock.advance(leadership.RENEW_MS)
         await self.service.work()
         self.assertEqual(['release', 'renew'], self.registry.calls)
 
 
-BEAT = {
+SERVER_ENTRY = {
     'service': 'drafting',
     'address': '127.0.0.1:9',
     'zone': 'a',
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path on the platform's protocols, as real processes."""
+"""End-to-end tests with real processes and the platform's protocols."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class WholePathTest(unittest.TestCase):
-    """Engines start empty, and callers ask for drafts, holds and reads."""
+    """Engines start without layers; callers send drafts, holds and reads."""
 
     def setUp(self):
         stack = contextlib.ExitStack()
@@ -35,17 +35,17 @@
         held = self.deployment.read_fleet()['servers'].values()
         if not ready or not all(held):
             return False
-        # Entries see a change of the list some 100 ms after it.
-        answers = [
+        # A change of the server list reaches entries after about 100 ms.
+        responses = [
             one.call('POST', '/brief/0', f'warm-{one.callers}')
             for one in (self.first, self.second)
         ]
-        return all(one.status == 200 for one in answers)
+        return all(one.status == 200 for one in responses)
 
-    def test_streams_actions_and_reads_come_back_whole(self):
-        answer = self.first.call('POST', '/brief/1', 1)
-        self.assertEqual((200, WHOLE), (answer.status, answer.body))
-        self.assertIn('Response-Seal', answer.headers)
+    def test_streams_actions_and_reads_are_answered_completely(self):
+        response = self.first.call('POST', '/brief/1', 1)
+        self.assertEqual((200, WHOLE), (response.status, response.body))
+        self.assertIn('Response-Seal', response.headers)
         hold = self.second.call('POST', '/hold/1', 2)
         self.assertEqual(200, hold.status)
         self.assertTrue(hold.body.endswith(b'for north'))
@@ -59,8 +59,8 @@
         own = {name for name in ran['runs'] if 'warm' not in name}
         self.assertEqual({'request-1', 'request-2', 'request-3'}, own)
 
-    def test_a_stream_goes_on_when_an_engine_dies(self):
-        """An engine in the middle of a draft's path dies without a word."""
+    def test_a_stream_resumes_after_an_engine_failure(self):
+        """An engine in the middle of a draft's path is killed."""
         results = []
         thread = threading.Thread(
             target=lambda: results.append(
@@ -82,13 +82,13 @@
             [], self.first.find_lines('run_repeated', id='request-7')
         )
 
-    def test_an_action_whose_answer_is_lost_runs_once(self):
-        """A server runs a hold and its answer never comes."""
+    def test_an_action_with_a_lost_response_runs_once(self):
+        """A server executes a hold and its response is lost."""
         self.deployment.control(lose_answers=1)
-        answer = self.first.call('POST', '/hold/1', 8)
-        self.assertEqual(502, answer.status)
+        response = self.first.call('POST', '/hold/1', 8)
+        self.assertEqual(502, response.status)
         self.assertEqual(1, self.deployment.read_fleet()['runs']['request-8'])
-        # The line is written behind the answer.
+        # The line is logged after the response is sent.
         deployment.wait_until(
             lambda: self.first.find_lines('request_ended', id='request-8'),
             5.0,
@@ -96,8 +96,8 @@
         (line,) = self.first.find_lines('request_ended', id='request-8')
         self.assertIn('outcome_unknown', line)
 
-    def test_a_withdrawn_key_stops_on_a_host_without_the_store(self):
-        """Operators withdraw a key while the store answers nobody."""
+    def test_a_withdrawn_key_is_rejected_without_the_store(self):
+        """Operators withdraw a key while the store does not respond."""
         self.assertEqual(200, self.first.call('GET', '/read/1', 9).status)
         self.deployment.control_store(mode='silent')
         deployment.wait_until(
@@ -117,8 +117,8 @@
             lambda: self.first.call('GET', '/read/1', 12).status == 401, 2.0
         )
 
-    def test_metrics_tell_of_a_lost_engine_and_a_lost_store(self):
-        """An engine dies, and then the store stops answering."""
+    def test_metrics_show_a_failed_engine_and_an_unavailable_store(self):
+        """An engine is killed, then the store stops responding."""
         suspected = 'thornspool_engines{domain="a",state="suspected"}'
         before = self.first.read_metrics()
         leads = [
@@ -147,8 +147,8 @@
             sum_family(read, 'thornspool_engine_memory_taken_ratio'), 0.01
         )
 
-    def test_a_lost_history_is_read_again(self):
-        """The store forgets its history while a version is written."""
+    def test_all_keys_are_read_after_a_lost_history(self):
+        """The store loses its history while a version is written."""
         self.deployment.control_store(drop_history=True)
         self.deployment.control(
             put='op/config',
@@ -160,7 +160,7 @@
             4.0,
         )
 
-    def test_a_planned_stop_leaves_lookups_and_ends_its_streams(self):
+    def test_a_planned_stop_leaves_lookups_and_finishes_streams(self):
         """A host is stopped for an update while a draft is written."""
         self.assertIn(self.first.callers, self.second.look_up('a'))
         results = []
@@ -182,8 +182,8 @@
         self.assertEqual(WHOLE, results[0].body)
         self.assertEqual(0, self.first.popen.wait(10))
 
-    def test_another_entry_places_layers_when_the_leader_dies(self):
-        """The entry that gives orders is killed, then an engine dies."""
+    def test_another_entry_places_layers_after_a_leader_failure(self):
+        """The leader is killed, and then an engine."""
         leader, other = (
             (self.first, self.second)
             if self.first.find_lines('lead_taken')
@@ -194,8 +194,8 @@
         self.deployment.control(kill='b-1')
         self.deployment.control(delete='servers/b-1')
         deployment.wait_until(self.is_covered, 8.0)
-        answer = other.call('POST', '/brief/1', 15)
-        self.assertEqual(WHOLE, answer.body)
+        response = other.call('POST', '/brief/1', 15)
+        self.assertEqual(WHOLE, response.body)
 
     def is_covered(self):
         held = self.deployment.read_fleet()['servers']
@@ -207,7 +207,7 @@
 
 
 def sum_family(metrics, family):
-    """Add up the values of a family."""
+    """Return the sum of the values of a metric family."""
     return sum(
         value
         for name, value in metrics.items()
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -238,7 +238,7 @@
     'handover-of-collecting': (
         Edit(
             f'{_PLATFORM}/follower.py',
-            'self._sharing.hand_over()\n',
+            'self._coordination.hand_over_collection()\n',
             'pass\n',
         ),
     ),
@@ -259,7 +259,7 @@
     'patience-in-shared-outages': (
         Edit(
             f'{_PLATFORM}/follower.py',
-            'return age < self._shared_age_ms\n',
+            'return age < self._outage_max_age_ms\n',
             'return False\n',
         ),
     ),
