--- a/tests/platform/deployment.py
+++ b/tests/platform/deployment.py
@@ -58,13 +58,13 @@
 class Response:
     """Response that a caller received.
 
-    ``whole`` tells whether the body is complete.
+    ``complete`` is False for a truncated body.
     """
 
     status: int
     headers: dict[str, str]
     body: bytes
-    whole: bool
+    complete: bool
 
 
 @attrs.define(eq=False)
@@ -151,11 +151,11 @@
             connection.request(method, path, b'{}', sent)
             response = connection.getresponse()
             try:
-                body, whole = response.read(), True
+                body, complete = response.read(), True
             except http.client.IncompleteRead as error:
-                body, whole = error.partial, False
+                body, complete = error.partial, False
             return Response(
-                response.status, dict(response.getheaders()), body, whole
+                response.status, dict(response.getheaders()), body, complete
             )
         finally:
             connection.close()
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -12,7 +12,7 @@
 from tests.platform import deployment
 from tools import processes
 
-WHOLE = b''.join(
+COMPLETE_STREAM = b''.join(
     b'id: %d\ndata: word%d\n\n' % (number, number)
     for number in range(kv_fleet.EVENTS)
 )
@@ -32,8 +32,8 @@
 
     def serves(self):
         ready = self.first.is_ready() and self.second.is_ready()
-        held = self.deployment.read_fleet()['servers'].values()
-        if not ready or not all(held):
+        held_layers = self.deployment.read_fleet()['servers'].values()
+        if not ready or not all(held_layers):
             return False
         # A change of the server list reaches entries after about 100 ms.
         responses = [
@@ -44,7 +44,9 @@
 
     def test_streams_actions_and_reads_are_answered_completely(self):
         response = self.first.call('POST', '/brief/1', 1)
-        self.assertEqual((200, WHOLE), (response.status, response.body))
+        self.assertEqual(
+            (200, COMPLETE_STREAM), (response.status, response.body)
+        )
         self.assertIn('Response-Seal', response.headers)
         hold = self.second.call('POST', '/hold/1', 2)
         self.assertEqual(200, hold.status)
@@ -56,8 +58,10 @@
         self.assertEqual(404, self.first.call('GET', '/none/1', 5).status)
         ran = self.deployment.read_fleet()
         self.assertEqual(0, ran['wrong_paths'])
-        own = {name for name in ran['runs'] if 'warm' not in name}
-        self.assertEqual({'request-1', 'request-2', 'request-3'}, own)
+        sent_requests = {name for name in ran['runs'] if 'warm' not in name}
+        self.assertEqual(
+            {'request-1', 'request-2', 'request-3'}, sent_requests
+        )
 
     def test_a_stream_resumes_after_an_engine_failure(self):
         """An engine in the middle of a draft's path is killed."""
@@ -75,8 +79,8 @@
         self.deployment.control(kill='a-1')
         began = time.monotonic()
         thread.join(20)
-        self.assertEqual(WHOLE, results[0].body)
-        self.assertTrue(results[0].whole)
+        self.assertEqual(COMPLETE_STREAM, results[0].body)
+        self.assertTrue(results[0].complete)
         self.assertLess(time.monotonic() - began, 4.0)
         self.assertNotEqual(
             [], self.first.find_lines('run_repeated', id='request-7')
@@ -179,7 +183,7 @@
         )
         self.assertFalse(self.first.is_ready())
         thread.join(20)
-        self.assertEqual(WHOLE, results[0].body)
+        self.assertEqual(COMPLETE_STREAM, results[0].body)
         self.assertEqual(0, self.first.popen.wait(10))
 
     def test_another_entry_places_layers_after_a_leader_failure(self):
@@ -195,12 +199,12 @@
         self.deployment.control(delete='servers/b-1')
         deployment.wait_until(self.is_covered, 8.0)
         response = other.call('POST', '/brief/1', 15)
-        self.assertEqual(WHOLE, response.body)
+        self.assertEqual(COMPLETE_STREAM, response.body)
 
     def is_covered(self):
-        held = self.deployment.read_fleet()['servers']
+        layers_by_server = self.deployment.read_fleet()['servers']
         layers = set()
-        for name, one in held.items():
+        for name, one in layers_by_server.items():
             if name.startswith('b-') and one is not None:
                 layers.update(range(one['from'], one['to']))
         return len(layers) == kv_fleet.LAYERS
