--- a/src/thornspool/application/routing/beliefs.py
+++ b/src/thornspool/application/routing/beliefs.py
@@ -1,4 +1,4 @@
-"""What an entry believes: configuration, servers, suspects, and its proof."""
+"""Routing state of an entry: configuration, servers and exclusions."""
 
 from __future__ import annotations
 
@@ -22,67 +22,87 @@
 LEAVING_USE_MS = 1_000
 """Time for which a server that leaves may still get requests.
 
-For plain servers, and engines whose entry went without a word; their
-neighbours load their layers meanwhile. The shortest bound is 2 s from the
-store's acknowledgement; the change is seen within some 200 ms of it.
+This applies to plain servers, and to engines whose record was removed without
+notice, while their neighbours load their layers. The shortest time for which a
+server continues to serve is 2 s from the store's acknowledgement, and entries
+see the change within some 200 ms of it.
 """
 
 OUTAGE_MS = 3_000
-"""Age of the copy's proof from which the store counts as having been away.
+"""Age of the copy from which the store counts as having been unavailable.
 
-Entries lapse after 3.6 s of silence; a copy that is kept current is proved
-anew every 0.4 to 2.8 s.
+Records expire 3.6 s after the last heartbeat. The store confirms a current
+copy again every 0.4 to 2.8 s.
 """
 
 RETURN_MS = 2_200
-"""Time after the store's return for which entries that are gone are not
-believed to be: servers that live are back in the list within some 2 s."""
+"""Time after the store's return for which removed records are ignored.
 
-SUSPECT_MS = 4_000
-"""Time for which a server that failed is left out.
+Servers that are alive register again within some 2 s.
+"""
+
+SUSPICION_MS = 4_000
+"""Time for which a server that failed is excluded.
 
-A crashed engine leaves the list 3.6 s after its last heartbeat. A shorter
-suspicion let it come back in between: the layers it held counted as held,
+A crashed engine leaves the server list 3.6 s after its last heartbeat. After a
+shorter exclusion it was used again in between: its layers counted as covered,
 and requests stalled on it once more.
 """
 
-MISTAKEN_MS = 1_500
-"""Time for which a server that is not what the list says is left out; the
-list is right again after a heartbeat of 1.2 s."""
+MISDIRECTED_MS = 1_500
+"""Time for which a server that differs from its record is excluded.
+
+The record is correct again after the next heartbeat, which comes every 1.2 s.
+"""
 
 MAX_SUSPECT_SHARE = 0.25
-"""Share of all servers that one entry may suspect by what it saw itself.
+"""Largest share of all servers that one entry may suspect.
 
-An entry that was frozen or cut off finds nobody answering; it would tell
-its peers to leave out the whole fleet.
+An entry that was suspended or lost its network gets no answer from any server.
+Without this limit it would make its peers exclude the whole fleet.
 """
 
 MIN_SUSPECTS = 4
-"""Servers that may be suspected in any fleet."""
+"""Number of servers that may be suspected in a fleet of any size."""
 
 MISDIRECTED = 'misdirected'
-"""Reason of a suspicion: the server is not what the list says."""
+"""Reason of a suspicion: the server differs from its record."""
 
 NO_REPORT = 'no_report'
-"""Reason of a suspicion: the server did not answer a question."""
+"""Reason of a suspicion: the server did not answer a probe."""
 
 NO_QUICK_REPORT = 'no_quick_report'
-"""Reason of a suspicion: the server did not answer questions that were waited
-for only shortly. It is left, and is not taken to have ended."""
+"""Reason of a suspicion: the server did not answer probes with a short
+timeout.
+
+Streams leave the server, but it does not count as lost.
+"""
 
 NOT_REACHED = 'not_reached'
-"""Reason of a suspicion: no connection to the server came about."""
+"""Reason of a suspicion: no connection to the server could be opened."""
 
-LATE_MS = 50
-"""Lateness of this entry from which the silence of a server proves nothing:
-the answer may lie unread while its loop is busy."""
+MAX_PROBE_DELAY_MS = 50
+"""Delay of this entry above which an unanswered probe is ignored.
+
+The answer may be unread while the event loop is busy.
+"""
 
 logger = structlog.get_logger(__name__)
 
 
 @attrs.define
 class Suspicion:
-    """Why a server is left out, and until when."""
+    """Reason why a server is suspected, and when the suspicion expires.
+
+    Attributes
+    ----------
+    until : int
+        Time in milliseconds at which it expires.
+    reason : str
+        What was observed.
+    born : int or None
+        Start of the suspected process; a restarted server is not suspected.
+    """
 
     until: int
     reason: str
@@ -91,14 +111,44 @@
 
 @attrs.define
 class Beliefs:
-    """The local copy of what the store says, and what was seen since.
+    """Local copy of the store, and what was observed since.
 
     Attributes
     ----------
+    configuration : routing.Configuration or None
+        Configuration in force; None before the first one.
+    servers : dict of str to fleet.Server
+        Known servers by id.
+    leaving : dict of str to int
+        Time in milliseconds since when a server is leaving.
+    unlisted : dict of str to int
+        Time in milliseconds since when a server has no record.
+    lapsed : set of str
+        Servers whose records were removed right after the store's return.
+    suspects : dict of str to Suspicion
+        Servers that are excluded after a failure.
+    paces : paces_module.Paces
+        Slowdown factors of engines.
+    refusals : refusals_module.Refusals
+        Servers that are in backoff or ejected.
+    outliers : outliers_module.Outliers
+        Runs that engines broke.
+    moves : moves_module.Moves
+        Engines that change their layers.
+    proof : proofs.Proof
+        Freshness of the copy.
+    servers_changed_at : int
+        Time in milliseconds of the last change of the servers.
     revision : int
         Counts the changes of servers and configuration.
-    doubted : set of str
-        Engines that have refused work and are to be asked whether they live.
+    first_contact_at : int or None
+        Time in milliseconds of the first answer of the store.
+    store_returned_at : int or None
+        Time in milliseconds at which the store was last available again.
+    fresh_suspects : list of str
+        Suspected servers that are not yet reported to peers.
+    probe_candidates : set of str
+        Engines that have refused or broken runs and are to be probed.
     """
 
     configuration: routing.Configuration | None = None
@@ -119,64 +169,103 @@
     servers_changed_at: int = 0
     revision: int = 0
     first_contact_at: int | None = None
-    store_back_at: int | None = None
+    store_returned_at: int | None = None
     fresh_suspects: list[str] = attrs.field(factory=list)
-    doubted: set[str] = attrs.field(factory=set)
-    _at_address: dict[str, str] = attrs.field(factory=dict, init=False)
+    probe_candidates: set[str] = attrs.field(factory=set)
+    _id_by_address: dict[str, str] = attrs.field(factory=dict, init=False)
 
-    def take_configuration(self, read: routing.Configuration) -> None:
-        """Take a newer version; an older one is ignored."""
-        known = self.configuration
-        if known is not None and read.version < known.version:
+    def take_configuration(self, configuration: routing.Configuration) -> None:
+        """Put a configuration into force unless it is outdated.
+
+        Parameters
+        ----------
+        configuration : routing.Configuration
+            The configuration.
+        """
+        current = self.configuration
+        if current is not None and configuration.version < current.version:
             logger.warning(
                 'configuration_ignored',
-                version=read.version,
-                in_force=known.version,
+                version=configuration.version,
+                in_force=current.version,
             )
             return
-        self.configuration = read
+        self.configuration = configuration
         self.revision += 1
         logger.info(
             'configuration_in_force',
-            version=read.version,
-            routes=sum(len(found) for found in read.routes.values()),
-            keys=len(read.workspaces),
+            version=configuration.version,
+            routes=sum(
+                len(routes) for routes in configuration.routes.values()
+            ),
+            keys=len(configuration.workspaces),
         )
 
     def note_contact(self, now: int) -> None:
-        """Note that the store's word has come, before it is taken."""
+        """Record an answer of the store, before its content is applied.
+
+        Parameters
+        ----------
+        now : int
+            Current time in milliseconds.
+        """
         if self.proof.current_at is None:
             self.first_contact_at = now
         elif self.is_outdated(now):
-            self.store_back_at = now
+            self.store_returned_at = now
 
     def is_outdated(self, now: int) -> bool:
-        """Tell whether the copy is older than a store that answers lets it."""
+        """Return whether the copy is older than with an available store.
+
+        Parameters
+        ----------
+        now : int
+            Current time in milliseconds.
+        """
         age = self.proof.compute_age(now)
         return age is None or age > OUTAGE_MS
 
     def is_settling(self, now: int) -> bool:
-        """Tell whether the list may still lack servers that live.
+        """Return whether live servers may still be missing from the list.
+
+        Records expire while the store is unavailable. Without this check,
+        servers counted as gone at its return: they got no more requests, and
+        whole failure domains were given new layers although their layers were
+        still covered.
 
-        Entries lapse while the store is away. Taken for gone at its return,
-        servers lost their requests, and whole failure domains were given
-        new layers that were there all the time.
+        Parameters
+        ----------
+        now : int
+            Current time in milliseconds.
         """
-        return _is_recent(self.store_back_at, now)
+        return _is_recent(self.store_returned_at, now)
 
     def is_list_young(self, now: int) -> bool:
-        """Tell whether nothing should be concluded from what is missing.
+        """Return whether missing servers allow no conclusion yet.
 
-        A process that has just started can't tell whether the store had
-        been away before.
+        An entry that has just started can't tell whether the store was
+        unavailable before.
+
+        Parameters
+        ----------
+        now : int
+            Current time in milliseconds.
         """
         return self.is_settling(now) or _is_recent(self.first_contact_at, now)
 
     def take_server(self, server: fleet.Server, now: int) -> None:
-        """Take a server's entry as it was written last."""
-        known = self.servers.get(server.id)
+        """Apply the latest record of a server.
+
+        Parameters
+        ----------
+        server : fleet.Server
+            The record.
+        now : int
+            Current time in milliseconds.
+        """
+        current = self.servers.get(server.id)
         self.lapsed.discard(server.id)
-        if known == server and server.id not in self.unlisted:
+        if current == server and server.id not in self.unlisted:
             return
         self.unlisted.pop(server.id, None)
         self._drop_predecessor(server, now)
@@ -195,234 +284,329 @@
             server=server.id,
             address=server.address,
             draining=server.draining,
-            layers=_show_layers(server),
+            layers=_format_layers(server),
             born=server.born,
         )
 
-    def remove_server(self, name: str, now: int) -> None:
-        """Note that a server's entry is gone.
+    def remove_server(self, server_id: str, now: int) -> None:
+        """Record that the record of a server was removed.
 
-        Some servers leave without a word: their entry goes first and they
-        serve on for a while. So it is used a moment longer, like one that
-        has announced its end.
+        Some servers leave without notice: their record is removed first, and
+        they continue to serve for a while. So they are used a little longer,
+        like servers that have announced their end.
+
+        Parameters
+        ----------
+        server_id : str
+            Id of the server.
+        now : int
+            Current time in milliseconds.
         """
-        if name not in self.servers:
+        if server_id not in self.servers:
             return
         if self.is_settling(now):
-            self.lapsed.add(name)
-            logger.info('server_lapsed', server=name)
+            self.lapsed.add(server_id)
+            logger.info('server_lapsed', server=server_id)
             return
-        if name in self.suspects:
-            # It failed before its entry went, so it does not serve on.
-            self._drop(name, now)
+        if server_id in self.suspects:
+            # It failed before its record was removed, so it no longer serves.
+            self._drop(server_id, now)
             return
         self.servers_changed_at = now
-        self.leaving.setdefault(name, now)
-        self.unlisted.setdefault(name, now)
-        logger.info('server_unlisted', server=name)
+        self.leaving.setdefault(server_id, now)
+        self.unlisted.setdefault(server_id, now)
+        logger.info('server_unlisted', server=server_id)
 
     def forget_left(self, now: int) -> None:
-        """Forget what no longer counts: servers, suspicions, paces."""
+        """Drop expired servers, suspicions and measurements.
+
+        Parameters
+        ----------
+        now : int
+            Current time in milliseconds.
+        """
         if self.lapsed and not self.is_settling(now):
-            # They had their time to come back, and refuse every run now.
+            # They have not registered again in time, and refuse every run.
             lapsed, self.lapsed = self.lapsed, set()
-            for name in lapsed:
-                self._drop(name, now)
-        for name, since in list(self.unlisted.items()):
+            for server_id in lapsed:
+                self._drop(server_id, now)
+        for server_id, since in list(self.unlisted.items()):
             if now - since > LEAVING_USE_MS:
-                self._drop(name, now)
-        for name, suspicion in list(self.suspects.items()):
+                self._drop(server_id, now)
+        for server_id, suspicion in list(self.suspects.items()):
             if now >= suspicion.until:
-                del self.suspects[name]
+                del self.suspects[server_id]
         self.paces.forget_old(now)
         self.refusals.forget_old(now)
         self.outliers.forget_old(now)
         self.moves.forget_old(now)
 
     def _drop_predecessor(self, server: fleet.Server, now: int) -> None:
-        """Forget the server that had the address of a newer one."""
-        known = self.servers.get(self._at_address.get(server.address, ''))
-        if known is None or known.id == server.id:
-            self._at_address[server.address] = server.id
-        elif (known.born or 0) < (server.born or 0):
-            self._at_address[server.address] = server.id
-            self._drop(known.id, now)
-
-    def _drop(self, name: str, now: int) -> None:
-        """Forget a server that is gone."""
-        self.unlisted.pop(name, None)
-        self.leaving.pop(name, None)
-        dropped = self.servers.pop(name, None)
+        """Drop the server that a newer one at its address has replaced."""
+        predecessor = self.servers.get(
+            self._id_by_address.get(server.address, '')
+        )
+        if predecessor is None or predecessor.id == server.id:
+            self._id_by_address[server.address] = server.id
+        elif (predecessor.born or 0) < (server.born or 0):
+            self._id_by_address[server.address] = server.id
+            self._drop(predecessor.id, now)
+
+    def _drop(self, server_id: str, now: int) -> None:
+        """Remove a server from the routing state."""
+        self.unlisted.pop(server_id, None)
+        self.leaving.pop(server_id, None)
+        dropped = self.servers.pop(server_id, None)
         if dropped is not None:
-            if self._at_address.get(dropped.address) == name:
-                del self._at_address[dropped.address]
+            if self._id_by_address.get(dropped.address) == server_id:
+                del self._id_by_address[dropped.address]
             self.servers_changed_at = now
             self.revision += 1
-            logger.info('server_dropped', server=name)
+            logger.info('server_dropped', server=server_id)
 
     def suspect(
-        self, name: str, reason: str, now: int, told: bool = False
+        self, server_id: str, reason: str, now: int, told: bool = False
     ) -> None:
-        """Leave a server out for a while.
+        """Exclude a server for a limited time after a failure.
 
         Parameters
         ----------
-        name : str
-            The server.
+        server_id : str
+            Id of the server.
         reason : str
-            What was seen.
+            What was observed.
         now : int
-            Milliseconds of the clock.
+            Current time in milliseconds.
         told : bool, optional
-            Whether a peer saw it, so that it is not told on.
+            Whether a peer reported it. It is then not reported to other peers.
         """
-        server = self.servers.get(name)
+        server = self.servers.get(server_id)
         if server is None:
             return
-        if name not in self.suspects and not self._may_suspect():
-            logger.warning('suspicion_dropped', server=name, reason=reason)
+        if server_id not in self.suspects and not self._may_suspect():
+            logger.warning(
+                'suspicion_dropped', server=server_id, reason=reason
+            )
             return
-        if name not in self.suspects:
-            logger.warning('server_suspected', server=name, reason=reason)
+        if server_id not in self.suspects:
+            logger.warning('server_suspected', server=server_id, reason=reason)
             if not told:
-                self.fresh_suspects.append(name)
-        length = MISTAKEN_MS if reason == MISDIRECTED else SUSPECT_MS
-        self.suspects[name] = Suspicion(now + length, reason, server.born)
+                self.fresh_suspects.append(server_id)
+        duration_ms = MISDIRECTED_MS if reason == MISDIRECTED else SUSPICION_MS
+        self.suspects[server_id] = Suspicion(
+            now + duration_ms, reason, server.born
+        )
 
     def note_silence(
         self,
-        name: str,
-        asked_at: int,
+        server_id: str,
+        probed_at: int,
         now: int,
         wait_ms: int = ports.REPORT_MS,
         reason: str = NO_REPORT,
-        late_ms: int = LATE_MS,
+        max_delay_ms: int = MAX_PROBE_DELAY_MS,
     ) -> None:
-        """Suspect a server that has not answered a question in time.
+        """Suspect a server that has not answered a probe in time.
 
         Parameters
         ----------
-        name : str
-            The server.
-        asked_at, now : int
-            When it was asked, and when the wait was over.
+        server_id : str
+            Id of the server.
+        probed_at : int
+            Time in milliseconds at which the probe was sent.
+        now : int
+            Time in milliseconds at which the wait ended.
         wait_ms : int, optional
-            Time that it was given.
+            Timeout of the probe in milliseconds.
         reason : str, optional
-            What the silence shows.
-        late_ms : int, optional
-            Lateness of this entry from which it shows nothing.
+            Reason of the suspicion.
+        max_delay_ms : int, optional
+            Delay of this entry in milliseconds above which the missing answer
+            is ignored.
         """
-        if now - asked_at > wait_ms + late_ms:
-            logger.info('silence_doubted', server=name, waited=now - asked_at)
+        if now - probed_at > wait_ms + max_delay_ms:
+            logger.info(
+                'silence_doubted', server=server_id, waited=now - probed_at
+            )
             return
-        self.suspect(name, reason, now)
+        self.suspect(server_id, reason, now)
 
-    def note_broken_run(self, name: str, now: int) -> None:
-        """Note that an engine closed a connection before any answer.
+    def note_broken_run(self, server_id: str, now: int) -> None:
+        """Record that an engine closed a connection before any answer.
 
-        Its health may be good all the while. It is asked whether it lives,
-        and left out by all entries once it has broken enough runs.
+        Its health checks may pass all the while. The engine is probed, and
+        once it has broken enough runs, all entries exclude it.
+
+        Parameters
+        ----------
+        server_id : str
+            Id of the engine.
+        now : int
+            Current time in milliseconds.
         """
-        self.doubted.add(name)
-        if not self.outliers.note_break(name, now):
-            logger.info('break_doubted', server=name)
+        self.probe_candidates.add(server_id)
+        if not self.outliers.note_break(server_id, now):
+            logger.info('break_doubted', server=server_id)
             return
-        if self._may_eject(name, now) and self.refusals.note(
-            name, now, refusals_module.MAX_EJECTED_MS
+        if self._may_eject(server_id, now) and self.refusals.note(
+            server_id, now, refusals_module.MAX_EJECTED_MS
         ):
-            logger.warning('server_ejected', server=name)
+            logger.warning('server_ejected', server=server_id)
 
     def take_breaks(
-        self, host: str, told: typing.Iterable[int], now: int
+        self, host: str, reported: typing.Iterable[int], now: int
     ) -> None:
-        """Take what a peer tells of engines that break runs."""
-        new = self.outliers.note_told(host, told, now)
+        """Apply a peer's report of engines that break runs.
+
+        Parameters
+        ----------
+        host : str
+            Host of the peer.
+        reported : iterable of int
+            Hashes of the engines.
+        now : int
+            Current time in milliseconds.
+        """
+        new = self.outliers.note_told(host, reported, now)
         if not new:
             return
-        for name in self.servers:
-            if marks.compute_mark(name) in new and self._may_eject(name, now):
-                self.take_refusals((marks.compute_mark(name),), now, False)
-
-    def _may_eject(self, name: str, now: int) -> bool:
-        """Tell whether an engine is an outlier, and enough others are left."""
-        mark = marks.compute_mark(name)
+        for server_id in self.servers:
+            if marks.compute_mark(server_id) in new and self._may_eject(
+                server_id, now
+            ):
+                self.take_refusals(
+                    (marks.compute_mark(server_id),), now, False
+                )
+
+    def _may_eject(self, server_id: str, now: int) -> bool:
+        """Return whether an engine is an outlier and enough others remain."""
+        mark = marks.compute_mark(server_id)
         if not self.outliers.is_outlier(mark, now) and not (
             self.outliers.has_broken(mark)
-            and self.refusals.is_on_trial(name, now)
+            and self.refusals.is_on_trial(server_id, now)
         ):
             return False
-        allowed = outliers_module.MAX_EJECTED_SHARE * len(self.servers)
-        if self.refusals.count_left_out(now) < allowed:
+        max_ejected = outliers_module.MAX_EJECTED_SHARE * len(self.servers)
+        if self.refusals.count_left_out(now) < max_ejected:
             return True
-        logger.warning('ejection_dropped', server=name)
+        logger.warning('ejection_dropped', server=server_id)
         return False
 
     def take_refusals(
-        self, told: typing.Iterable[int], now: int, direct: bool
+        self, reported: typing.Iterable[int], now: int, direct: bool
     ) -> None:
-        """Take what a peer tells of engines that are left out."""
-        for mark in told:
-            longest = refusals_module.MAX_MS
+        """Apply a peer's report of excluded engines.
+
+        Parameters
+        ----------
+        reported : iterable of int
+            Hashes of the engines.
+        now : int
+            Current time in milliseconds.
+        direct : bool
+            Whether the peer observed the refusals itself.
+        """
+        for mark in reported:
+            max_backoff_ms = refusals_module.MAX_MS
             if self.outliers.has_broken(mark):
-                longest = refusals_module.MAX_EJECTED_MS
-            self.refusals.note_told((mark,), now, direct, longest)
+                max_backoff_ms = refusals_module.MAX_EJECTED_MS
+            self.refusals.note_told((mark,), now, direct, max_backoff_ms)
 
-    def is_lost(self, name: str) -> bool:
-        """Tell whether this entry itself has seen that a server is gone.
+    def is_lost(self, server_id: str) -> bool:
+        """Return whether this entry itself observed that a server is gone.
 
-        Others may be mistaken, and a server that only waits for another one
-        has not ended.
+        Peers may be mistaken, and a server that only waits for another one is
+        still running.
+
+        Parameters
+        ----------
+        server_id : str
+            Id of the server.
         """
-        suspicion = self.suspects.get(name)
+        suspicion = self.suspects.get(server_id)
         return suspicion is not None and suspicion.reason in {
             NO_REPORT,
             NOT_REACHED,
         }
 
     def _may_suspect(self) -> bool:
-        allowed = max(MIN_SUSPECTS, MAX_SUSPECT_SHARE * len(self.servers))
-        return len(self.suspects) < allowed
+        max_suspects = max(MIN_SUSPECTS, MAX_SUSPECT_SHARE * len(self.servers))
+        return len(self.suspects) < max_suspects
 
     def is_usable(self, server: fleet.Server, now: int) -> bool:
-        """Tell whether a server may get a request now."""
+        """Return whether a server may get requests now.
+
+        Parameters
+        ----------
+        server : fleet.Server
+            The server.
+        now : int
+            Current time in milliseconds.
+        """
         if server.id in self.suspects:
             return False
         if server.draining and server.kind:
-            # Engines that drain refuse new work at once.
+            # Draining engines refuse new requests at once.
             return False
         since = self.leaving.get(server.id)
         return since is None or now - since <= LEAVING_USE_MS
 
     def list_servers(self, service: str, now: int) -> list[fleet.Server]:
-        """List the servers of a service that may get requests."""
+        """List the servers of a service that may get requests.
+
+        Parameters
+        ----------
+        service : str
+            Name of the service.
+        now : int
+            Current time in milliseconds.
+        """
         return [
-            one
-            for one in self.servers.values()
-            if one.service == service and self.is_usable(one, now)
+            server
+            for server in self.servers.values()
+            if server.service == service and self.is_usable(server, now)
         ]
 
     def find_by_address(self, address: str) -> fleet.Server | None:
-        """Find the newest server at an address."""
+        """Find the server at an address that started last.
+
+        Parameters
+        ----------
+        address : str
+            Address of the server.
+        """
         found = [
-            one for one in self.servers.values() if one.address == address
+            server
+            for server in self.servers.values()
+            if server.address == address
         ]
         if not found:
             return None
-        return max(found, key=lambda one: one.born or 0)
+        return max(found, key=lambda server: server.born or 0)
 
     def find_model(self, service: str) -> fleet.Model | None:
-        """Find the model of a service; None for a plain one."""
+        """Find the model of a service.
+
+        Parameters
+        ----------
+        service : str
+            Name of the service.
+
+        Returns
+        -------
+        fleet.Model or None
+            None for a plain service, or one that is not in the configuration.
+        """
         if self.configuration is None:
             return None
-        known = self.configuration.services.get(service)
-        return None if known is None else known.model
+        found = self.configuration.services.get(service)
+        return None if found is None else found.model
 
 
 def _is_recent(at: int | None, now: int) -> bool:
     return at is not None and now - at < RETURN_MS
 
 
-def _show_layers(server: fleet.Server) -> str:
-    held = server.layers
-    return '' if held is None else f'{held.first}-{held.end}'
+def _format_layers(server: fleet.Server) -> str:
+    layers = server.layers
+    return '' if layers is None else f'{layers.first}-{layers.end}'
--- a/src/thornspool/application/routing/detection.py
+++ b/src/thornspool/application/routing/detection.py
@@ -1,9 +1,10 @@
-"""Streams that pause: which engine is at fault.
+"""Detection of lost and slow engines from stalled streams.
 
-Work that depends on a lost engine stands still for seconds before anybody
-says so, and callers give a stream up after two. So the engines that silent
-streams point at are asked at once whether they live, and the first engine of
-a stream that pauses on, which knows the engine that it waits for.
+When an engine is lost, the engines that depend on it wait for seconds before
+they report it, but callers abandon a stream after two seconds without an
+event. The detector therefore probes the engines that stalled streams have in
+common as soon as the streams stall, and the first engine of a stream that
+stays stalled, which knows the engine that it waits for.
 """
 
 from __future__ import annotations
@@ -31,78 +32,102 @@
     from thornspool.application.routing import streams
     from thornspool.domain.fleet import messages as fleet
 
-FIRST_EVENT_MS = 450
-"""Silence before the first event after which its engine is asked.
+FIRST_EVENT_PROBE_MS = 450
+"""Idle time before the first event after which the first engine is probed.
 
-A usual prompt is read in 30 to 100 ms; the aim of callers is 500 ms.
+Engines process a usual prompt in 30 to 100 ms; callers aim at 500 ms for the
+first event.
 """
 
-PAUSE_MS = 350
-"""Silence between events after which the engine is asked; usual pauses are
-30 to 60 ms, and the engine's own report is 200 ms old."""
+STALL_PROBE_MS = 350
+"""Idle time between events after which the first engine is probed.
 
-LATE_FIRST_MS = 180
-"""Silence before the first event after which all engines of a path are
-asked how fast they work: three times the usual 60 ms."""
+Usual event intervals are 30 to 60 ms, and the engine's own report is 200 ms
+old.
+"""
+
+LATE_FIRST_EVENT_MS = 180
+"""Idle time before the first event after which all engines of a path are
+probed for their speed.
 
-LATE_PAUSE_MS = 150
-"""Silence between events after which they are asked; callers count a stream
-as late from a pause of 200 ms."""
+This is three times the usual 60 ms.
+"""
 
-RECHECK_MS = (500, 1_000)
-"""Range of the age at which a slow engine's pace is asked for again.
+LATE_EVENT_MS = 150
+"""Idle time between events after which all engines are probed for their speed.
 
-The first entry that asks tells the others, so that about one of them asks.
-While an engine that has recovered counts as slow, the others take its load.
+Callers count a stream as late from an event interval of 200 ms.
 """
 
-GIVE_UP_MS = 1_500
-"""Silence after which a stream leaves its path without knowing why; callers
-leave after 2 s."""
+SLOWDOWN_RECHECK_MS = (500, 1_000)
+"""Range of the age at which the slowdown factor of a slow engine is renewed.
+
+The first entry that probes the engine reports the result to its peers, so that
+about one entry sends a probe. While an engine that has recovered still counts
+as slow, the other engines carry its load.
+"""
+
+FAILOVER_IDLE_MS = 1_500
+"""Idle time after which a stream leaves its path without a known cause.
+
+Callers abandon a stream after 2 s.
+"""
 
 _MS_PER_S = 1000.0
 
-LOSS_REPORT_MS = 40
-"""Longest wait for the report of an engine that may be lost; a sound one
-answers within some 10 ms."""
+LOSS_PROBE_TIMEOUT_MS = 40
+"""Longest wait for the report of an engine that may be lost.
 
-SECOND_QUESTION_MS = 20
-"""Time after which an engine that may be lost is asked a second time; a lost
-packet takes one question, and both unanswered prove the loss."""
+A healthy engine answers within some 10 ms.
+"""
 
-QUICK_LATE_MS = 15
-"""Lateness of this entry from which an unanswered short question shows
-nothing: the answer may lie unread."""
+SECOND_PROBE_DELAY_MS = 20
+"""Time after which an engine that may be lost is probed a second time.
+
+A lost packet affects only one probe; the engine counts as lost when both
+probes stay unanswered.
+"""
+
+MAX_PROBE_DELAY_MS = 15
+"""Delay of this entry above which an unanswered short probe is ignored.
+
+The answer may have arrived without having been read.
+"""
+
+MAX_CHECK_DELAY_MS = 75
+"""Delay of a check above which idle times are ignored.
+
+Events that arrived in the meantime have not been read yet.
+"""
 
-LATE_LOOK_MS = 75
-"""Lateness of a look from which silence proves nothing: what came meanwhile
-is not read yet."""
+MAX_TICK_DELAY_MS = 500
+"""Delay of a tick above which idle times are ignored.
 
-FROZEN_MS = 500
-"""Lateness of its own work after which an entry distrusts what it timed."""
+The entry was suspended, and what it measured in that time is wrong.
+"""
 
 logger = structlog.get_logger(__name__)
 
 
 class Detector:
-    """Watches the streams of an entry.
+    """Detects failed and slow engines from the streams of an entry.
 
     Parameters
     ----------
     clock : clock_module.Clock
         Source of time.
     beliefs : beliefs_module.Beliefs
-        Where suspects are noted.
+        Routing state in which suspected servers are recorded.
     service : streams.StreamService
-        Whose streams are watched.
+        Service whose streams are watched.
     servers : ports.Servers
-        Calls to engines.
+        Client for calls to engines.
     random_source : random.Random
-        Spreads questions of many entries.
+        Spreads the probes of many entries over time.
     count_entries : callable
-        Returns how many entries ask.
-    tell : callable, optional
-        Tells peers which servers have failed.
+        Returns the number of entries that send probes.
+    announce_suspects : callable, optional
+        Sends the suspected servers to peers.
     """
 
     def __init__(
@@ -113,7 +138,7 @@
         servers: ports.Servers,
         random_source: random.Random,
         count_entries: Callable[[], int],
-        tell: Callable[[], None] = lambda: None,
+        announce_suspects: Callable[[], None] = lambda: None,
     ) -> None:
         self._clock = clock
         self._beliefs = beliefs
@@ -121,187 +146,220 @@
         self._servers = servers
         self._random = random_source
         self._count_entries = count_entries
-        self._tell = tell
+        self._announce_suspects = announce_suspects
         self._tasks: set[asyncio.Task[None]] = set()
-        self._questions = questions.Questions(clock.now(), self._count_share)
-        self._worked_at = clock.now()
-        self._looked_at = clock.now()
+        self._probe_budget = questions.Questions(
+            clock.now(), self._compute_engines_per_entry
+        )
+        self._last_tick_at = clock.now()
+        self._last_check_at = clock.now()
         self._sweep = sweeps.Sweep()
-        self._looks_again = False
-        self._repairs = repairs.Repairs(clock, service, servers, self._run)
+        self._check_scheduled = False
+        self._rerouter = repairs.Rerouter(
+            clock, service, servers, self._start_task
+        )
 
-    def _count_share(self) -> float:
-        """Count the engines for each entry that may ask."""
+    def _compute_engines_per_entry(self) -> float:
+        """Compute the number of engines per entry that sends probes."""
         return len(self._beliefs.servers) / self._count_entries()
 
     def work(self) -> None:
-        """Look for streams that pause; run every 100 ms or so."""
+        """Check streams and engines; called about every 100 ms."""
         now = self._clock.now()
-        late = now - self._worked_at
-        self._worked_at = now
-        if late > FROZEN_MS:
-            # This host stood still: what came meanwhile is not read yet,
-            # and silence proves nothing about the engines.
-            logger.warning('entry_stood_still', milliseconds=late)
+        delay_ms = now - self._last_tick_at
+        self._last_tick_at = now
+        if delay_ms > MAX_TICK_DELAY_MS:
+            # This host was suspended. Events that arrived in the meantime
+            # have not been read, so idle times say nothing about engines.
+            logger.warning('entry_stood_still', milliseconds=delay_ms)
             for flight in self._service.flights:
                 flight.active_at = now
             return
         for flight in list(self._service.flights):
-            if flight.stop is None or flight.mending:
+            if flight.stop is None or flight.rerouting:
                 continue
-            self._check(flight, now)
-        self._check_refusals(now)
-        self._check_paces(now)
-        self._recheck_slow(now)
-        self._ask_swept(now)
+            self._check_stream(flight, now)
+        self._probe_refusing(now)
+        self._probe_late_streams(now)
+        self._probe_slow(now)
+        self._probe_swept(now)
 
     def look(self) -> None:
-        """Look for streams that fall silent together; run every few ms."""
+        """Check for streams that stall together; called every few ms."""
         now = self._clock.now()
-        late = now - self._looked_at
-        self._looked_at = now
-        if late > LATE_LOOK_MS:
+        delay_ms = now - self._last_check_at
+        self._last_check_at = now
+        if delay_ms > MAX_CHECK_DELAY_MS:
             return
         self.leave_suspects()
-        doubtful = [
-            self._beliefs.servers[name]
-            for name in self._find_doubtful(now)
-            if name in self._beliefs.servers
-            and name not in self._beliefs.suspects
+        suspicious = [
+            self._beliefs.servers[server_id]
+            for server_id in self._find_suspicious(now)
+            if server_id in self._beliefs.servers
+            and server_id not in self._beliefs.suspects
         ]
-        asked = [one for one in doubtful if self._questions.take(one, now)]
-        if asked:
-            self._run(self._ask_quickly(asked))
+        selected = [
+            server
+            for server in suspicious
+            if self._probe_budget.acquire(server, now)
+        ]
+        if selected:
+            self._start_task(self._probe_suspicious(selected))
 
-    def _find_doubtful(self, now: int) -> list[str]:
-        """Find the engines that the silence of streams points at."""
+    def _find_suspicious(self, now: int) -> list[str]:
+        """Find the engines that stalled streams have in common."""
         return silence.find_doubtful(
-            (one.engines, self._service.count_pauses(one, now))
-            for one in self._list_running()
-            if one.events.count
+            (flight.engines, self._service.count_idle_intervals(flight, now))
+            for flight in self._list_running()
+            if flight.events.count
         )
 
-    def _look_again(self, after_ms: float) -> None:
-        """Look for streams to move once more, when the next one is overdue."""
-        if not self._looks_again:
-            self._looks_again = True
-            self._run(self._look_later(after_ms))
+    def _schedule_check(self, after_ms: float) -> None:
+        """Schedule another check for when the next stream becomes overdue.
 
-    async def _look_later(self, after_ms: float) -> None:
+        Parameters
+        ----------
+        after_ms : float
+            Milliseconds until the check.
+        """
+        if not self._check_scheduled:
+            self._check_scheduled = True
+            self._start_task(self._check_later(after_ms))
+
+    async def _check_later(self, after_ms: float) -> None:
         await asyncio.sleep(max(1.0, after_ms) / _MS_PER_S)
-        self._looks_again = False
+        self._check_scheduled = False
         self.leave_suspects()
 
     def _list_running(self) -> list[flights.Flight]:
         return [
-            one
-            for one in self._service.flights
-            if one.stop is not None and not one.mending
+            flight
+            for flight in self._service.flights
+            if flight.stop is not None and not flight.rerouting
         ]
 
     def leave_suspects(self) -> None:
-        """Let streams leave the engines that are suspected."""
+        """Reroute streams away from suspected engines."""
         if not self._beliefs.suspects:
             return
         for flight in self._list_running():
-            self._move_off_suspect(flight)
+            self._reroute_from_suspects(flight)
 
-    def _check_refusals(self, now: int) -> None:
-        """Ask engines that have refused work whether they live.
+    def _probe_refusing(self, now: int) -> None:
+        """Probe the engines that have refused requests.
 
-        The first engine of a path refuses in the name of one that is gone,
-        as of one that is full. One that is gone was tried again and again
-        while the store, and with it the list of engines, was away.
+        The first engine of a path refuses a request on behalf of an engine
+        that is lost just as on behalf of one that is full. Without a probe,
+        requests were sent to a lost engine again and again while the store,
+        and with it the server list, was unavailable.
         """
-        doubted, self._beliefs.doubted = self._beliefs.doubted, set()
-        for name in doubted:
-            server = self._beliefs.servers.get(name)
+        candidates, self._beliefs.probe_candidates = (
+            self._beliefs.probe_candidates,
+            set(),
+        )
+        for server_id in candidates:
+            server = self._beliefs.servers.get(server_id)
             if server is not None:
-                self._ask_within_budget(server, now)
+                self._probe_within_budget(server, now)
 
-    def _check(self, flight: flights.Flight, now: int) -> None:
-        if self._move_off_suspect(flight):
+    def _check_stream(self, flight: flights.Flight, now: int) -> None:
+        if self._reroute_from_suspects(flight):
             return
-        quiet = now - flight.active_at
-        begun = flight.events.count > 0
-        if quiet < (PAUSE_MS if begun else FIRST_EVENT_MS):
+        idle_ms = now - flight.active_at
+        has_events = flight.events.count > 0
+        if idle_ms < (STALL_PROBE_MS if has_events else FIRST_EVENT_PROBE_MS):
             return
-        if quiet >= GIVE_UP_MS and self._service.may_run_again(flight):
-            names = [hop.server.id for hop in flight.hops]
-            flight.exchange.avoid(names, now)
+        if idle_ms >= FAILOVER_IDLE_MS and self._service.may_retry(flight):
+            server_ids = [hop.server.id for hop in flight.hops]
+            flight.exchange.avoid(server_ids, now)
             self._service.mend(flight, 'silent')
             return
-        first = flight.first_server
-        if first is None or now - flight.asked_at < questions.ASK_AGAIN_MS:
+        first_server = flight.first_server
+        if (
+            first_server is None
+            or now - flight.probed_at < questions.PROBE_INTERVAL_MS
+        ):
             return
-        flight.asked_at = now
-        self._ask_pace(first, now)
+        flight.probed_at = now
+        self._probe_unless_recent(first_server, now)
 
-    def _check_paces(self, now: int) -> None:
-        """Ask the engines of late streams how fast they work.
+    def _probe_late_streams(self, now: int) -> None:
+        """Probe the engines of late streams for their speed.
 
-        Those that most late streams have in common come first: they are
-        the likeliest to be at fault, and questions are priced.
+        The engines that most late streams have in common are probed first:
+        they are the most likely cause, and the number of probes is limited.
         """
-        suspected: collections.Counter[str] = collections.Counter()
+        late_engines: collections.Counter[str] = collections.Counter()
         for flight in self._service.flights:
             if flight.stop is not None and self._is_late(flight, now):
-                suspected.update(hop.server.id for hop in flight.hops)
-        for name, _ in suspected.most_common():
-            if self._beliefs.paces.is_fresh(name, now):
+                late_engines.update(hop.server.id for hop in flight.hops)
+        for server_id, _ in late_engines.most_common():
+            if self._beliefs.paces.is_fresh(server_id, now):
                 continue
-            server = self._beliefs.servers.get(name)
-            if server is not None and not self._ask_within_budget(server, now):
+            server = self._beliefs.servers.get(server_id)
+            if server is not None and not self._probe_within_budget(
+                server, now
+            ):
                 return
 
     def _is_late(self, flight: flights.Flight, now: int) -> bool:
-        quiet = now - flight.active_at
-        begun = flight.events.count > 0
-        return quiet >= (LATE_PAUSE_MS if begun else LATE_FIRST_MS)
+        idle_ms = now - flight.active_at
+        has_events = flight.events.count > 0
+        return idle_ms >= (
+            LATE_EVENT_MS if has_events else LATE_FIRST_EVENT_MS
+        )
+
+    def _probe_within_budget(self, server: fleet.Server, now: int) -> bool:
+        """Probe an engine if the budget allows it.
 
-    def _ask_within_budget(self, server: fleet.Server, now: int) -> bool:
-        """Ask an engine; False when this entry has asked enough for now."""
-        if not self._questions.has_any(now):
+        Returns
+        -------
+        bool
+            False when the probe budget is used up for now.
+        """
+        if not self._probe_budget.has_capacity(now):
             return False
-        if self._questions.take(server, now):
-            self._run(self._ask(server))
+        if self._probe_budget.acquire(server, now):
+            self._start_task(self._probe(server))
         return True
 
-    def _recheck_slow(self, now: int) -> None:
-        """Ask slow engines again, before what is known of them is old."""
+    def _probe_slow(self, now: int) -> None:
+        """Probe slow engines again before their slowdown factors expire."""
         slow = self._beliefs.paces.select(self._beliefs.servers, now)
-        for name in slow:
-            age_ms = self._random.randint(*RECHECK_MS)
-            if not self._beliefs.paces.is_fresh(name, now, age_ms):
-                self._ask_within_budget(self._beliefs.servers[name], now)
+        for server_id in slow:
+            age_ms = self._random.randint(*SLOWDOWN_RECHECK_MS)
+            if not self._beliefs.paces.is_fresh(server_id, now, age_ms):
+                self._probe_within_budget(
+                    self._beliefs.servers[server_id], now
+                )
 
     def _begin_sweep(self, service: str, now: int) -> None:
-        """Have all engines of a service asked, as one has turned slow."""
-        names = [
-            name
-            for name, one in self._beliefs.servers.items()
-            if one.service == service
+        """Start a sweep of a service after one of its engines became slow."""
+        server_ids = [
+            server_id
+            for server_id, server in self._beliefs.servers.items()
+            if server.service == service
         ]
-        self._sweep.begin(names, self._random, now)
+        self._sweep.begin(server_ids, self._random, now)
 
-    def _ask_swept(self, now: int) -> None:
-        for name in self._sweep.take_next():
-            server = self._beliefs.servers.get(name)
-            if server is None or self._beliefs.paces.is_fresh(name, now):
+    def _probe_swept(self, now: int) -> None:
+        for server_id in self._sweep.take_next():
+            server = self._beliefs.servers.get(server_id)
+            if server is None or self._beliefs.paces.is_fresh(server_id, now):
                 continue
-            self._ask_pace(server, now)
+            self._probe_unless_recent(server, now)
 
-    def _ask_pace(self, server: fleet.Server, now: int) -> None:
-        if self._questions.note(server, now):
-            self._run(self._ask(server))
+    def _probe_unless_recent(self, server: fleet.Server, now: int) -> None:
+        if self._probe_budget.record_probe(server, now):
+            self._start_task(self._probe(server))
 
-    def _move_off_suspect(self, flight: flights.Flight) -> bool:
-        """Move a stream off its path when an engine of it is suspected.
+    def _reroute_from_suspects(self, flight: flights.Flight) -> bool:
+        """Reroute a stream when an engine of its path is suspected.
 
         Returns
         -------
         bool
-            Whether it was to be moved.
+            Whether the stream has to leave its path.
         """
         suspected = [
             hop.server.id
@@ -310,107 +368,118 @@
         ]
         if not suspected:
             return False
-        pauses = self._service.count_pauses(flight, self._clock.now())
-        begun = flight.events.count > 0
-        confirming = silence.UNUSUAL_PAUSES
-        if begun:
-            confirming = silence.OVERDUE_PAUSES
-        if pauses < confirming:
-            # It still moves: the suspicion may be wrong.
-            usual_ms = self._service.find_usual_pause(flight)
-            self._look_again((confirming - pauses) * usual_ms)
+        idle_intervals = self._service.count_idle_intervals(
+            flight, self._clock.now()
+        )
+        has_events = flight.events.count > 0
+        needed_intervals = silence.UNUSUAL_PAUSES
+        if has_events:
+            needed_intervals = silence.OVERDUE_PAUSES
+        if idle_intervals < needed_intervals:
+            # The stream is not overdue, so the suspicion may be wrong.
+            interval_ms = self._service.compute_event_interval(flight)
+            self._schedule_check(
+                (needed_intervals - idle_intervals) * interval_ms
+            )
             return False
-        self._repairs.mend(flight, suspected)
+        self._rerouter.reroute(flight, suspected)
         return True
 
-    def _run(
-        self, work: typing.Coroutine[typing.Any, typing.Any, None]
+    def _start_task(
+        self, coroutine: typing.Coroutine[typing.Any, typing.Any, None]
     ) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _ask(self, server: fleet.Server) -> None:
-        """Ask an engine which of its requests wait for whom."""
-        asked_at = self._clock.now()
+    async def _probe(self, server: fleet.Server) -> None:
+        """Probe an engine for its speed and the servers it waits for."""
+        probed_at = self._clock.now()
         report = await self._servers.ask_report(server)
         if report is None:
-            self._beliefs.note_silence(server.id, asked_at, self._clock.now())
+            self._beliefs.note_silence(server.id, probed_at, self._clock.now())
             return
-        self._take_report(server, report)
+        self._apply_report(server, report)
 
-    async def _ask_quickly(self, servers: list[fleet.Server]) -> None:
-        """Ask engines that may be lost whether they live."""
-        asked_at = self._clock.now()
+    async def _probe_suspicious(self, servers: list[fleet.Server]) -> None:
+        """Probe engines that may be lost, with a short timeout."""
+        probed_at = self._clock.now()
         answers = await asyncio.gather(
-            *(self._is_silent(one) for one in servers)
+            *(self._is_unresponsive(server) for server in servers)
         )
-        silent = [
-            one
-            for one, is_silent in zip(servers, answers, strict=True)
-            if is_silent
+        unresponsive = [
+            server
+            for server, is_unresponsive in zip(servers, answers, strict=True)
+            if is_unresponsive
         ]
-        if not silence.is_credible(len(servers), len(silent)):
+        if not silence.is_credible(len(servers), len(unresponsive)):
             logger.warning(
-                'own_link_doubted', asked=len(servers), silent=len(silent)
+                'own_link_doubted',
+                asked=len(servers),
+                silent=len(unresponsive),
             )
             return
-        for server in silent:
+        for server in unresponsive:
             self._beliefs.note_silence(
                 server.id,
-                asked_at,
+                probed_at,
                 self._clock.now(),
-                LOSS_REPORT_MS,
+                LOSS_PROBE_TIMEOUT_MS,
                 beliefs_module.NO_QUICK_REPORT,
-                QUICK_LATE_MS,
+                MAX_PROBE_DELAY_MS,
             )
-        self._tell_losses()
+        self._announce_losses()
 
-    def _tell_losses(self) -> None:
-        """Tell peers of lost engines at once, and leave these.
+    def _announce_losses(self) -> None:
+        """Announce lost engines to peers at once and reroute local streams.
 
-        The streams of all entries stand still until they hear of it, and
-        callers count every pause.
+        The streams of all entries stay stalled until their entry receives the
+        announcement, and callers count every stall.
         """
-        self._tell()
+        self._announce_suspects()
         self.leave_suspects()
 
-    async def _is_silent(self, server: fleet.Server) -> bool:
-        """Ask one engine; tells whether it gave no answer.
+    async def _is_unresponsive(self, server: fleet.Server) -> bool:
+        """Probe one engine and return whether it left both probes unanswered.
 
-        One that refuses the connection is gone, which is noted at once; one
-        that is silent gets a second question beside the first.
+        An engine that refuses the connection is gone, which is recorded at
+        once. An engine that does not answer in time gets a second probe in
+        parallel to the first.
         """
-        asked_at = self._clock.now()
-        first = asyncio.ensure_future(
-            self._servers.ask_report(server, LOSS_REPORT_MS)
+        probed_at = self._clock.now()
+        first_probe = asyncio.ensure_future(
+            self._servers.ask_report(server, LOSS_PROBE_TIMEOUT_MS)
         )
-        await asyncio.wait({first}, timeout=SECOND_QUESTION_MS / _MS_PER_S)
-        waited_ms = self._clock.now() - asked_at
-        report = first.result() if first.done() else None
-        refused = first.done() and waited_ms < SECOND_QUESTION_MS
+        await asyncio.wait(
+            {first_probe}, timeout=SECOND_PROBE_DELAY_MS / _MS_PER_S
+        )
+        elapsed_ms = self._clock.now() - probed_at
+        report = first_probe.result() if first_probe.done() else None
+        refused = first_probe.done() and elapsed_ms < SECOND_PROBE_DELAY_MS
         if report is None and not refused:
-            left_ms = LOSS_REPORT_MS - SECOND_QUESTION_MS
-            report = await self._servers.ask_report(server, left_ms)
-            report = report or await first
+            remaining_ms = LOSS_PROBE_TIMEOUT_MS - SECOND_PROBE_DELAY_MS
+            report = await self._servers.ask_report(server, remaining_ms)
+            report = report or await first_probe
         if report is not None:
-            self._take_report(server, report)
+            self._apply_report(server, report)
         elif refused:
             self._beliefs.note_silence(
-                server.id, asked_at, self._clock.now(), LOSS_REPORT_MS
+                server.id, probed_at, self._clock.now(), LOSS_PROBE_TIMEOUT_MS
             )
-            self._tell_losses()
+            self._announce_losses()
         return report is None and not refused
 
-    def _take_report(self, server: fleet.Server, report: ports.Report) -> None:
+    def _apply_report(
+        self, server: fleet.Server, report: ports.Report
+    ) -> None:
         now = self._clock.now()
-        self._note_pace(server, report.slowness, now)
-        for one in report.stalled:
-            blamed = self._beliefs.find_by_address(one.address)
-            if blamed is not None:
-                self._beliefs.suspect(blamed.id, 'stalls_others', now)
+        self._record_slowdown(server, report.slowness, now)
+        for stalled in report.stalled:
+            suspected = self._beliefs.find_by_address(stalled.address)
+            if suspected is not None:
+                self._beliefs.suspect(suspected.id, 'stalls_others', now)
 
-    def _note_pace(
+    def _record_slowdown(
         self, server: fleet.Server, factor: float, now: int
     ) -> None:
         if factor <= 0:
--- a/src/thornspool/application/routing/exchanges.py
+++ b/src/thornspool/application/routing/exchanges.py
@@ -1,4 +1,4 @@
-"""What one request has been through, and the one line that tells it."""
+"""State of one request from its arrival to its outcome."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
     from thornspool.application.routing import ports
     from thornspool.domain.routing import messages as routing
 
-AVOID_MS = 700
-"""Time for which a server that refused or broke a request is left out for it.
+EXCLUSION_MS = 700
+"""Time for which a server that refused or broke a request is excluded for it.
 
-A request that comes back to the same engine within milliseconds is refused
-again. A list that lags is right again after half a second.
+A server refuses the same request again when it arrives within milliseconds. An
+outdated server list is current again after half a second.
 """
 
 logger = structlog.get_logger(__name__)
@@ -28,40 +28,40 @@
 
 @attrs.define(eq=False)
 class Exchange:
-    """A request with its route, and how far it is.
+    """A request with its route and its progress.
 
     Attributes
     ----------
     inquiry : ports.Inquiry
         The request.
     reply : ports.Reply
-        The way back to the caller.
+        Writes the answer to the caller.
     route : routing.Route
-        Route that it matched.
+        Route that the request matched.
     workspace : routing.Workspace or None
-        Whose it is.
+        Workspace of the caller; None for an anonymous caller.
     service : str
-        Service that takes it.
+        Service that handles the request.
     version : int
-        Configuration that decided it.
+        Version of the configuration that the request was routed with.
     on_end : callable
-        Called once, with the outcome, when nothing more will happen.
+        Called once with the outcome when the request has ended.
     sends : int
-        Times that it was sent to a server.
+        Times that the request was sent to a server.
     runs : int
-        Times that a server may have run it.
+        Times that a server may have run the request.
     begun : bool
-        Whether the caller has had a part of the answer.
+        Whether the caller has received a part of the answer.
     ended : bool
-        Whether the outcome is known.
+        Whether the request has ended.
     note : str
-        Why it ended as it did.
+        Reason for the outcome.
     first_event_at : int or None
-        When the first part of the answer came.
+        Time in milliseconds of the first event of the answer.
     path : str
         Servers of the last send, for the log.
     timing : timings.StreamTiming
-        Waits and pauses of a stream.
+        Waiting times and event intervals of a stream.
     """
 
     inquiry: ports.Inquiry
@@ -79,16 +79,16 @@
     first_event_at: int | None = None
     path: str = ''
     timing: timings.StreamTiming = attrs.field(factory=timings.StreamTiming)
-    _avoided: dict[str, int] = attrs.field(factory=dict)
+    _excluded_until: dict[str, int] = attrs.field(factory=dict)
 
     @property
     def workspace_name(self) -> str:
-        """Name of the workspace; empty for nobody."""
+        """Name of the workspace; empty for an anonymous caller."""
         return '' if self.workspace is None else self.workspace.name
 
     @property
     def priority(self) -> int:
-        """Rank from 0, the first, to 9."""
+        """Priority from 0, the highest, to 9."""
         rank = self.route.priority
         if self.workspace is not None and self.workspace.priority is not None:
             rank = self.workspace.priority
@@ -96,27 +96,65 @@
 
     @property
     def deadline_at(self) -> int:
-        """Time at which the caller or the operator stops waiting."""
-        patience = self.inquiry.patience_ms
+        """Time in milliseconds at which the request expires.
+
+        The caller's or the route's time limit applies, whichever is shorter.
+        """
+        timeout_ms = self.inquiry.patience_ms
         if self.route.timeout_ms > 0:
-            patience = min(patience, self.route.timeout_ms)
-        return self.inquiry.arrived_at + patience
+            timeout_ms = min(timeout_ms, self.route.timeout_ms)
+        return self.inquiry.arrived_at + timeout_ms
 
     def compute_left(self, now: int) -> int:
-        """Return the milliseconds that are left."""
+        """Compute the milliseconds until the deadline.
+
+        Parameters
+        ----------
+        now : int
+            Current time in milliseconds.
+        """
         return self.deadline_at - now
 
-    def avoid(self, names: Iterable[str], now: int) -> None:
-        """Leave servers out for this request, for a while."""
-        for name in names:
-            self._avoided[name] = now + AVOID_MS
+    def avoid(self, server_ids: Iterable[str], now: int) -> None:
+        """Exclude servers for this request for a limited time.
+
+        Parameters
+        ----------
+        server_ids : iterable of str
+            Ids of the servers.
+        now : int
+            Current time in milliseconds.
+        """
+        for server_id in server_ids:
+            self._excluded_until[server_id] = now + EXCLUSION_MS
 
     def list_avoided(self, now: int) -> set[str]:
-        """List the servers that are left out for this request."""
-        return {name for name, end in self._avoided.items() if now < end}
+        """List the servers that are excluded for this request.
+
+        Parameters
+        ----------
+        now : int
+            Current time in milliseconds.
+
+        Returns
+        -------
+        set of str
+            Ids of the servers.
+        """
+        return {
+            server_id
+            for server_id, until in self._excluded_until.items()
+            if now < until
+        }
 
     def end(self, outcome: str) -> None:
-        """Note the outcome, once."""
+        """Report the outcome, unless the request has already ended.
+
+        Parameters
+        ----------
+        outcome : str
+            Outcome for the log and the metrics.
+        """
         if not self.ended:
             self.ended = True
             self.on_end(self, outcome)
@@ -124,7 +162,17 @@
     def refuse(
         self, status: int, reason: str, retry_after_ms: int | None = None
     ) -> None:
-        """Answer with an error of the router's own and end."""
+        """Answer with an error of the router itself and end the request.
+
+        Parameters
+        ----------
+        status : int
+            HTTP status code.
+        reason : str
+            Reason for the refusal.
+        retry_after_ms : int, optional
+            Milliseconds after which the caller may retry.
+        """
         if self.ended:
             return
         self.note = reason
--- a/src/thornspool/application/routing/finding.py
+++ b/src/thornspool/application/routing/finding.py
@@ -1,4 +1,4 @@
-"""Which path a request may take now, by what this entry believes."""
+"""Selection of a path for a request from the local routing state."""
 
 from __future__ import annotations
 
@@ -23,45 +23,58 @@
 
 
 class PathFinder:
-    """Finds paths.
+    """Finds paths for requests.
 
     Parameters
     ----------
     clock : clock_module.Clock
         Source of time.
     beliefs : beliefs_module.Beliefs
-        Engines, and which of them to avoid.
-    taken : reservations.Reservations
-        Memory that requests hold.
+        Routing state with the engines and their exclusions.
+    reserved : reservations.Reservations
+        Engine memory that requests reserve.
     budget : repeats.Repeats
-        Knows the rate of requests.
+        Retry budget, which estimates the request rate.
     failure_domain : str
-        Where this entry stands.
+        Failure domain of this entry.
     random_source : random.Random
-        Source of every random choice.
+        Source of all random choices.
     """
 
     def __init__(
         self,
         clock: clock_module.Clock,
         beliefs: beliefs_module.Beliefs,
-        taken: reservations.Reservations,
+        reserved: reservations.Reservations,
         budget: repeats.Repeats,
         failure_domain: str,
         random_source: random.Random,
     ) -> None:
         self._clock = clock
         self._beliefs = beliefs
-        self._taken = taken
+        self._reservations = reserved
         self._budget = budget
-        self._domain = failure_domain
+        self._failure_domain = failure_domain
         self._random = random_source
         self._bounds: dict[str, tuple[int, dict[str, bounds.Bound]]] = {}
 
     def describe(
-        self, service: str, avoid: set[str]
+        self, service: str, excluded: set[str]
     ) -> choice.Situation | None:
-        """Describe the engines of a service for a choice."""
+        """Collect what the choice of a path depends on.
+
+        Parameters
+        ----------
+        service : str
+            Service of the request.
+        excluded : set of str
+            Ids of the engines to exclude.
+
+        Returns
+        -------
+        choice.Situation or None
+            None when the service has no model or is not in the configuration.
+        """
         model = self._beliefs.find_model(service)
         if model is None:
             return None
@@ -70,14 +83,14 @@
         return choice.Situation(
             model,
             tuple(
-                self._beliefs.moves.narrow(one)
-                for one in engines
-                if one.id not in avoid
+                self._beliefs.moves.narrow(engine)
+                for engine in engines
+                if engine.id not in excluded
             ),
             frozenset(self._beliefs.leaving),
-            self._taken,
-            self._beliefs.paces.select((one.id for one in engines), now),
-            self._domain,
+            self._reservations,
+            self._beliefs.paces.select((engine.id for engine in engines), now),
+            self._failure_domain,
             self._random.random,
             may_cross=False,
             bounds=self._find_bounds(service, model),
@@ -86,29 +99,52 @@
     def _find_bounds(
         self, service: str, model: fleet.Model
     ) -> dict[str, bounds.Bound]:
-        """Compute the bounds of a service again when the list has changed."""
+        """Return the bounds of a service, recomputed after a change."""
         revision = self._beliefs.revision
-        known = self._bounds.get(service)
-        if known is None or known[0] != revision:
+        cached = self._bounds.get(service)
+        if cached is None or cached[0] != revision:
             engines = [
-                one
-                for one in self._beliefs.servers.values()
-                if one.service == service
+                server
+                for server in self._beliefs.servers.values()
+                if server.service == service
             ]
-            known = (revision, bounds.compute_bounds(model, engines))
-            self._bounds[service] = known
-        return known[1]
+            cached = (revision, bounds.compute_bounds(model, engines))
+            self._bounds[service] = cached
+        return cached[1]
 
     def list_avoided(self, flight: flights.Flight) -> set[str]:
-        """List the engines that a request should not use now."""
+        """List the engines that a request should not use now.
+
+        Parameters
+        ----------
+        flight : flights.Flight
+            The request.
+
+        Returns
+        -------
+        set of str
+            Ids of the engines that are excluded for this or for all requests.
+        """
         now = self._clock.now()
-        refusing = self._beliefs.refusals.select(self._beliefs.servers, now)
-        return flight.exchange.list_avoided(now) | refusing
+        excluded = self._beliefs.refusals.select(self._beliefs.servers, now)
+        return flight.exchange.list_avoided(now) | excluded
 
     def find(self, flight: flights.Flight) -> search.Path | choice.Lack | None:
-        """Find a path; None for a service that is not known any more."""
-        avoided = self.list_avoided(flight)
-        situation = self.describe(flight.exchange.service, avoided)
+        """Find a path for a request.
+
+        Parameters
+        ----------
+        flight : flights.Flight
+            The request.
+
+        Returns
+        -------
+        search.Path, choice.Lack or None
+            The path, or the reason why none exists; None when the service is
+            no longer in the configuration.
+        """
+        excluded = self.list_avoided(flight)
+        situation = self.describe(flight.exchange.service, excluded)
         if situation is None:
             return None
         found = choice.choose_path(situation, flight.need)
@@ -117,16 +153,17 @@
         ):
             situation = attrs.evolve(situation, may_cross=True)
             found = choice.choose_path(situation, flight.need)
-        if found is choice.Lack.NOT_COVERED and avoided:
-            return self._look_past(flight, found)
+        if found is choice.Lack.NOT_COVERED and excluded:
+            return self._find_reason_with_excluded(flight, found)
         return found
 
     def _may_cross(
         self, flight: flights.Flight, situation: choice.Situation
     ) -> bool:
-        """Draw once whether a request may take engines of several domains.
+        """Decide whether a path may use engines of several failure domains.
 
-        A stream that has begun may: waiting longer would end it.
+        This is drawn once for each request. A stream that has started always
+        may, as a longer wait would end it.
         """
         if flight.exchange.begun:
             return True
@@ -136,11 +173,19 @@
             flight.may_cross = self._random.random() < share
         return flight.may_cross
 
-    def _look_past(
-        self, flight: flights.Flight, lack: choice.Lack
+    def _find_reason_with_excluded(
+        self, flight: flights.Flight, no_path_reason: choice.Lack
     ) -> choice.Lack:
-        """Tell whether only the servers that it avoids are missing."""
+        """Return the reason why no path exists when engines are excluded.
+
+        Where a path exists with the excluded engines, the request only has to
+        wait for one of them.
+        """
         situation = self.describe(flight.exchange.service, set())
         assert situation is not None
         found = choice.choose_path(situation, flight.need)
-        return lack if isinstance(found, choice.Lack) else choice.Lack.NO_ROOM
+        return (
+            no_path_reason
+            if isinstance(found, choice.Lack)
+            else choice.Lack.NO_ROOM
+        )
--- a/src/thornspool/application/routing/flights.py
+++ b/src/thornspool/application/routing/flights.py
@@ -1,4 +1,4 @@
-"""A model request on its way."""
+"""State of an in-flight model request."""
 
 from __future__ import annotations
 
@@ -22,29 +22,44 @@
 
 @attrs.define(eq=False)
 class Flight:
-    """A model request that is waiting or on a path.
+    """A model request that waits for a path or runs on one.
 
     Attributes
     ----------
     exchange : exchanges.Exchange
-        The request.
+        The request and its outcome.
     need : choice.Need
-        Tokens that it takes.
+        Tokens for which it needs memory.
     hops : tuple of search.Hop
         Path on which it runs; empty while it waits.
+    stop : callable or None
+        Ends the current run; None when there is none.
+    events : events.EventBuffer
+        Splits the answer into complete events.
     active_at : int
-        When something last came from its engine, or it was sent.
-    rhythm : silence.UsualPause
-        Pauses between its events.
-    asked_at : int
-        When its first engine was last asked about it.
-    reading_tokens : float
-        Tokens that its engines have still to read; 0 once events come.
-    owes_repeat : bool
-        Whether its next send counts as a repeat.
+        Time in milliseconds of its last event, or of its last send.
+    event_interval : silence.UsualPause
+        Average interval between its events.
+    probed_at : int
+        Time in milliseconds when its first engine was last probed for it.
+    rerouting : bool
+        Whether its path is being changed now.
+    generation : int
+        Changes with each run, so that output of earlier runs is dropped.
+    head : ports.Head or None
+        Head of the engine's answer; None before it arrives.
+    body : bytearray
+        Body of an answer that is not a stream of events.
+    lost_runs : int
+        Runs that ended because their engine was lost.
+    prefill_tokens : float
+        Prompt tokens that its engines still have to process; 0 after the first
+        event.
+    needs_retry : bool
+        Whether its next send counts as a retry.
     may_cross : bool or None
-        Whether its path may change its failure domain in the middle; None
-        before that was drawn.
+        Whether its path may use engines of several failure domains; None until
+        this is drawn.
     """
 
     exchange: exchanges.Exchange
@@ -53,33 +68,44 @@
     stop: Callable[[], None] | None = None
     events: events.EventBuffer = attrs.field(factory=events.EventBuffer)
     active_at: int = 0
-    rhythm: silence.UsualPause = attrs.field(
+    event_interval: silence.UsualPause = attrs.field(
         factory=lambda: silence.UsualPause(silence.STREAM_WEIGHT)
     )
-    asked_at: int = 0
-    mending: bool = False
+    probed_at: int = 0
+    rerouting: bool = False
     generation: int = 0
     head: ports.Head | None = None
     body: bytearray = attrs.field(factory=bytearray)
     lost_runs: int = 0
-    reading_tokens: float = 0.0
-    owes_repeat: bool = False
+    prefill_tokens: float = 0.0
+    needs_retry: bool = False
     may_cross: bool | None = None
 
     @property
     def first_server(self) -> fleet.Server | None:
-        """The engine that it entered at."""
+        """First engine of its path."""
         return self.hops[0].server if self.hops else None
 
     @property
     def engines(self) -> Iterator[str]:
-        """The engines of its path."""
+        """Ids of the engines of its path."""
         return (hop.server.id for hop in self.hops)
 
     def find_server(self, address: str) -> fleet.Server | None:
-        """Find the engine of its path at an address, else its first one.
+        """Find the engine of its path at an address.
 
-        Another engine may have taken the address since the path was chosen.
+        The path is searched and not the server list, as another engine may
+        have taken the address since the path was chosen.
+
+        Parameters
+        ----------
+        address : str
+            Address of the engine.
+
+        Returns
+        -------
+        fleet.Server or None
+            The first engine of the path when none has this address.
         """
         for hop in self.hops:
             if hop.server.address == address:
--- a/src/thornspool/application/routing/listeners.py
+++ b/src/thornspool/application/routing/listeners.py
@@ -1,4 +1,4 @@
-"""What a run brings goes to its request only while it is its last run."""
+"""Filter that drops the output of runs that are no longer current."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
     from thornspool.application.routing import ports
 
 
-class Numbered(typing.Protocol):
-    """A request that counts its runs."""
+class RunOwner(typing.Protocol):
+    """A request that numbers its runs."""
 
     generation: int
 
 
 class RunListener:
-    """Drops what comes of a run that was left.
+    """Passes on the output of a run while the run is current.
 
-    A run that was ended may still bring bytes that were under way; passed
-    on, they would stand among those of the next run.
+    An ended run may still deliver bytes that were in transit. Passed on, they
+    would be mixed with those of the next run.
 
     Parameters
     ----------
-    owner : Numbered
-        The request; a run ends for it when its generation changes.
+    owner : RunOwner
+        The request. Its generation changes when the run ends for it.
     on_head, on_body, on_end : callable
-        Take what the run brings.
+        Handle the head, a chunk of the body and the end of the answer.
     """
 
     def __init__(
         self,
-        owner: Numbered,
+        owner: RunOwner,
         on_head: Callable[[ports.Head], None],
         on_body: Callable[[bytes], None],
         on_end: Callable[[ports.Ending], None],
@@ -45,20 +45,20 @@
 
     @property
     def is_current(self) -> bool:
-        """Whether the run is still the last one."""
+        """Whether the run is the latest one of its request."""
         return self._generation == self._owner.generation
 
     def take_head(self, head: ports.Head) -> None:
-        """Take the head of the answer."""
+        """Pass on the head of the answer."""
         if self.is_current:
             self._on_head(head)
 
     def take_body(self, chunk: bytes) -> None:
-        """Take a piece of the body."""
+        """Pass on a chunk of the body."""
         if self.is_current:
             self._on_body(chunk)
 
     def take_end(self, ending: ports.Ending) -> None:
-        """Take the end."""
+        """Pass on the end of the answer."""
         if self.is_current:
             self._on_end(ending)
--- a/src/thornspool/application/routing/repairs.py
+++ b/src/thornspool/application/routing/repairs.py
@@ -1,9 +1,9 @@
-"""How a stream goes on that an engine of its path is lost to.
+"""Rerouting of a stream after an engine of its path is lost.
 
-A new path for the run that stands still has only the layers of the lost
-engines read again and takes no repeat. Where the failure domain has no other
-holder of them, or the first engine is lost, the stream goes on in a new run
-behind the last whole event.
+When the stalled run gets a new path, only the layers of the lost engines have
+to process its tokens again, and no retry is used up. Where the failure domain
+has no other engine with these layers, or the first engine is lost, the stream
+resumes in a new run after its last complete event.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 logger = structlog.get_logger(__name__)
 
 
-class Repairs:
+class Rerouter:
     """Changes the paths of running streams.
 
     Parameters
@@ -35,11 +35,11 @@
     clock : clock_module.Clock
         Source of time.
     service : streams.StreamService
-        Whose streams go on.
+        Service whose streams are rerouted.
     servers : ports.Servers
-        Calls to engines.
+        Client for calls to engines.
     start : callable
-        Starts a coroutine beside the others.
+        Runs a coroutine as a background task.
     """
 
     def __init__(
@@ -47,38 +47,46 @@
         clock: clock_module.Clock,
         service: streams.StreamService,
         servers: ports.Servers,
-        start: Callable[[Coroutine[typing.Any, typing.Any, None]], None],
+        start_task: Callable[[Coroutine[typing.Any, typing.Any, None]], None],
     ) -> None:
         self._clock = clock
         self._service = service
         self._servers = servers
-        self._start = start
+        self._start_task = start_task
 
-    def mend(self, flight: flights.Flight, suspected: list[str]) -> None:
-        """Let a stream go on without the engines that are suspected."""
+    def reroute(self, flight: flights.Flight, suspected: list[str]) -> None:
+        """Reroute a stream around suspected engines.
+
+        Parameters
+        ----------
+        flight : flights.Flight
+            In-flight request to reroute.
+        suspected : list of str
+            Ids of the engines to exclude.
+        """
         flight.exchange.avoid(suspected, self._clock.now())
-        may_run_again = self._service.may_run_again(flight)
+        may_retry = self._service.may_retry(flight)
         hops = None
-        if flight.head is not None or not may_run_again:
-            # A run without an answer yet has little to lose.
+        if flight.head is not None or not may_retry:
+            # A new run costs little before the engine has answered.
             hops = self._choose_path(flight, suspected)
         if hops is not None:
-            flight.mending = True
-            self._start(self._change_path(flight, hops))
-        elif may_run_again:
+            flight.rerouting = True
+            self._start_task(self._change_path(flight, hops))
+        elif may_retry:
             self._service.mend(flight, 'engine_lost')
 
     async def _change_path(
         self, flight: flights.Flight, hops: tuple[search.Hop, ...]
     ) -> None:
         try:
-            changed = await self._repath(flight, hops)
+            changed = await self._order_path_change(flight, hops)
         finally:
-            flight.mending = False
-        if not changed and self._service.may_run_again(flight):
+            flight.rerouting = False
+        if not changed and self._service.may_retry(flight):
             self._service.mend(flight, 'engine_lost')
 
-    async def _repath(
+    async def _order_path_change(
         self, flight: flights.Flight, hops: tuple[search.Hop, ...]
     ) -> bool:
         """Order the first engine of a stream to use another path.
@@ -86,7 +94,7 @@
         Returns
         -------
         bool
-            Whether nothing else is to be done for the stream now.
+            False when the stream has to resume in a new run instead.
         """
         generation = flight.generation
         result = await self._servers.repath(flight.exchange.inquiry.id, hops)
@@ -100,25 +108,31 @@
         )
         if result not in {ports.OrderResult.BEGUN, ports.OrderResult.DONE}:
             return False
-        self._service.move(flight, hops)
+        self._service.apply_path_change(flight, hops)
         return True
 
     def _choose_path(
         self, flight: flights.Flight, suspected: list[str]
     ) -> tuple[search.Hop, ...] | None:
-        """Choose a path on which a run that stands still can go on."""
+        """Choose a path on which a stalled run can continue.
+
+        Returns
+        -------
+        tuple of search.Hop or None
+            None when the run can't keep its first engine or no path exists.
+        """
         exchange = flight.exchange
-        avoided = self._service.paths.list_avoided(flight)
-        first = flight.hops[0]
-        if first.server.id in avoided:
+        excluded = self._service.paths.list_avoided(flight)
+        first_hop = flight.hops[0]
+        if first_hop.server.id in excluded:
             return None
-        situation = self._service.paths.describe(exchange.service, avoided)
+        situation = self._service.paths.describe(exchange.service, excluded)
         if situation is None:
             return None
         hops = choice.choose_repair(
             situation, flight.need, flight.hops, frozenset(suspected)
         )
-        if hops is not None or self._service.may_run_again(flight):
+        if hops is not None or self._service.may_retry(flight):
             return hops
-        rest = choice.choose_rest(situation, flight.need, first)
-        return None if rest is None else (first, *rest.hops)
+        tail = choice.choose_rest(situation, flight.need, first_hop)
+        return None if tail is None else (first_hop, *tail.hops)
--- a/tests/application/routing/builders.py
+++ b/tests/application/routing/builders.py
@@ -1,4 +1,4 @@
-"""Builders and fakes for the use cases of routing."""
+"""Builders and fakes for the routing services."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def build_route(prefix, kind, service, **changes):
-    """Build a route."""
+    """Build a route with the defaults of these tests."""
     values = {
         'name': f'route-{prefix.strip("/")}',
         'host': HOST,
@@ -39,14 +39,15 @@
 
 
 def build_configuration(version=1, **changes):
-    """Build a configuration with one route of each kind."""
+    """Build a configuration with routes of each kind."""
     routes = [
         build_route(
             '/brief/', routing.Kind.STREAMING, 'drafting', resumable=True
         ),
         build_route('/once/', routing.Kind.STREAMING, 'drafting'),
         build_route('/read/', routing.Kind.IDEMPOTENT, 'ledger'),
-        # Two attempts: only its kind keeps an action from a second run.
+        # Two attempts, so that only the kind of the route prevents a second
+        # run of the action.
         build_route(
             '/hold/', routing.Kind.NON_IDEMPOTENT, 'ledger', attempts=2
         ),
@@ -72,7 +73,7 @@
 
 
 def build_inquiry(path='/brief/x', number=1, **changes):
-    """Build a caller's request."""
+    """Build the request of a caller."""
     values = {
         'id': f'request-{number}',
         'method': 'POST',
@@ -91,7 +92,7 @@
 
 
 class FakeReply:
-    """An answer as a caller sees it."""
+    """Records the answer that a caller receives."""
 
     def __init__(self):
         self.status = None
@@ -102,11 +103,11 @@
         self.retry_after_ms = None
         self._on_close = None
 
-    def set_on_close(self, call):
-        self._on_close = call
+    def set_on_close(self, callback):
+        self._on_close = callback
 
     def leave(self):
-        """Close the connection as the caller."""
+        """Close the connection from the caller's side."""
         self._on_close()
 
     def refuse(self, status, reason, retry_after_ms=None):
@@ -135,7 +136,7 @@
 
 @attrs.define(eq=False)
 class FakeRun:
-    """A run at a server, ended by the test."""
+    """A run at a server, whose output the test provides."""
 
     run: ports.Run
     listener: ports.Listener
@@ -147,7 +148,7 @@
         )
 
     def send(self, first, end):
-        """Send whole events."""
+        """Send complete events with the numbers from `first` to `end` - 1."""
         for number in range(first, end):
             self.listener.take_body(b'id: %d\ndata: x\n\n' % number)
 
@@ -155,19 +156,19 @@
         self.listener.take_end(ending)
 
     def refuse(self, status=503, fault=''):
-        """Answer that the request did not run."""
+        """Answer that the request was not run."""
         self.begin(status, ran=False, fault=fault)
         self.end()
 
     def answer(self, status=200, body=b'done'):
-        """Answer whole."""
+        """Send a complete answer."""
         self.begin(status)
         self.listener.take_body(body)
         self.end()
 
 
 class FakeServers:
-    """Servers whose answers the test gives."""
+    """Records calls to servers and returns answers set by the test."""
 
     def __init__(self):
         self.runs = []
@@ -180,7 +181,7 @@
 
     @property
     def last(self):
-        """The last run."""
+        """The latest run."""
         return self.runs[-1]
 
     def send(self, run, listener):
@@ -208,7 +209,7 @@
 
 
 class World:
-    """An entry's use cases with two replicas and three plain servers."""
+    """Services of an entry with two model replicas and three plain servers."""
 
     def __init__(self, slack=100.0):
         self.clock = common.FakeClock()
@@ -218,9 +219,9 @@
         self.budget = repeats.Repeats(
             self.clock, 0.2, slack, 10_000, lambda: 1
         )
-        shared = (self.clock, self.beliefs)
+        common_arguments = (self.clock, self.beliefs)
         self.streams = streams.StreamService(
-            *shared,
+            *common_arguments,
             self.taken,
             self.servers,
             self.budget,
@@ -228,14 +229,18 @@
             random.Random(1),
         )
         self.calls = calls.CallService(
-            *shared, self.servers, self.budget, 'a', random.Random(1)
+            *common_arguments, self.servers, self.budget, 'a', random.Random(1)
         )
         self.detector = detection.Detector(
-            *shared, self.streams, self.servers, random.Random(1), lambda: 1
+            *common_arguments,
+            self.streams,
+            self.servers,
+            random.Random(1),
+            lambda: 1,
         )
         self.metrics = metrics.Metrics()
         self.intake = intake.Intake(
-            *shared,
+            *common_arguments,
             self.streams,
             self.calls,
             self.metrics,
@@ -246,13 +251,13 @@
         self.others_serve = False
         self.beliefs.take_configuration(build_configuration())
         self.beliefs.proof.renew(0)
-        for name in ('a', 'b'):
+        for failure_domain in ('a', 'b'):
             for number, (first, end) in enumerate(
                 ((0, 27), (27, 54), (54, 80))
             ):
                 self.add(
                     fleet_builders.build_engine(
-                        f'{name}-{number}', 'large', first, end
+                        f'{failure_domain}-{number}', 'large', first, end
                     )
                 )
         for number, domain in enumerate('abc'):
@@ -263,20 +268,21 @@
             )
 
     def add(self, server):
-        """List a server."""
+        """Add a server to the server list."""
         self.beliefs.take_server(server, self.clock.now())
 
     def serve(self, path='/brief/x', number=1, **changes):
-        """Serve a request; returns what its caller sees."""
+        """Serve a request and return the reply that its caller receives."""
         reply = FakeReply()
         changes.setdefault('arrived_at', self.clock.now())
         self.intake.serve(build_inquiry(path, number, **changes), reply)
         return reply
 
     def advance(self, milliseconds, step=25, look=False):
-        """Let time pass with the regular work.
+        """Advance the clock and call the periodic methods.
 
-        Looking for silent streams asks engines, which takes a running loop.
+        The check for stalled streams sends probes, so it needs a running event
+        loop.
         """
         for _ in range(0, milliseconds, step):
             self.clock.advance(step)
--- a/tests/application/routing/fleet.py
+++ b/tests/application/routing/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of entries that tell each other news, without a network."""
+"""A fleet of entries that exchange state updates without a network."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from thornspool.domain.entries import view as view_module
 from thornspool.domain.paths import reservations
 
-TURN_MS = 200
-BOUND_MS = 4_250.0
+TICK_MS = 200
+FRESHNESS_BOUND_MS = 4_250.0
 ENGINE = 'a-1'
 
 
 @attrs.define(eq=False)
 class Member:
-    """One entry with its copy of the store."""
+    """One entry with its local copy of the store."""
 
     record: messages.Record
     view: view_module.View
@@ -34,7 +34,7 @@
 
 
 class Fleet:
-    """Entries in failure domains; the first ones by name come first."""
+    """Entries of several failure domains, in the order of their names."""
 
     def __init__(self, domains=3, hosts=10, loss=0.0):
         self.clock = common.FakeClock(10_000)
@@ -53,13 +53,13 @@
         self.settle()
 
     def add(self, host, domain):
-        """Start an entry; all see its registration at once."""
+        """Start an entry whose registration all others see at once."""
         record = messages.Record(
             host, f'{host}-1', domain, f'{host}:80', f'{host}:90'
         )
         view = view_module.View(record)
         taken = reservations.Reservations()
-        believed = beliefs.Beliefs()
+        state = beliefs.Beliefs()
         budget = repeats.Repeats(
             self.clock,
             0.2,
@@ -67,11 +67,11 @@
             10_000,
             view.count_entries,
         )
-        member = Member(record, view, believed, taken, budget, None)
+        member = Member(record, view, state, taken, budget, None)
         member.service = membership.MembershipService(
             self.clock,
             view,
-            believed,
+            state,
             taken,
             budget,
             self.deliver,
@@ -88,7 +88,7 @@
             member.service.set_state(messages.State.SERVING)
 
     def deliver(self, address, news):
-        """Carry a datagram, or lose it."""
+        """Deliver a state update, or drop it."""
         self.sent += 1
         receiver = self.members[address.removesuffix(':90')]
         if self.cut & {news.host, receiver.record.host}:
@@ -97,7 +97,7 @@
             receiver.service.take_news(news)
 
     def send_missed(self, address, since):
-        """Bring an entry's copy to the newest revision."""
+        """Update the copy of an entry to the newest revision."""
         member = self.members[address.removesuffix(':90')]
         if self.resends and member.revision == since:
             member.revision = max(
@@ -105,42 +105,43 @@
             )
 
     def kill(self, host):
-        """Let an entry vanish; its registration stays for now."""
+        """Stop an entry without notice; its registration stays for now."""
         self.members[host].up = False
 
     def unregister(self, host):
-        """End an entry's registration in the eyes of all others."""
+        """Remove the registration of an entry from all other entries."""
         for member in self.members.values():
             member.view.remove(host)
 
     def cut_off(self, host):
-        """Lose all datagrams from and to an entry."""
+        """Drop all datagrams from and to an entry."""
         self.cut.add(host)
 
     def rejoin(self, host):
-        """Let an entry's datagrams pass again."""
+        """Deliver the datagrams of an entry again."""
         self.cut.discard(host)
 
     def play(self, milliseconds, prove=True):
-        """Let time pass; collectors have a proof of the store.
+        """Advance the clock and call the periodic methods.
 
-        Those that the store turns away hand over to others.
+        The store confirms the copies of collectors, except for entries that it
+        rejects. Those in `turned_away` hand over to other collectors.
         """
-        for _ in range(0, milliseconds, TURN_MS):
-            self.clock.advance(TURN_MS)
+        for _ in range(0, milliseconds, TICK_MS):
+            self.clock.advance(TICK_MS)
             for member in self.members.values():
                 if not member.up:
                     continue
-                away = self.shut_out | self.turned_away
-                proved = prove and member.record.host not in away
-                if proved and member.view.collects:
+                rejected = self.shut_out | self.turned_away
+                confirmed = prove and member.record.host not in rejected
+                if confirmed and member.view.collects:
                     member.beliefs.proof.renew(self.clock.now())
                 elif member.record.host in self.turned_away:
                     member.service.hand_over()
                 if self.chooses_states:
-                    member.service.update_state(True, BOUND_MS)
+                    member.service.update_state(True, FRESHNESS_BOUND_MS)
                 member.service.work()
 
     def take(self, host, amount):
-        """Let the requests of an entry hold memory."""
+        """Reserve engine memory for requests of an entry."""
         self.members[host].taken.own = {ENGINE: amount}
--- a/tests/application/routing/test_detection.py
+++ b/tests/application/routing/test_detection.py
@@ -1,4 +1,4 @@
-"""Tests of streams that pause, and of engines that are gone or slow."""
+"""Tests of stalled streams, and of lost or slow engines."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from thornspool.application.routing import ports
 from thornspool.domain.paths import silence
 
-WHOLE = b''.join(b'id: %d\ndata: x\n\n' % number for number in range(10))
+ALL_EVENTS = b''.join(b'id: %d\ndata: x\n\n' % number for number in range(10))
 
 
 class DetectionTest(unittest.IsolatedAsyncioTestCase):
-    """An engine in the middle of a path goes dark.
+    """An engine in the middle of a path stops responding.
 
-    Its neighbours wait for it, seconds pass before they say so, and the
-    callers have left by then.
+    Its neighbours wait for it for seconds before they report it, and callers
+    have abandoned their streams by then.
     """
 
     async def asyncSetUp(self):
@@ -39,15 +39,15 @@
             self.world.advance(100, look=True)
             self.world.detector.work()
             for _ in range(8):
-                await builders_sleep()
+                await run_ready_tasks()
 
-    def blame(self, server):
+    def report_stalled_by(self, server):
         self.servers.reports[self.first.id] = ports.Report(
             1, False, 1.0, 1, (ports.Stalled('request-1', server.address),)
         )
 
-    async def test_the_first_engine_is_asked_and_the_stream_goes_on(self):
-        self.blame(self.middle)
+    async def test_first_engine_is_probed_and_stream_resumes(self):
+        self.report_stalled_by(self.middle)
         await self.pass_time(700)
         path = [hop.server.id for hop in self.run.run.hops]
         self.assertEqual(path, self.servers.asked[: len(path)])
@@ -59,16 +59,19 @@
         )
         self.assertTrue(self.run.stopped)
 
-    async def test_a_first_engine_that_does_not_answer_is_left(self):
+    async def test_stream_leaves_an_unresponsive_first_engine(self):
         del self.servers.reports[self.first.id]
         await self.pass_time(700)
         self.assertIn(self.first.id, self.world.beliefs.suspects)
         self.assertIsNot(self.run, self.servers.last)
 
-    async def test_a_stream_runs_on_no_more_engines_than_its_route_allows(
+    async def test_stream_runs_at_most_as_often_as_its_route_allows(
         self,
     ):
-        """Engines in the middle of a draft's paths die, one after another."""
+        """Guards against more runs than the route's attempts.
+
+        Engines in the middle of a stream's paths are lost one after another.
+        """
         for name in ('a', 'b'):
             self.world.add(
                 fleet_builders.build_engine(f'{name}-7', 'large', 27, 54)
@@ -90,8 +93,11 @@
         self.assertEqual(2, len(self.servers.runs))
         self.assertEqual(1, len(self.servers.repaths))
 
-    async def test_a_stream_that_may_not_run_again_changes_its_path(self):
-        """The same loss on a route whose streams may run once only."""
+    async def test_stream_without_retries_is_rerouted(self):
+        """Guards against a lost stream on a route that allows a single run.
+
+        An engine in the middle of its path is lost.
+        """
         reply = self.world.serve('/once/x', number=2)
         run = self.servers.last
         run.begin()
@@ -119,16 +125,16 @@
         self.assertNotIn(middle, [hop.server for hop in hops])
         run.send(3, 10)
         run.end()
-        self.assertEqual(WHOLE, reply.body)
+        self.assertEqual(ALL_EVENTS, reply.body)
 
-    async def test_only_the_lost_part_of_a_path_is_replaced(self):
-        """Guards against a crash that spends a repeat on each stream."""
+    async def test_only_the_lost_engine_of_a_path_is_replaced(self):
+        """Guards against a crash that uses up a retry for each stream."""
         spare = fleet_builders.build_engine(
             f'{self.first.failure_domain}-7', 'large', 27, 54
         )
         self.world.add(spare)
         self.servers.reports[spare.id] = ports.Report(1, False, 1.0, 1, ())
-        self.blame(self.middle)
+        self.report_stalled_by(self.middle)
         await self.pass_time(500)
         ((request, hops),) = self.servers.repaths
         self.assertEqual('request-1', request)
@@ -140,11 +146,11 @@
         self.assertFalse(self.run.stopped)
         self.run.send(3, 10)
         self.run.end()
-        self.assertEqual(WHOLE, self.reply.body)
+        self.assertEqual(ALL_EVENTS, self.reply.body)
         self.assertEqual(1, len(self.servers.runs))
 
-    async def test_a_path_changes_again_for_the_next_lost_engine(self):
-        """Guards against a second loss that costs a whole new run."""
+    async def test_path_changes_again_after_a_second_loss(self):
+        """Guards against a new run after a second engine of a path is lost."""
         domain = self.first.failure_domain
         for name, first, end in (('7', 27, 54), ('8', 54, 80)):
             one = fleet_builders.build_engine(
@@ -164,7 +170,7 @@
         )
         self.assertEqual(1, len(self.servers.runs))
 
-    async def test_a_run_without_an_answer_yet_is_sent_anew(self):
+    async def test_run_without_an_answer_is_retried(self):
         self.world.serve(number=2)
         second = self.servers.last
         middle = second.run.hops[1].server
@@ -181,41 +187,44 @@
             'request-2', [request for request, _ in self.servers.repaths]
         )
 
-    async def test_a_stream_whose_path_can_not_change_runs_anew(self):
-        """Guards against a stream that its first engine does not move."""
+    async def test_stream_resumes_in_a_new_run_when_rerouting_fails(self):
+        """Guards against a stalled stream after a refused path change."""
         spare = fleet_builders.build_engine(
             f'{self.first.failure_domain}-7', 'large', 27, 54
         )
         self.world.add(spare)
         self.servers.reports[spare.id] = ports.Report(1, False, 1.0, 1, ())
         self.servers.repath_result = ports.OrderResult.CONFLICT
-        self.blame(self.middle)
+        self.report_stalled_by(self.middle)
         await self.pass_time(500)
         self.assertEqual(1, len(self.servers.repaths))
         self.assertTrue(self.run.stopped)
         self.assertEqual('2', self.servers.last.run.resume_after)
 
-    async def test_a_stream_for_which_there_is_no_other_path_stays(self):
-        """Engines of all domains are replaced, and one more is suspected."""
+    async def test_stream_without_another_path_stays(self):
+        """Guards against cut streams when no failure domain has a path left.
+
+        All engines of one domain are suspected, and one of the other.
+        """
         for name in ('b-0', 'b-1', 'b-2'):
             self.world.beliefs.suspect(name, 'not_reached', 0)
-        self.blame(self.middle)
+        self.report_stalled_by(self.middle)
         await self.pass_time(1_900)
         self.assertIn(self.middle.id, self.world.beliefs.suspects)
         self.assertFalse(self.reply.aborted)
         self.assertFalse(self.run.stopped)
 
-    async def test_a_stream_that_can_not_go_on_elsewhere_stays(self):
-        """The same loss when nothing may be repeated any more."""
+    async def test_started_stream_stays_without_retry_budget(self):
+        """Guards against a cut stream when no retry is left."""
         while self.world.budget.take('drafting', urgent=True):
             pass
-        self.blame(self.middle)
+        self.report_stalled_by(self.middle)
         await self.pass_time(1_900)
         self.assertFalse(self.reply.aborted)
         self.assertFalse(self.run.stopped)
         self.run.send(3, 10)
         self.run.end()
-        self.assertEqual(WHOLE, self.reply.body)
+        self.assertEqual(ALL_EVENTS, self.reply.body)
 
     async def test_a_slow_engine_is_not_suspected(self):
         self.servers.reports[self.first.id] = ports.Report(
@@ -225,11 +234,14 @@
         self.assertEqual({}, self.world.beliefs.suspects)
         self.assertEqual(1, len(self.servers.runs))
         now = self.world.clock.now()
-        pace = self.world.beliefs.paces.get(self.first.id, now)
-        self.assertEqual(3.0, pace)
+        factor = self.world.beliefs.paces.get(self.first.id, now)
+        self.assertEqual(3.0, factor)
+
+    async def test_requests_avoid_a_slow_engine(self):
+        """Guards against requests to an engine that is many times slower.
 
-    async def test_requests_leave_an_engine_that_has_turned_slow(self):
-        """An engine takes many times as long, and fails nothing."""
+        It answers without errors, so it is never suspected.
+        """
         slow = self.middle
         self.servers.reports[slow.id] = ports.Report(1, False, 24.0, 1, ())
         self.world.serve(number=2)
@@ -242,7 +254,7 @@
             hops = self.servers.last.run.hops
             self.assertNotIn(slow.id, [hop.server.id for hop in hops])
 
-    async def test_a_slow_engine_is_asked_again_and_used_again(self):
+    async def test_slow_engine_is_probed_again_and_recovers(self):
         self.servers.reports[self.middle.id] = ports.Report(
             1, False, 12.0, 1, ()
         )
@@ -258,7 +270,7 @@
             1.0, self.world.beliefs.paces.get(self.middle.id, now)
         )
 
-    async def test_engines_that_turn_slow_together_are_found_together(self):
+    async def test_engines_that_slow_down_together_are_found_together(self):
         """Guards against slow engines that are found one after another."""
         for name in (self.middle.id, 'b-1', 'b-2'):
             self.servers.reports[name] = ports.Report(1, False, 12.0, 1, ())
@@ -268,45 +280,54 @@
             self.assertEqual(12.0, self.world.beliefs.paces.get(name, now))
         self.assertLess(len(self.servers.asked), 30)
 
-    async def test_an_engine_of_the_path_that_is_gone_is_found_early(self):
-        """An engine in the middle of a path crashes."""
+    async def test_crashed_engine_of_a_path_is_found_early(self):
+        """Guards against late detection of a crash in the middle of a path."""
         del self.servers.reports[self.middle.id]
         await self.pass_time(300)
         self.assertIn(self.middle.id, self.world.beliefs.suspects)
         self.assertEqual('2', self.servers.last.run.resume_after)
 
-    async def test_an_engine_in_whose_name_work_is_refused_is_asked(self):
-        """An engine is gone, and the store with the list is away."""
+    async def test_lost_engine_named_in_a_refusal_is_suspected(self):
+        """Guards against requests to a lost engine during a store outage.
+
+        The server list still contains the engine.
+        """
         del self.servers.reports[self.middle.id]
         self.world.serve(number=2)
         self.servers.last.refuse(fault=self.middle.address)
         await self.pass_time(100)
         self.assertIn(self.middle.id, self.world.beliefs.suspects)
 
-    async def test_an_engine_that_refuses_and_lives_is_used_again(self):
-        """An engine is short of memory for a moment."""
+    async def test_live_engine_named_in_a_refusal_is_not_suspected(self):
+        """Guards against suspicion of an engine that is short of memory."""
         self.world.serve(number=2)
         self.servers.last.refuse(fault=self.middle.address)
         await self.pass_time(100)
         self.assertIn(self.middle.id, self.servers.asked)
         self.assertEqual({}, self.world.beliefs.suspects)
 
-    async def test_an_answer_that_this_entry_reads_late_blames_nobody(self):
-        """Many streams are sent elsewhere at once, and the loop is busy."""
+    async def test_answer_that_is_read_late_suspects_no_engine(self):
+        """Guards against suspicions from answers that are read too late.
+
+        The event loop is busy, as many streams are retried at once.
+        """
         del self.servers.reports[self.first.id]
-        answer = self.servers.ask_report
+        ask_report = self.servers.ask_report
 
-        async def ask_late(server, wait_ms=ports.REPORT_MS):
+        async def answer_late_probe(server, wait_ms=ports.REPORT_MS):
             self.world.clock.advance(wait_ms + 100)
-            return await answer(server, wait_ms)
+            return await ask_report(server, wait_ms)
 
-        self.servers.ask_report = ask_late
+        self.servers.ask_report = answer_late_probe
         await self.pass_time(700)
         self.assertIn(self.first.id, self.servers.asked)
         self.assertNotIn(self.first.id, self.world.beliefs.suspects)
 
-    async def test_the_word_of_others_allows_no_further_run(self):
-        """Another entry is mistaken about the first engines of two paths."""
+    async def test_reported_suspicions_allow_no_extra_run(self):
+        """Guards against extra runs after mistaken reports of a peer.
+
+        The peer suspects the first engines of two paths in turn.
+        """
         third = fleet_builders.build_engine('a-8', 'large', 0, 27)
         self.world.add(third)
         self.servers.reports[third.id] = self.servers.reports[self.first.id]
@@ -322,17 +343,20 @@
             await self.pass_time(900)
         self.assertEqual(2, len(self.servers.runs))
 
-    async def test_questions_about_paces_are_bounded(self):
-        """Every stream of every entry is late."""
+    async def test_probes_for_late_streams_are_bounded(self):
+        """Guards against unlimited probes when every stream is late."""
         for number in range(2, 40):
             self.world.serve(number=number)
         await self.pass_time(3_000)
-        asked = len(self.servers.asked)
-        fleet = len(self.world.beliefs.servers)
-        self.assertLess(asked, 12 + 3 * fleet + 3 * 6)
+        probes = len(self.servers.asked)
+        engines = len(self.world.beliefs.servers)
+        self.assertLess(probes, 12 + 3 * engines + 3 * 6)
+
+    async def test_stalled_request_stays_without_retry_budget(self):
+        """Guards against refusal of a stalled request without a retry left.
 
-    async def test_a_silent_request_that_may_not_be_repeated_stays(self):
-        """Nothing came for a second and a half, and repeats are used up."""
+        Nothing has arrived for 1.5 s, and the retry budget is used up.
+        """
         reply = self.world.serve(number=2)
         while self.world.budget.take('drafting'):
             pass
@@ -345,22 +369,22 @@
         )
         self.assertFalse(run.stopped)
 
-    async def test_a_host_that_stood_still_blames_nobody(self):
-        """The host of the entry is suspended for seconds."""
+    async def test_suspended_host_suspects_no_engine(self):
+        """Guards against suspicions after the entry's host was suspended."""
         self.world.detector.work()
         self.world.clock.advance(5_000)
         self.world.detector.work()
-        await builders_sleep()
+        await run_ready_tasks()
         self.assertEqual([], self.servers.asked)
         self.assertEqual({}, self.world.beliefs.suspects)
 
-    async def test_one_entry_can_not_condemn_the_fleet(self):
+    async def test_one_entry_can_not_suspect_the_whole_fleet(self):
         for name in list(self.world.beliefs.servers):
             self.world.beliefs.suspect(name, 'not_reached', 0)
         self.assertLess(len(self.world.beliefs.suspects), 9)
 
 
-class SharedSilenceTest(unittest.IsolatedAsyncioTestCase):
+class SharedStallTest(unittest.IsolatedAsyncioTestCase):
     """Forty streams run through one chain of engines."""
 
     async def asyncSetUp(self):
@@ -375,7 +399,7 @@
         await self.stream(1_000)
 
     async def stream(self, milliseconds, pause_ms=40):
-        """Let all first runs bring an event every few milliseconds."""
+        """Deliver an event to all first runs every few milliseconds."""
         for number in range(milliseconds // pause_ms):
             for run in self.runs:
                 run.send(number, number + 1)
@@ -385,18 +409,18 @@
         for _ in range(0, milliseconds, step):
             self.world.advance(step, step, look=True)
             for _ in range(6):
-                await builders_sleep()
+                await run_ready_tasks()
 
-    def find_through(self, name):
+    def list_runs_through(self, name):
         return [
             run
             for run in self.runs
             if name in [hop.server.id for hop in run.run.hops]
         ]
 
-    async def test_a_crashed_engine_is_left_within_130_ms(self):
-        """Guards against streams that wait for a pause that is unusual."""
-        through = self.find_through('a-1')
+    async def test_streams_leave_a_crashed_engine_within_130_ms(self):
+        """Guards against streams that each wait for an unusual idle time."""
+        through = self.list_runs_through('a-1')
         self.assertGreater(len(through), 10)
         del self.servers.reports['a-1']
         began = self.world.clock.now()
@@ -412,44 +436,44 @@
         self.assertTrue(all(run.stopped for run in through))
         self.assertEqual(['a-1'], list(self.world.beliefs.suspects))
 
-    async def test_a_slow_engine_is_not_taken_for_a_lost_one(self):
-        """Guards against streams that are moved again and again."""
+    async def test_slow_engine_is_not_suspected(self):
+        """Guards against streams that are rerouted again and again."""
         self.servers.reports['a-1'] = ports.Report(1, False, 12.0, 1, ())
         await self.stream(2_000, pause_ms=200)
         self.assertEqual({}, self.world.beliefs.suspects)
         self.assertEqual(40, len(self.servers.runs))
 
-    async def test_engines_are_not_asked_while_streams_move(self):
+    async def test_no_engine_is_probed_while_streams_progress(self):
         await self.stream(1_000)
         self.assertEqual([], self.servers.asked)
 
-    async def test_one_lost_question_proves_nothing(self):
-        """Guards against a lost packet that takes a sound engine away."""
-        answer = self.servers.ask_report
-        lost = set()
+    async def test_one_lost_probe_suspects_no_engine(self):
+        """Guards against exclusion of a healthy engine after packet loss."""
+        ask_report = self.servers.ask_report
+        dropped = set()
 
-        async def lose_first(server, wait_ms=ports.REPORT_MS):
-            if server.id not in lost:
-                lost.add(server.id)
+        async def drop_first(server, wait_ms=ports.REPORT_MS):
+            if server.id not in dropped:
+                dropped.add(server.id)
                 self.world.clock.advance(wait_ms)
                 return None
-            return await answer(server, wait_ms)
+            return await ask_report(server, wait_ms)
 
-        self.servers.ask_report = lose_first
+        self.servers.ask_report = drop_first
         await self.pass_time(100)
-        self.assertTrue(lost)
+        self.assertTrue(dropped)
         self.assertEqual({}, self.world.beliefs.suspects)
 
-    async def test_a_look_that_comes_late_asks_nobody(self):
-        """Guards against a busy host that takes all engines for lost."""
+    async def test_delayed_check_sends_no_probe(self):
+        """Guards against suspicion of all engines by a busy host."""
         self.world.clock.advance(300)
         self.world.detector.look()
-        await builders_sleep()
+        await run_ready_tasks()
         self.assertEqual([], self.servers.asked)
 
 
-class _SilenceCase(unittest.IsolatedAsyncioTestCase):
-    """Streams over the same engines that have shown their rhythm."""
+class _StallCase(unittest.IsolatedAsyncioTestCase):
+    """Streams over the same engines whose event interval is known."""
 
     streams = 1
 
@@ -477,37 +501,37 @@
         for _ in range(0, milliseconds, step):
             self.world.advance(step, step, look=True)
             for _ in range(6):
-                await builders_sleep()
+                await run_ready_tasks()
 
 
-class QuestionsTest(_SilenceCase):
-    """Streams over the same engines stop, and these are asked together."""
+class ProbesTest(_StallCase):
+    """Streams over the same engines stall, and these are probed together."""
 
     streams = silence.LEAST_STREAMS
 
-    async def test_a_lost_question_is_asked_again(self):
-        """Guards against a lost packet that takes a sound engine away."""
-        answer = self.servers.ask_report
-        asked = []
+    async def test_lost_probe_is_sent_again(self):
+        """Guards against exclusion of a healthy engine after packet loss."""
+        ask_report = self.servers.ask_report
+        probe_timeouts = []
 
-        async def lose_first(server, wait_ms=ports.REPORT_MS):
+        async def drop_first(server, wait_ms=ports.REPORT_MS):
             if server.id == self.names[1]:
-                asked.append(wait_ms)
-                if len(asked) == 1:
+                probe_timeouts.append(wait_ms)
+                if len(probe_timeouts) == 1:
                     self.world.clock.advance(wait_ms)
                     return None
-            return await answer(server, wait_ms)
+            return await ask_report(server, wait_ms)
 
-        self.servers.ask_report = lose_first
+        self.servers.ask_report = drop_first
         await self.pass_time(125)
-        self.assertEqual(2, len(asked))
+        self.assertEqual(2, len(probe_timeouts))
         self.assertEqual({}, self.world.beliefs.suspects)
 
-    async def play_silence(self, silent):
-        """Let some engines answer nothing, and ask them."""
+    async def probe_unresponsive(self, unresponsive):
+        """Leave probes of some engines unanswered until they time out."""
 
         async def hang(server, wait_ms=ports.REPORT_MS):
-            if server.id in silent:
+            if server.id in unresponsive:
                 await asyncio.sleep(wait_ms / 1_000)
                 return None
             return self.servers.reports[server.id]
@@ -516,27 +540,27 @@
         await self.pass_time(50)
         await asyncio.sleep(0.2)
 
-    async def test_a_silent_engine_beside_others_that_answer_is_lost(self):
-        await self.play_silence({self.names[1]})
+    async def test_unresponsive_engine_among_live_ones_is_suspected(self):
+        await self.probe_unresponsive({self.names[1]})
         self.assertEqual({self.names[1]}, set(self.world.beliefs.suspects))
 
-    async def test_silence_to_short_questions_grants_no_further_run(self):
-        """Guards against a third run, where a busy host missed an answer."""
+    async def test_unanswered_short_probes_allow_no_extra_run(self):
+        """Guards against a third run after a busy host missed an answer."""
         first = self.names[0]
-        await self.play_silence({first})
+        await self.probe_unresponsive({first})
         self.assertIn(first, self.world.beliefs.suspects)
         self.assertFalse(self.world.beliefs.is_lost(first))
         for run in self.servers.runs[len(self.runs) :]:
             run.end(ports.Ending.BROKEN)
         self.assertEqual(2 * len(self.runs), len(self.servers.runs))
 
-    async def test_a_busy_host_takes_no_answer_for_silence(self):
-        """Guards against sound engines that are left for its own lateness."""
-        answer = self.servers.ask_report
+    async def test_late_timeout_on_a_busy_host_suspects_no_engine(self):
+        """Guards against exclusion of healthy engines by a delayed entry."""
+        ask_report = self.servers.ask_report
 
         async def answer_late(server, wait_ms=ports.REPORT_MS):
             if server.id != self.names[1]:
-                return await answer(server, wait_ms)
+                return await ask_report(server, wait_ms)
             await asyncio.sleep(wait_ms / 1_000)
             self.world.clock.advance(wait_ms + 10)
             return None
@@ -546,17 +570,17 @@
         await asyncio.sleep(0.2)
         self.assertEqual({}, self.world.beliefs.suspects)
 
-    async def test_a_host_that_is_cut_off_blames_nobody(self):
-        """Guards against whole paths that a fleet leaves out for one host."""
-        await self.play_silence(set(self.names))
+    async def test_isolated_host_suspects_no_engine(self):
+        """Guards against exclusion of a path by all for one isolated host."""
+        await self.probe_unresponsive(set(self.names))
         self.assertEqual({}, self.world.beliefs.suspects)
 
 
-class LoneStreamTest(_SilenceCase):
-    """An entry of a large fleet, which has one stream at a time."""
+class SingleStreamTest(_StallCase):
+    """An entry of a large fleet that has one stream at a time."""
 
-    async def test_its_silence_has_the_engines_of_its_path_asked(self):
-        """Guards against crashes that are noticed by whole groups alone."""
+    async def test_stall_of_a_single_stream_probes_its_engines(self):
+        """Guards against crashes that only several stalled streams reveal."""
         lost = self.names[1]
         del self.servers.reports[lost]
         await self.pass_time(150)
@@ -564,12 +588,12 @@
         self.assertTrue(self.run.stopped)
         self.assertIsNot(self.run, self.servers.last)
 
-    async def test_one_that_moves_has_nobody_asked(self):
+    async def test_no_engine_is_probed_while_the_stream_progresses(self):
         self.assertEqual([], self.servers.asked)
 
-    async def test_peers_hear_of_a_lost_engine_at_once(self):
-        """Guards against streams that stand still until the next turn."""
-        told = []
+    async def test_lost_engine_is_announced_at_once(self):
+        """Guards against stalls until the next periodic state update."""
+        announced = []
         beliefs = self.world.beliefs
         detector = detection.Detector(
             self.world.clock,
@@ -578,16 +602,16 @@
             self.servers,
             random.Random(1),
             lambda: 1,
-            lambda: told.append(list(beliefs.fresh_suspects)),
+            lambda: announced.append(list(beliefs.fresh_suspects)),
         )
         self.world.detector = detector
         lost = self.names[1]
         del self.servers.reports[lost]
         await self.pass_time(150)
-        self.assertIn([lost], told)
+        self.assertIn([lost], announced)
 
-    async def test_a_stream_that_is_overdue_leaves_what_a_peer_suspects(self):
-        """Guards against a wait for its own proof of the loss."""
+    async def test_overdue_stream_leaves_an_engine_suspected_by_a_peer(self):
+        """Guards against a wait for the entry's own evidence of the loss."""
         self.run.send(20, 21)
         now = self.world.clock.now()
         self.world.beliefs.suspect(self.names[1], 'told_by_b', now, told=True)
@@ -599,6 +623,6 @@
         self.assertTrue(self.run.stopped)
 
 
-async def builders_sleep():
-    """Let tasks run."""
+async def run_ready_tasks():
+    """Run tasks that are ready."""
     await asyncio.sleep(0)
--- a/tests/application/routing/test_streams.py
+++ b/tests/application/routing/test_streams.py
@@ -12,7 +12,7 @@
 from thornspool.application.routing import streams
 from thornspool.domain.routing import messages as routing
 
-WHOLE = b''.join(b'id: %d\ndata: x\n\n' % number for number in range(10))
+ALL_EVENTS = b''.join(b'id: %d\ndata: x\n\n' % number for number in range(10))
 
 
 class StreamTest(unittest.TestCase):
@@ -20,7 +20,7 @@
         self.world = builders.World()
         self.servers = self.world.servers
 
-    def test_a_stream_is_passed_on_whole(self):
+    def test_stream_is_passed_on_completely(self):
         reply = self.world.serve()
         run = self.servers.last
         self.assertEqual('north', run.run.workspace)
@@ -29,12 +29,15 @@
         run.send(0, 10)
         run.end()
         self.assertEqual(
-            (200, WHOLE, True), (reply.status, reply.body, reply.whole)
+            (200, ALL_EVENTS, True), (reply.status, reply.body, reply.whole)
         )
         self.assertEqual({}, self.world.taken.own)
 
-    def test_a_broken_stream_goes_on_behind_its_last_whole_event(self):
-        """An engine dies in the middle of an event of a draft."""
+    def test_broken_stream_resumes_after_its_last_complete_event(self):
+        """Guards against lost or repeated events after an engine crash.
+
+        The engine crashes in the middle of an event.
+        """
         reply = self.world.serve()
         first = self.servers.last
         first.begin()
@@ -48,10 +51,10 @@
         second.begin()
         second.send(4, 10)
         second.end()
-        self.assertEqual(WHOLE, reply.body)
+        self.assertEqual(ALL_EVENTS, reply.body)
         self.assertTrue(reply.whole)
 
-    def test_an_answer_that_ends_inside_an_event_is_not_complete(self):
+    def test_answer_that_ends_inside_an_event_is_retried(self):
         reply = self.world.serve()
         first = self.servers.last
         first.begin()
@@ -61,8 +64,8 @@
         self.assertFalse(reply.whole)
         self.assertIsNot(first, self.servers.last)
 
-    def test_a_stream_that_may_not_resume_is_cut_not_run_again(self):
-        """The same break on a route whose streams may run only once."""
+    def test_stream_that_may_not_resume_is_cut(self):
+        """Guards against a second run on a route that allows a single one."""
         reply = self.world.serve('/once/x')
         run = self.servers.last
         run.begin()
@@ -72,15 +75,19 @@
         self.assertTrue(reply.aborted)
         self.assertFalse(reply.whole)
 
-    def test_what_ran_once_at_most_is_never_called_not_run(self):
-        """The engine of such a stream dies before its first event."""
+    def test_run_with_unknown_outcome_is_answered_with_502(self):
+        """Guards against a 503, which says that the request has not run.
+
+        The engine of a stream that may run once crashes before its first
+        event.
+        """
         reply = self.world.serve('/once/x')
         self.servers.last.end(ports.Ending.BROKEN)
         self.assertEqual(502, reply.status)
         self.assertEqual(1, len(self.servers.runs))
 
-    def test_a_success_without_a_signature_is_no_success(self):
-        """Some other process answers at an engine's address."""
+    def test_success_without_a_signature_is_rejected(self):
+        """Guards against answers of another process at an engine's address."""
         reply = self.world.serve('/once/x')
         run = self.servers.last
         run.begin(genuine=False)
@@ -88,8 +95,11 @@
         run.end()
         self.assertEqual(502, reply.status)
 
-    def test_an_engine_that_refuses_is_not_asked_again_at_once(self):
-        """An engine has given up layers that the list still shows."""
+    def test_refused_request_is_not_retried_at_the_same_engine(self):
+        """Guards against retries at an engine that has dropped its layers.
+
+        The server list still shows the layers.
+        """
         reply = self.world.serve()
         refused = set()
         for _ in range(3):
@@ -101,37 +111,43 @@
                 break
         self.assertLessEqual(len(self.servers.runs), 3)
 
-    def test_an_engine_that_refuses_is_left_out_for_all_requests(self):
-        """An engine gives up layers and keeps their memory for seconds."""
+    def test_refusing_engine_is_excluded_for_all_requests(self):
+        """Guards against further requests to an engine without free memory.
+
+        It has dropped layers, but their memory is released seconds later.
+        """
         self.world.serve(number=0)
-        blamed = self.servers.last.run.hops[1].server
-        self.servers.last.refuse(503, blamed.address)
+        refusing = self.servers.last.run.hops[1].server
+        self.servers.last.refuse(503, refusing.address)
         for number in range(1, 6):
             self.world.serve(number=number)
             hops = self.servers.last.run.hops
-            self.assertNotIn(blamed.id, [hop.server.id for hop in hops])
+            self.assertNotIn(refusing.id, [hop.server.id for hop in hops])
 
-    def test_a_large_request_that_finds_no_room_says_nothing_of_others(self):
+    def test_refusal_of_a_large_request_causes_no_backoff(self):
         self.world.serve(number=0, prompt_tokens=2_200.0)
-        blamed = self.servers.last.run.hops[1].server
-        self.servers.last.refuse(503, blamed.address)
+        refusing = self.servers.last.run.hops[1].server
+        self.servers.last.refuse(503, refusing.address)
         now = self.world.clock.now()
         self.assertFalse(
-            self.world.beliefs.refusals.is_refusing(blamed.id, now)
+            self.world.beliefs.refusals.is_refusing(refusing.id, now)
         )
 
-    def test_requests_wait_for_a_domain_rather_than_crowd_the_links(self):
-        """One engine of each domain refuses for a moment."""
-        known = self.world.beliefs.configuration
+    def test_requests_wait_rather_than_cross_failure_domains(self):
+        """Guards against overloaded links between failure domains.
+
+        One engine of each domain refuses requests for a moment.
+        """
+        configuration = self.world.beliefs.configuration
         model = fleet_builders.build_model(
             activation_bytes=59_000.0, pipe_mbps=100.0
         )
         services = {
-            **known.services,
+            **configuration.services,
             'drafting': routing.Service('drafting', model),
         }
         self.world.beliefs.configuration = attrs.evolve(
-            known, services=services
+            configuration, services=services
         )
         now = self.world.clock.now()
         for name in ('a-0', 'b-1'):
@@ -143,8 +159,8 @@
         self.world.advance(400)
         self.assertEqual(20, len(self.servers.runs))
 
-    def test_when_all_refuse_requests_wait_and_nothing_is_sent(self):
-        """All engines are short of memory at once."""
+    def test_requests_wait_while_all_engines_refuse(self):
+        """Guards against sends while all engines are out of memory."""
         self.world.serve(number=0)
         for _ in range(2):
             run = self.servers.last
@@ -156,14 +172,14 @@
         self.world.advance(400)
         self.assertGreater(len(self.servers.runs), sent)
 
-    def test_refused_by_engines_that_moved_it_is_told_at_once(self):
+    def test_misdirected_request_is_refused_at_once(self):
         reply = self.world.serve()
         self.servers.last.refuse(421)
         self.servers.last.refuse(421)
         self.assertEqual(503, reply.status)
         self.assertIsNotNone(reply.retry_after_ms)
 
-    def test_refused_by_full_engines_it_is_tried_again_later(self):
+    def test_request_refused_by_full_engines_is_retried_later(self):
         reply = self.world.serve()
         self.servers.last.refuse()
         self.servers.last.refuse()
@@ -173,8 +189,8 @@
         self.world.advance(300)
         self.assertEqual(3, len(self.servers.runs))
 
-    def test_without_a_path_callers_are_told_at_once(self):
-        """No domain holds all layers."""
+    def test_request_without_a_path_is_refused_at_once(self):
+        """Guards against a wait when no failure domain holds all layers."""
         for number in ('a-1', 'b-1'):
             del self.world.beliefs.servers[number]
         reply = self.world.serve()
@@ -182,8 +198,8 @@
         self.assertEqual('not_covered', reply.reason)
         self.assertGreater(reply.retry_after_ms, 0)
 
-    def test_a_caller_that_leaves_ends_the_work_for_him(self):
-        """A clerk closes the window while his draft is written."""
+    def test_caller_that_disconnects_ends_its_run(self):
+        """Guards against runs and reservations of disconnected callers."""
         reply = self.world.serve()
         run = self.servers.last
         run.begin()
@@ -192,14 +208,17 @@
         self.assertEqual({}, self.world.taken.own)
         self.assertEqual(0, self.world.intake.in_flight)
 
-    def test_a_request_past_its_deadline_gets_its_answer(self):
+    def test_request_past_its_deadline_is_answered_with_504(self):
         reply = self.world.serve(patience_ms=1_000)
         self.world.advance(1_100)
         self.assertEqual(504, reply.status)
         self.assertTrue(self.servers.last.stopped)
 
-    def test_late_bytes_of_a_run_that_was_left_go_nowhere(self):
-        """A silent engine wakes after its stream went elsewhere."""
+    def test_late_output_of_an_abandoned_run_is_dropped(self):
+        """Guards against output of an abandoned run in the answer.
+
+        An unresponsive engine continues after its stream has failed over.
+        """
         reply = self.world.serve()
         first = self.servers.last
         first.begin()
@@ -212,24 +231,27 @@
         first.end(ports.Ending.BROKEN)
         second.send(3, 10)
         second.end()
-        self.assertEqual(WHOLE, reply.body)
+        self.assertEqual(ALL_EVENTS, reply.body)
 
-    def test_repeats_end_with_the_budget(self):
-        """Every engine fails every request."""
+    def test_retries_are_limited_by_the_budget(self):
+        """Guards against unlimited retries when every engine fails."""
         self.world = builders.World(slack=2.0)
         servers = self.world.servers
         replies = [self.world.serve(number=number) for number in range(20)]
-        played = 0
+        handled = 0
         for _ in range(200):
-            while played < len(servers.runs):
-                played += 1
-                servers.runs[played - 1].end(ports.Ending.BROKEN)
+            while handled < len(servers.runs):
+                handled += 1
+                servers.runs[handled - 1].end(ports.Ending.BROKEN)
             self.world.advance(25)
         self.assertTrue(all(one.whole for one in replies))
         self.assertLessEqual(len(servers.runs), 20 + 2 + 0.2 * 20)
 
-    def test_repeats_are_kept_for_callers_who_have_a_part(self):
-        """Engines give up layers and refuse hundreds of new requests."""
+    def test_retries_are_reserved_for_started_streams(self):
+        """Guards against a cut stream when refused requests use up the budget.
+
+        Engines drop layers and refuse hundreds of new requests.
+        """
         self.world = builders.World(slack=10.0)
         servers = self.world.servers
         reply = self.world.serve(number=0)
@@ -246,8 +268,8 @@
         resumed = [one.run.resume_after for one in servers.runs]
         self.assertIn('3', resumed)
 
-    def test_a_broken_stream_waits_for_a_repeat_that_comes_free(self):
-        """A draft breaks just when nothing may be repeated any more."""
+    def test_broken_stream_waits_for_a_retry(self):
+        """Guards against a cut stream when no retry is left for a moment."""
         self.world = builders.World(slack=3.0)
         servers = self.world.servers
         while self.world.budget.take('drafting', urgent=True):
@@ -263,8 +285,11 @@
         self.assertEqual(2, len(servers.runs))
         self.assertEqual('3', servers.last.run.resume_after)
 
-    def test_full_engines_make_requests_wait_and_then_refuse_them(self):
-        """More drafts are asked for than the engines have memory for."""
+    def test_requests_to_full_engines_wait_and_are_then_refused(self):
+        """Guards against immediate refusals and unlimited waits.
+
+        There are more requests than the engines have memory for.
+        """
         replies = []
         for number in range(2_000):
             reply = self.world.serve(number=number)
@@ -282,8 +307,11 @@
         self.assertEqual(503, late.status)
         self.assertEqual('no_room', late.reason)
 
-    def test_a_drain_takes_only_what_ends_before_it(self):
-        """A host is stopped, and callers who hold its address come still."""
+    def test_draining_entry_accepts_only_streams_that_end_in_time(self):
+        """Guards against streams that are cut by the end of a draining entry.
+
+        Callers with a cached address still connect to it.
+        """
         self.world.streams.set_end(self.world.clock.now() + 5_000)
         short = self.world.serve(number=1, answer_tokens=50.0)
         long = self.world.serve(number=2, answer_tokens=4_000.0)
@@ -291,13 +319,13 @@
         self.assertEqual((503, 'draining'), (long.status, long.reason))
         self.assertEqual(1, len(self.servers.runs))
 
-    def test_urgent_requests_go_first_when_room_comes_free(self):
+    def test_urgent_requests_get_free_capacity_first(self):
         for number in range(2_000):
             self.world.serve(number=number)
             if len(self.servers.runs) <= number:
                 break
-        plain = build_urgent(self.world, 5, 'plain')
-        urgent = build_urgent(self.world, 0, 'urgent')
+        plain = serve_with_priority(self.world, 5, 'plain')
+        urgent = serve_with_priority(self.world, 0, 'urgent')
         for run in self.servers.runs[:2]:
             run.begin()
             run.end()
@@ -308,34 +336,36 @@
         self.assertIsNone(urgent.status)
 
 
-def build_urgent(world, priority, name):
-    """Serve a request of a workspace with a rank."""
-    known = world.beliefs.configuration
-    workspaces = dict(known.workspaces)
+def serve_with_priority(world, priority, name):
+    """Serve a request of a workspace with a priority."""
+    configuration = world.beliefs.configuration
+    workspaces = dict(configuration.workspaces)
     workspaces[name] = builders.routing.Workspace(name, priority)
-    world.beliefs.configuration = attrs.evolve(known, workspaces=workspaces)
+    world.beliefs.configuration = attrs.evolve(
+        configuration, workspaces=workspaces
+    )
     return world.serve(key=name, id=name)
 
 
 class OutlierTest(unittest.TestCase):
-    """Engines reset what they are sent, and their health is good."""
+    """Engines reset connections while their health checks pass."""
 
     def setUp(self):
         self.world = builders.World()
         self.servers = self.world.servers
 
     def play(self, faulty, seconds=10, per_s=20):
-        """Send requests at a steady rate; returns answers and resets.
+        """Send requests at a steady rate; return replies and resets.
 
-        Engines named in `faulty` reset every run before they answer; others
-        serve it at once.
+        Engines in `faulty` reset every run before they answer; others serve it
+        at once.
         """
-        replies, resets, played = [], 0, 0
+        replies, resets, handled = [], 0, 0
         for number in range(seconds * per_s):
             replies.append(self.world.serve(number=number))
-            while played < len(self.servers.runs):
-                run = self.servers.runs[played]
-                played += 1
+            while handled < len(self.servers.runs):
+                run = self.servers.runs[handled]
+                handled += 1
                 if run.run.server.id in faulty:
                     resets += 1
                     run.end(ports.Ending.BROKEN)
@@ -346,13 +376,13 @@
             self.world.advance(1_000 // per_s)
         return replies, resets
 
-    def test_an_engine_that_resets_all_it_is_sent_is_ejected(self):
-        """Guards against the repeats of a service going to one engine."""
+    def test_engine_that_resets_every_run_is_ejected(self):
+        """Guards against a service's retries being used up by one engine."""
         replies, resets = self.play({'a-0'})
-        self.assertTrue(all(one.body == WHOLE for one in replies))
+        self.assertTrue(all(one.body == ALL_EVENTS for one in replies))
         self.assertLessEqual(resets, 8)
 
-    def test_an_ejected_engine_that_recovers_is_used_again(self):
+    def test_ejected_engine_that_recovers_is_used_again(self):
         self.play({'a-0'}, seconds=3)
         self.world.advance(6_000)
         count = len(self.servers.runs)
@@ -360,32 +390,32 @@
         first = {one.run.server.id for one in self.servers.runs[count:]}
         self.assertIn('a-0', first)
 
-    def test_breaks_of_all_engines_eject_few(self):
-        """Guards against an entry with a faulty link ejecting a fleet."""
+    def test_breaks_of_all_engines_eject_only_few(self):
+        """Guards against ejection of a whole fleet over one faulty link."""
         self.play({'a-0', 'b-0'}, seconds=2)
         now = self.world.clock.now()
         self.assertLess(self.world.beliefs.refusals.count_left_out(now), 4)
 
 
 class SuspicionTest(unittest.TestCase):
-    def test_a_suspicion_ends_when_the_server_starts_anew(self):
+    def test_suspicion_ends_when_the_server_restarts(self):
         world = builders.World()
         world.beliefs.suspect('a-0', 'not_reached', 0)
-        again = attrs.evolve(
+        restarted = attrs.evolve(
             fleet_builders.build_engine('a-0', 'large'), born=2
         )
-        world.add(again)
+        world.add(restarted)
         self.assertEqual({}, world.beliefs.suspects)
 
-    def test_a_lost_engine_is_gone_with_its_entry(self):
-        """Guards against its use once the suspicion has run out."""
+    def test_lost_engine_is_dropped_with_its_record(self):
+        """Guards against requests to it after the suspicion has expired."""
         world = builders.World()
         world.beliefs.suspect('a-1', 'no_report', 0)
         world.beliefs.remove_server('a-1', 100)
         self.assertNotIn('a-1', world.beliefs.servers)
 
-    def test_an_engine_at_an_address_ends_the_one_before_it(self):
-        """Guards against runs for an engine that a newer one replaced."""
+    def test_newer_engine_at_an_address_replaces_the_older_one(self):
+        """Guards against requests to an engine that a newer one replaced."""
         world = builders.World()
         old = world.beliefs.servers['a-1']
         new = attrs.evolve(old, id='a-8', born=old.born + 1, layers=None)
@@ -394,8 +424,8 @@
         world.add(attrs.evolve(old, draining=True))
         self.assertIn('a-8', world.beliefs.servers)
 
-    def test_who_refuses_is_found_on_the_path(self):
-        """Guards against blame for the next engine at an address."""
+    def test_refusing_engine_is_looked_up_on_the_path(self):
+        """Guards against suspicion of the next engine at an address."""
         world = builders.World()
         world.serve()
         run = world.servers.last
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -40,8 +40,8 @@
     'shared-silence': (
         Edit(
             f'{_ROUTING}/detection.py',
-            'if late > LATE_LOOK_MS:\n',
-            'if late >= 0:\n',
+            'if delay_ms > MAX_CHECK_DELAY_MS:\n',
+            'if delay_ms >= 0:\n',
         ),
     ),
     'reading-queue': (
@@ -98,8 +98,8 @@
     'repath': (
         Edit(
             f'{_ROUTING}/repairs.py',
-            'if flight.head is not None or not may_run_again:\n',
-            'if not may_run_again:\n',
+            'if flight.head is not None or not may_retry:\n',
+            'if not may_retry:\n',
         ),
     ),
     'drawn-holders': (
@@ -119,21 +119,23 @@
     'rhythm-of-streams': (
         Edit(
             f'{_ROUTING}/streams.py',
-            'flight.rhythm.mean_ms\n            or self.usual_pause',
-            'self.usual_pause',
+            'flight.event_interval.mean_ms\n'
+            '            or self.event_interval',
+            'self.event_interval',
         ),
     ),
     'losses-told-at-once': (
         Edit(
             f'{_ROUTING}/detection.py',
-            '        self._tell()\n        self.leave_suspects()\n',
+            '        self._announce_suspects()\n'
+            '        self.leave_suspects()\n',
             '        return\n',
         ),
     ),
     'lost-with-the-entry': (
         Edit(
             f'{_ROUTING}/beliefs.py',
-            'if name in self.suspects:\n            # It failed',
+            'if server_id in self.suspects:\n            # It failed',
             'if False:\n            # It failed',
         ),
     ),
