--- a/src/thornspool/domain/entries/__init__.py
+++ b/src/thornspool/domain/entries/__init__.py
@@ -1,1 +1,1 @@
-"""Entries on the platform: who serves, who leads, what they tell."""
+"""Entries of the platform: membership, leadership and state updates."""
--- a/src/thornspool/domain/entries/collectors.py
+++ b/src/thornspool/domain/entries/collectors.py
@@ -1,15 +1,16 @@
-"""Which entry of a failure domain collects its news and follows the store.
-
-With many entries not everybody can tell everybody, and entries that heard
-each other seldom would take sound ones for dead. So one entry of each
-failure domain, the collector, hears all entries of it, adds up what they
-tell, and tells them the sum; collectors tell each other. It also follows the
-store for its domain, so that calls to the store do not grow with the fleet.
-
-Nobody has to agree on it: it is the first entry by name that still speaks
-and that the store answers. A second one gets the same news, so that it can
-take over at once. Entries that differ about it for a moment only know less
-about each other's load.
+"""Selection of the collector of a failure domain.
+
+With many entries a full mesh is too costly, and entries that receive updates
+from each other only rarely would mark healthy peers as unresponsive. One entry
+of each failure domain, the collector, therefore receives the state updates of
+all entries of its domain and sends them the sums; collectors exchange the sums
+of their domains. The collector also follows the store for its domain, so that
+the number of calls to the store does not grow with the fleet.
+
+No agreement is needed: the collector is the first entry by name that is
+responsive and that the store does not reject. A backup receives the same
+updates, so that it can take over at once. While entries choose different
+collectors, they only have less information about each other's load.
 """
 
 from __future__ import annotations
@@ -24,10 +25,10 @@
 
 
 SHUT_OUT_MS = 10_000
-"""Time for which an entry that the store turns away does not collect.
+"""Time for which an entry that the store rejects does not collect.
 
-The store turns single hosts away for several seconds; each return to one of
-them costs its domain a second change of collector.
+The store rejects single hosts for several seconds at a time. Each return to
+such a host costs its failure domain a second change of collector.
 """
 
 
@@ -38,96 +39,100 @@
     Attributes
     ----------
     current : str
-        Its host.
+        Host of the collector.
     backup : str
-        The host that would be next; empty for none.
-    since : int
-        When it became the collector in the eyes of this entry.
+        Host of the next collector; empty for none.
+    chosen_at : int
+        Milliseconds of the clock at which this entry chose the collector.
     """
 
     current: str = ''
     backup: str = ''
-    since: int = 0
-    _silent: dict[str, int] = attrs.field(factory=dict)
-    _shut_out: dict[str, int] = attrs.field(factory=dict)
+    chosen_at: int = 0
+    _unresponsive: dict[str, int] = attrs.field(factory=dict)
+    _rejected: dict[str, int] = attrs.field(factory=dict)
 
     def note_shut_out(self, host: str, until: int) -> None:
-        """Note until when the store's answers to an entry are not awaited."""
-        self._shut_out[host] = until
+        """Record until when an entry counts as rejected by the store."""
+        self._rejected[host] = until
 
     def compute_shut_out(self, host: str, now: int) -> int:
-        """Return for how many milliseconds an entry does not collect."""
-        return max(0, self._shut_out.get(host, now) - now)
+        """Return for how many more milliseconds an entry does not collect."""
+        return max(0, self._rejected.get(host, now) - now)
 
     def count_shut_out(self, now: int) -> int:
-        """Count the entries that do not collect for want of the store."""
-        return sum(until > now for until in self._shut_out.values())
+        """Count the entries that the store rejects."""
+        return sum(until > now for until in self._rejected.values())
 
     def choose(
         self,
         hosts: Sequence[str],
-        own: str,
-        find_heard: Callable[[str], int | None],
+        local: str,
+        find_last_update: Callable[[str], int | None],
         now: int,
-        silence_ms: int,
+        timeout_ms: int,
     ) -> None:
-        """Choose anew.
+        """Choose the collector and its backup.
 
         Parameters
         ----------
         hosts : sequence of str
-            Entries of the failure domain that are registered, this one
-            included.
-        own : str
-            This entry's host.
-        find_heard : callable
-            Tells when one of ``hosts`` was last heard; None for never.
+            Registered entries of the failure domain, this one included.
+        local : str
+            Host of this entry.
+        find_last_update : callable
+            Returns when the last update of one of ``hosts`` was received, in
+            milliseconds of the clock; None for never.
         now : int
             Milliseconds of the clock.
-        silence_ms : int
-            Silence after which a collector is given up.
+        timeout_ms : int
+            Time without an update after which a collector is replaced.
         """
         if self.current not in hosts:
             self.current = ''
-        for host, since in list(self._silent.items()):
-            heard = find_heard(host) if host in hosts else now
-            if heard is not None and heard > since:
-                del self._silent[host]
-        self._note_silence(own, find_heard, now, silence_ms)
-        ordered = self._order(
+        for host, since in list(self._unresponsive.items()):
+            updated_at = find_last_update(host) if host in hosts else now
+            if updated_at is not None and updated_at > since:
+                del self._unresponsive[host]
+        self._check_current(local, find_last_update, now, timeout_ms)
+        ordered = self._sort_rejected_last(
             [
                 host
                 for host in sorted(hosts)
-                if host == own or host not in self._silent
+                if host == local or host not in self._unresponsive
             ],
             now,
         )
         first = ordered[0]
         if first != self.current:
             self.current = first
-            self.since = now
+            self.chosen_at = now
         self.backup = ordered[1] if len(ordered) > 1 else ''
 
-    def _order(self, hosts: list[str], now: int) -> list[str]:
-        """Put the entries that the store turns away behind all others."""
-        self._shut_out = {
+    def _sort_rejected_last(self, hosts: list[str], now: int) -> list[str]:
+        """Sort the entries that the store rejects behind all others."""
+        self._rejected = {
             host: until
-            for host, until in self._shut_out.items()
+            for host, until in self._rejected.items()
             if until > now
         }
-        return sorted(hosts, key=lambda host: self._shut_out.get(host, 0))
+        return sorted(hosts, key=lambda host: self._rejected.get(host, 0))
 
-    def _note_silence(
+    def _check_current(
         self,
-        own: str,
-        find_heard: Callable[[str], int | None],
+        local: str,
+        find_last_update: Callable[[str], int | None],
         now: int,
-        silence_ms: int,
+        timeout_ms: int,
     ) -> None:
-        """Give up the current collector if it no longer speaks."""
-        if self.current in {'', own}:
+        """Mark the current collector as unresponsive after a timeout."""
+        if self.current in {'', local}:
             return
-        heard = find_heard(self.current)
-        last = self.since if heard is None else max(self.since, heard)
-        if now - last > silence_ms:
-            self._silent[self.current] = now
+        updated_at = find_last_update(self.current)
+        last = (
+            self.chosen_at
+            if updated_at is None
+            else max(self.chosen_at, updated_at)
+        )
+        if now - last > timeout_ms:
+            self._unresponsive[self.current] = now
--- a/src/thornspool/domain/entries/leadership.py
+++ b/src/thornspool/domain/entries/leadership.py
@@ -1,9 +1,10 @@
-"""Who gives orders to engines, and when another entry takes over.
+"""Election of the leader, the entry that sends orders to engines.
 
-One entry holds a key under a lease. It may act only while it can tell by
-its own clock, which counts suspended time, that the lease still runs. Others
-take the key over when it is gone, or sooner when they have not heard its
-holder; the write is conditional on the key's revision, so one of them wins.
+The leader holds a key in the store under a lease. It may act only while its
+own clock, which counts suspended time, shows that the lease is still valid.
+Another entry claims the key when it is missing, or earlier when the leader is
+unresponsive; the write is conditional on the key's revision, so that only one
+claim succeeds.
 """
 
 from __future__ import annotations
@@ -18,51 +19,52 @@
     from thornspool.domain.entries import view as view_module
 
 LEASE_MS = 20_000
-"""Length of an entry's registration; two renewals in a row may be lost.
+"""Length of the lease of an entry's registration.
 
-It outlasts the store's usual outages, after which the whole fleet would have
-to register anew at once. That an entry has died shows by its silence, well
-before its lease ends.
+Two renewals in a row may be lost. The lease is longer than the usual outages
+of the store; otherwise the whole fleet would have to register again at once
+after an outage. A dead entry is detected by its missing updates, well before
+its lease expires.
 """
 
 RENEW_MS = 6_000
-"""Interval of renewals, which the store counts, for each entry."""
+"""Interval at which each entry renews its lease; the store counts renewals."""
 
 LEAD_LEASE_MS = 4_000
-"""Length of the lease of the lead, which has one of its own.
+"""Length of the leader's separate lease.
 
-An entry that hears nobody can't tell a dead holder from its own cut links;
-it claims the lead when this has ended.
+An entry that receives no updates can't distinguish a dead leader from a
+failure of its own network links; it claims leadership when this lease has
+expired.
 """
 
 LEAD_RENEW_MS = 1_300
-"""Interval at which the holder renews the lead; two renewals may be lost."""
+"""Interval at which the leader renews its lease; two renewals may be lost."""
 
 ACT_MS = 2_000
-"""Time after the last renewal for which a holder acts.
+"""Time after the last renewal for which the leader may act.
 
-An entry that takes the lead over from a silent holder does so 1.2 s after it
-was last heard at the earliest, and orders under way take some 400 ms.
+An entry takes over from an unresponsive leader 1.2 s after the leader's last
+update at the earliest, and orders in flight take some 400 ms.
 """
 
-TURN_MS = 250
-"""Time by which each next candidate waits longer, so that usually only one
-of them writes."""
+CLAIM_STAGGER_MS = 250
+"""Additional delay of each next candidate, so that usually only one writes."""
 
-TAKEOVER_SILENCE_MS = 1_200
-"""Silence of a holder after which its key is taken over."""
+TAKEOVER_TIMEOUT_MS = 1_200
+"""Time without an update of the leader after which its key is claimed."""
 
 
 @attrs.frozen
 class Holder:
-    """Who holds the key.
+    """The entry that holds the leader key.
 
     Attributes
     ----------
     host, incarnation : str
-        The entry.
+        The entry and its process.
     revision : int
-        Revision at which the key was written.
+        Revision of the store at which the key was written.
     """
 
     host: str
@@ -72,19 +74,19 @@
 
 @attrs.define
 class Leadership:
-    """What an entry knows of the lead.
+    """Local copy of the leader key, and the age of the lease.
 
     Attributes
     ----------
     incarnation : str
         This process.
     holder : Holder or None
-        Who holds the key.
+        The entry that holds the key; None while the key is missing.
     vacant_since : int
-        When it was seen to be free.
+        Milliseconds of the clock at which the key was first seen missing.
     renewed_at : int or None
-        When the last renewal of an own lease that succeeded was sent; the
-        holder renews that of the lead.
+        When the last successful renewal of this entry's lease was sent: of
+        the leader's lease where this entry is the leader.
     """
 
     incarnation: str
@@ -93,21 +95,21 @@
     renewed_at: int | None = None
 
     def take_holder(self, holder: Holder | None, now: int) -> None:
-        """Take the key as it stands in the store."""
+        """Apply the key as read from the store."""
         if holder is None and self.holder is not None:
             self.vacant_since = now
         self.holder = holder
 
     @property
     def is_own(self) -> bool:
-        """Whether this entry holds the key, as far as it knows."""
+        """Whether the local copy shows this entry as the leader."""
         return (
             self.holder is not None
             and self.holder.incarnation == self.incarnation
         )
 
     def may_act(self, now: int) -> bool:
-        """Tell whether this entry holds the lead for sure."""
+        """Tell whether this entry is the leader and its lease is valid."""
         if not self.is_own or self.renewed_at is None:
             return False
         return now - self.renewed_at < ACT_MS
@@ -115,38 +117,39 @@
     def find_claim(
         self, view: view_module.View, candidates: Sequence[str], now: int
     ) -> int | None:
-        """Find whether to claim the lead now.
+        """Find whether to claim leadership now.
 
         Parameters
         ----------
         view : view_module.View
             The other entries.
         candidates : sequence of str
-            Hosts that may claim it, this one included.
+            Hosts that may become the leader, this one included.
         now : int
             Milliseconds of the clock.
 
         Returns
         -------
         int or None
-            Revision that the key must have, 0 for none; None for no claim.
+            Revision that the key must have, 0 for a missing key; None for no
+            claim.
         """
         if self.renewed_at is None or now - self.renewed_at > LEASE_MS:
             return None
-        turn = sorted(candidates).index(view.own.host) * TURN_MS
+        delay = sorted(candidates).index(view.own.host) * CLAIM_STAGGER_MS
         if self.holder is None:
-            return 0 if now - self.vacant_since >= turn else None
+            return 0 if now - self.vacant_since >= delay else None
         if self.is_own:
             return None
         if self.holder.host == view.own.host:
-            # An earlier process of this host, which is gone.
+            # An earlier process of this host, which has ended.
             return self.holder.revision
         peer = view.peers.get(self.holder.host)
         if peer is None or peer.record.incarnation != self.holder.incarnation:
             return self.holder.revision
-        silence = view.compute_silence(peer, now)
-        if silence is None or view.is_isolated(now):
+        update_age = view.compute_update_age(peer, now)
+        if update_age is None or view.is_isolated(now):
             return None
-        if silence < TAKEOVER_SILENCE_MS + turn:
+        if update_age < TAKEOVER_TIMEOUT_MS + delay:
             return None
         return self.holder.revision
--- a/src/thornspool/domain/entries/messages.py
+++ b/src/thornspool/domain/entries/messages.py
@@ -1,4 +1,4 @@
-"""What entries leave in the store and tell each other."""
+"""Records of entries in the store, and state updates between entries."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class State(enum.Enum):
-    """What callers may expect of an entry."""
+    """State of an entry towards callers."""
 
     STARTING = 'starting'
     SERVING = 'serving'
@@ -16,30 +16,30 @@
 
 
 class Scope(enum.Enum):
-    """Whose amounts news tell."""
+    """Entries whose amounts a state update sums."""
 
     ENTRY = 'entry'
-    """The sender's own."""
+    """The sender alone."""
 
     DOMAIN = 'domain'
-    """Those of all entries of the sender's failure domain."""
+    """All entries of the sender's failure domain."""
 
     REST = 'rest'
-    """Those of all entries but the receiver."""
+    """All entries except the receiver."""
 
 
 @attrs.frozen
 class Record:
-    """An entry as it registered itself.
+    """Registration of an entry in the store.
 
     Attributes
     ----------
     host : str
-        Its host.
+        Host of the entry.
     incarnation : str
-        Names this process.
+        Identifies the process.
     failure_domain : str
-        Where it stands.
+        Failure domain of the host.
     callers : str
         ``ip:port`` for callers.
     peers : str
@@ -55,44 +55,46 @@
 
 @attrs.frozen
 class News:
-    """What an entry tells a peer, several times a second.
+    """State update that an entry sends to a peer several times a second.
 
     Attributes
     ----------
     host, incarnation : str
-        Who tells it.
+        Sender and its process.
     state : State
-        What callers may expect of it.
+        Sender's state towards callers.
     stamp : int
-        Its clock when it was told, in milliseconds.
+        Sender's clock at the time of sending, in milliseconds.
     heard_stamp : int
-        Last stamp that it had heard from the receiver; 0 for none.
+        Last stamp that the sender had received from the receiver; 0 for
+        none.
     revision : int
-        Revision of the store that its copy has reached.
+        Revision of the store that the sender's copy has reached.
     proof_age_ms : int
-        Age of the proof that its copy is current; negative for none.
+        Age of the sender's copy of the store, in milliseconds; negative where
+        the store has not confirmed the copy yet.
     taken : dict of int to float
-        Token-layers that requests hold, by the mark of the engine.
+        Token-layers that requests reserve, by server hash of the engine.
     work : dict of int to float
-        Requests and repeats of services in the last window, by mark.
+        Requests and retries of services in the last window, by hash.
     suspects : tuple of str
-        Servers that it has seen fail just now.
+        Servers that the sender has just seen fail.
     scope : Scope
-        Whose requests ``taken`` and ``work`` count.
+        Entries whose requests ``taken`` and ``work`` count.
     absent : tuple of str
         Hosts in the scope that are registered and do not serve.
     slow : dict of int to float
-        Paces of slow engines, by mark.
+        Slowdown factors of slow engines, by server hash.
     refusing : tuple of int
-        Marks of engines that have just refused work.
+        Hashes of engines that have just refused a request.
     breaking : tuple of int
-        Marks of engines that have just broken a run of the sender.
+        Hashes of engines that have just broken a run of the sender.
     moving : dict of int to tuple of int
-        First layer and end of what engines keep that give up others, by
-        mark.
+        Retained ranges (first layer and end) of engines that release layers,
+        by server hash.
     shut_out_ms : int
-        Time for which the sender should not collect, as the store turns it
-        away; 0 for an entry that may.
+        Milliseconds for which the sender should not collect, as the store
+        rejects it; 0 for an entry that may collect.
     """
 
     host: str
--- a/src/thornspool/domain/entries/totals.py
+++ b/src/thornspool/domain/entries/totals.py
@@ -1,4 +1,4 @@
-"""What all other entries have taken or sent, from what each of them tells."""
+"""Sums of the amounts that the other entries report."""
 
 from __future__ import annotations
 
@@ -12,58 +12,59 @@
     from collections.abc import Iterable
 
 Amounts = dict[int, float]
-"""Amounts by mark: token-layers of engines, or requests of services."""
+"""Amounts by hash: token-layers of engines, or requests of services."""
 
-TOLD_MS = 3_000
-"""Time for which a sum counts; most of what it counts has ended by then."""
+REPORT_VALID_MS = 3_000
+"""Time for which a report counts; most requests in it have ended by then."""
 
 
 @attrs.frozen
-class Told:
-    """What was told, and when."""
+class Report:
+    """Reported amounts, and the time at which they were received."""
 
-    at: int
+    received_at: int
     amounts: Amounts
 
 
 def add_up(parts: Iterable[Amounts]) -> Amounts:
-    """Add amounts by mark."""
+    """Sum amounts by hash."""
     sums: Amounts = {}
     for amounts in parts:
-        for mark, amount in amounts.items():
-            sums[mark] = sums.get(mark, 0.0) + amount
+        for key, amount in amounts.items():
+            sums[key] = sums.get(key, 0.0) + amount
     return sums
 
 
 def subtract(whole: Amounts, part: Amounts) -> Amounts:
-    """Take a part out of a sum that has it."""
-    left = dict(whole)
-    for mark, amount in part.items():
-        rest = left.get(mark, 0.0) - amount
+    """Subtract one part from the sum that includes it."""
+    remaining = dict(whole)
+    for key, amount in part.items():
+        rest = remaining.get(key, 0.0) - amount
         if rest > 0:
-            left[mark] = rest
+            remaining[key] = rest
         else:
-            left.pop(mark, None)
-    return left
+            remaining.pop(key, None)
+    return remaining
 
 
 @attrs.define
 class Totals:
-    """Amounts by who told them.
+    """Reported amounts by scope of the report.
 
     Attributes
     ----------
-    entries : dict of str to Told
-        What single entries have taken, by host.
-    domains : dict of str to Told
-        What whole failure domains have taken, as their collectors told.
-    rest : Told or None
-        What everybody but this entry has taken, as its collector told.
+    entries : dict of str to Report
+        Amounts of single entries, by host.
+    domains : dict of str to Report
+        Amounts of whole failure domains, as their collectors reported them.
+    rest : Report or None
+        Amounts of all entries except this one, as its collector reported
+        them.
     """
 
-    entries: dict[str, Told] = attrs.field(factory=dict)
-    domains: dict[str, Told] = attrs.field(factory=dict)
-    rest: Told | None = None
+    entries: dict[str, Report] = attrs.field(factory=dict)
+    domains: dict[str, Report] = attrs.field(factory=dict)
+    rest: Report | None = None
 
     def note(
         self,
@@ -72,38 +73,51 @@
         amounts: Amounts,
         now: int,
     ) -> None:
-        """Note amounts that news tell; ``domain`` is that of their sender."""
-        told = Told(now, amounts)
+        """Record the amounts of a state update.
+
+        Parameters
+        ----------
+        news : messages.News
+            The state update.
+        domain : str
+            Failure domain of its sender.
+        amounts : Amounts
+            Amounts by hash.
+        now : int
+            Milliseconds of the clock.
+        """
+        report = Report(now, amounts)
         if news.scope is messages.Scope.ENTRY:
-            self.entries[news.host] = told
+            self.entries[news.host] = report
         elif news.scope is messages.Scope.DOMAIN:
-            self.domains[domain] = told
+            self.domains[domain] = report
         else:
-            self.rest = told
+            self.rest = report
 
     def forget(self, host: str) -> None:
-        """Forget what an entry that ended had taken."""
+        """Remove the amounts of an entry that has ended."""
         self.entries.pop(host, None)
 
     def sum_entries(self, hosts: Iterable[str], now: int) -> Amounts:
-        """Add up what some entries have taken."""
-        told = (self.entries.get(host) for host in hosts)
+        """Sum the amounts of some entries."""
+        reports = (self.entries.get(host) for host in hosts)
         return add_up(
             one.amounts
-            for one in told
-            if one is not None and now - one.at <= TOLD_MS
+            for one in reports
+            if one is not None and now - one.received_at <= REPORT_VALID_MS
         )
 
-    def sum_domains(self, own_domain: str, now: int) -> Amounts:
-        """Add up what the other failure domains have taken."""
+    def sum_domains(self, local_domain: str, now: int) -> Amounts:
+        """Sum the amounts of the other failure domains."""
         return add_up(
-            told.amounts
-            for domain, told in self.domains.items()
-            if domain != own_domain and now - told.at <= TOLD_MS
+            report.amounts
+            for domain, report in self.domains.items()
+            if domain != local_domain
+            and now - report.received_at <= REPORT_VALID_MS
         )
 
     def read_rest(self, now: int) -> Amounts:
-        """Return what the collector told last, unless that is old."""
-        if self.rest is None or now - self.rest.at > TOLD_MS:
+        """Return the collector's last report; empty when it is outdated."""
+        if self.rest is None or now - self.rest.received_at > REPORT_VALID_MS:
             return {}
         return self.rest.amounts
--- a/src/thornspool/domain/entries/view.py
+++ b/src/thornspool/domain/entries/view.py
@@ -1,4 +1,4 @@
-"""Which entries serve, from the store's list and from what peers tell."""
+"""View of the other entries, from the store's list and from state updates."""
 
 from __future__ import annotations
 
@@ -12,36 +12,42 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Iterable
 
-SILENCE_MS = 900
-"""Silence after which a peer is left out of lookups.
+MESH_TIMEOUT_MS = 900
+"""Time without an update after which a peer is excluded from lookups.
 
-Peers tell news every 200 ms; datagrams are lost now and then, and four in a
-row are not.
+Peers send an update every 200 ms. Single datagrams are lost occasionally, but
+not four in a row.
 """
 
-GROUP_SILENCE_MS = 1_400
-"""The same in a fleet with collectors, who hear an entry every 400 ms."""
+COLLECTOR_TIMEOUT_MS = 1_400
+"""The same in a fleet with collectors, which receive updates every 400 ms."""
 
 MESH_LIMIT = 12
-"""Entries up to which each one tells all others; what each sends grows with
-their number."""
+"""Number of entries up to which each one sends its updates to all others.
 
-ABSENT_MS = 2_000
-"""Time for which an entry counts as absent after a collector said so."""
+The traffic of each entry in such a mesh grows with the number of entries.
+"""
+
+ABSENCE_VALID_MS = 2_000
+"""Time for which an absence that a collector reports is valid."""
 
-DOMAIN_SILENCE_MS = 3_000
-"""Silence of all collectors of a failure domain after which its entries count
-as gone; a collector that died has a successor within two seconds.
+DOMAIN_TIMEOUT_MS = 3_000
+"""Time without an update of any collector of a failure domain after which the
+entries of the domain count as dead.
 
-Their registrations outlive them by up to a lease.
+A dead collector is replaced within two seconds. The registrations of dead
+entries remain in the store for up to the length of a lease.
 """
 
-JOINING_MS = 1_500
-"""Time for which an entry in the store's list counts before it was heard."""
+JOIN_GRACE_MS = 1_500
+"""Time for which a listed entry counts as alive before its first update."""
+
+MIN_LOCAL_ADDRESSES = 2
+"""Minimum number of addresses of the caller's failure domain; with fewer,
+those of other domains are added.
 
-FEW_ADDRESSES = 2
-"""Least addresses that a caller is given where more are to be had; with one
-alone he has nowhere to go when it dies."""
+A caller with a single address has no alternative when that entry dies.
+"""
 
 
 @attrs.define
@@ -51,28 +57,30 @@
     Attributes
     ----------
     record : messages.Record
-        As it registered itself.
+        Its registration.
     listed_at : int
-        When it was first seen in the list.
+        When the registration was first seen in the store's list.
     heard_at : int or None
-        When it was last heard.
+        When its last update was received.
     heard_stamp : int
-        Its clock at that time, as it told it.
+        Latest stamp of its clock in an update.
+    confirmed_at : int or None
+        When its copy of the store was last confirmed to be current.
     state : messages.State
-        What it told last.
+        State in its last update.
     """
 
     record: messages.Record
     listed_at: int
     heard_at: int | None = None
     heard_stamp: int = 0
-    proof_at: int | None = None
+    confirmed_at: int | None = None
     state: messages.State = messages.State.SERVING
 
 
 @attrs.define
 class Absence:
-    """What collectors said of an entry that does not serve."""
+    """Absence of an entry, as reported by collectors."""
 
     since: int
     until: int
@@ -85,15 +93,15 @@
     Attributes
     ----------
     own : messages.Record
-        This entry.
+        Registration of this entry.
     peers : dict of str to Peer
-        The others.
+        The other entries.
     choice : collectors.Choice
-        The collector of the own failure domain.
+        The collector of the local failure domain.
     absent : dict of str to Absence
-        Entries that a collector does not hear, or that do not serve.
+        Entries that a collector reports as unresponsive or not serving.
     heard_at : int
-        When any peer was last heard.
+        When the last update of any peer was received.
     """
 
     own: messages.Record
@@ -101,10 +109,10 @@
     choice: collectors.Choice = attrs.field(factory=collectors.Choice)
     absent: dict[str, Absence] = attrs.field(factory=dict)
     heard_at: int = 0
-    _domains_heard: dict[str, int] = attrs.field(factory=dict)
+    _domain_updates: dict[str, int] = attrs.field(factory=dict)
 
     def take_record(self, record: messages.Record, now: int) -> None:
-        """Take an entry of the store's list."""
+        """Apply a registration of the store's list."""
         if record.host == self.own.host:
             return
         known = self.peers.get(record.host)
@@ -112,13 +120,13 @@
             self.peers[record.host] = Peer(record, now)
 
     def remove(self, host: str) -> None:
-        """Note that an entry's registration is gone."""
+        """Remove an entry whose registration no longer exists."""
         self.peers.pop(host, None)
         self.absent.pop(host, None)
 
     @property
     def is_mesh(self) -> bool:
-        """Whether the fleet is small enough for all to tell all."""
+        """Whether the fleet is small enough for updates from all to all."""
         return len(self.peers) < MESH_LIMIT
 
     @property
@@ -128,14 +136,14 @@
 
     @property
     def silence_ms(self) -> int:
-        """Silence after which a peer that should be heard counts as gone."""
-        return SILENCE_MS if self.is_mesh else GROUP_SILENCE_MS
+        """Time in milliseconds after which a peer counts as unresponsive."""
+        return MESH_TIMEOUT_MS if self.is_mesh else COLLECTOR_TIMEOUT_MS
 
     def choose_collector(self, now: int) -> None:
-        """Choose the collector of the own failure domain anew."""
-        near = [one.record.host for one in self.list_near()]
+        """Choose the collector of the local failure domain."""
+        peers = [one.record.host for one in self.list_near()]
         self.choice.choose(
-            [*near, self.own.host],
+            [*peers, self.own.host],
             self.own.host,
             lambda host: self.peers[host].heard_at,
             now,
@@ -143,7 +151,7 @@
         )
 
     def list_near(self) -> list[Peer]:
-        """List the other entries of the own failure domain."""
+        """List the other entries of the local failure domain."""
         return self.list_domain(self.own.failure_domain)
 
     def list_domain(self, domain: str) -> list[Peer]:
@@ -164,125 +172,140 @@
         )
 
     def note_absent(
-        self, teller: messages.Record, news: messages.News, now: int
+        self, collector: messages.Record, news: messages.News, now: int
     ) -> None:
-        """Note which entries a collector does not hear.
+        """Record which entries a collector reports as absent.
+
+        The collector lists all absent entries of its scope; every other entry
+        in the scope serves.
 
-        It told of all entries of its scope; those that it left out serve.
+        Parameters
+        ----------
+        collector : messages.Record
+            The collector.
+        news : messages.News
+            Its state update.
+        now : int
+            Milliseconds of the clock.
         """
-        self._domains_heard[teller.failure_domain] = now
-        told = set(news.absent)
-        for host in told:
+        self._domain_updates[collector.failure_domain] = now
+        reported = set(news.absent)
+        for host in reported:
             known = self.absent.get(host)
             since = now if known is None or known.until < now else known.since
-            self.absent[host] = Absence(since, now + ABSENT_MS)
-        for host in [one for one in self.absent if one not in told]:
+            self.absent[host] = Absence(since, now + ABSENCE_VALID_MS)
+        for host in [one for one in self.absent if one not in reported]:
             peer = self.peers.get(host)
             inside = news.scope is messages.Scope.REST or (
                 peer is not None
-                and peer.record.failure_domain == teller.failure_domain
+                and peer.record.failure_domain == collector.failure_domain
             )
             if inside:
                 del self.absent[host]
         for peer in self.peers.values():
-            self._note_present(peer, teller, news)
+            self._mark_present(peer, collector, news)
 
-    def _note_present(
-        self, peer: Peer, teller: messages.Record, news: messages.News
+    def _mark_present(
+        self, peer: Peer, collector: messages.Record, news: messages.News
     ) -> None:
-        """Note that an entry serves that a collector has not left out.
+        """Mark a starting entry as serving where a collector confirms it.
 
-        An entry tells the others only once that it serves again. Where that
-        datagram was lost, callers were not led there until it restarted.
+        An entry announces only once that it serves again. When that datagram
+        was lost, callers were not directed to the entry until it restarted.
         """
         inside = (
-            peer.record.host != teller.host
+            peer.record.host != collector.host
             and peer.record.host not in news.absent
             and (
                 news.scope is messages.Scope.REST
-                or peer.record.failure_domain == teller.failure_domain
+                or peer.record.failure_domain == collector.failure_domain
             )
         )
         if inside and peer.state is messages.State.STARTING:
             peer.state = messages.State.SERVING
 
     def take_news(self, news: messages.News, now: int) -> Peer | None:
-        """Note that a peer was heard; None for one that is not listed."""
+        """Apply a state update; return None for a sender that isn't listed."""
         peer = self.peers.get(news.host)
         if peer is None or peer.record.incarnation != news.incarnation:
             return None
-        if self._is_deaf(now):
-            # It was cut off itself: the others were not silent meanwhile.
-            self.choice.since = now
+        if self._lacks_updates(now):
+            # This entry was isolated; the missing updates are no sign that
+            # its collector failed.
+            self.choice.chosen_at = now
         self.heard_at = now
         peer.heard_at = now
         if news.shut_out_ms > 0:
             self.choice.note_shut_out(news.host, now + news.shut_out_ms)
         peer.heard_stamp = max(peer.heard_stamp, news.stamp)
         peer.state = news.state
-        peer.proof_at = None
+        peer.confirmed_at = None
         if news.proof_age_ms >= 0:
-            peer.proof_at = now - news.proof_age_ms
+            peer.confirmed_at = now - news.proof_age_ms
         return peer
 
     def is_alive(self, peer: Peer, now: int) -> bool:
-        """Tell whether a peer is believed to run."""
-        if self._should_hear(peer):
-            return self._is_heard(peer, now)
-        if self._is_domain_silent(peer, now):
+        """Tell whether a peer counts as alive."""
+        if self._is_direct_sender(peer):
+            return self._is_responsive(peer, now)
+        if self._is_domain_unresponsive(peer, now):
             return False
         absence = self.absent.get(peer.record.host)
-        # Its lease in the store still runs, and nobody says otherwise.
+        # Its lease is valid, and no collector reports it as absent.
         return absence is None or absence.until < now
 
-    def _is_domain_silent(self, peer: Peer, now: int) -> bool:
-        """Tell whether nobody of a peer's failure domain is heard.
+    def _is_domain_unresponsive(self, peer: Peer, now: int) -> bool:
+        """Tell whether no entry of a peer's failure domain sends updates.
 
-        Collectors hear each other, and tell their entries who is absent.
+        Collectors send their updates to each other, and report absent entries
+        to the entries of their own domains.
         """
         domain = peer.record.failure_domain
         if not self.collects or domain == self.own.failure_domain:
             return False
-        if self._can_not_tell(now):
+        if self._is_detection_paused(now):
             return False
         last = max(
-            self._domains_heard.get(domain, 0),
-            self.choice.since,
+            self._domain_updates.get(domain, 0),
+            self.choice.chosen_at,
             peer.listed_at,
         )
-        return now - last > DOMAIN_SILENCE_MS
+        return now - last > DOMAIN_TIMEOUT_MS
 
-    def _should_hear(self, peer: Peer) -> bool:
-        """Tell whether a peer that runs tells this entry news."""
+    def _is_direct_sender(self, peer: Peer) -> bool:
+        """Tell whether a live peer sends its updates to this entry."""
         if self.is_mesh:
             return True
         if peer.record.failure_domain != self.own.failure_domain:
             return False
         return self.collects or peer.record.host == self.choice.current
 
-    def _is_heard(self, peer: Peer, now: int) -> bool:
-        if not self.is_mesh and self._can_not_tell(now):
+    def _is_responsive(self, peer: Peer, now: int) -> bool:
+        if not self.is_mesh and self._is_detection_paused(now):
             return True
         if peer.heard_at is None:
-            return now - peer.listed_at <= JOINING_MS
+            return now - peer.listed_at <= JOIN_GRACE_MS
         return now - peer.heard_at <= self.silence_ms
 
-    def _can_not_tell(self, now: int) -> bool:
-        """Tell whether silence proves nothing yet.
+    def _is_detection_paused(self, now: int) -> bool:
+        """Tell whether a missing update is not yet a sign of a failure.
 
-        Those that told another collector before are yet to turn to this
-        one; and an entry that hears nobody at all is cut off itself. One
-        that had been cut off for 8 s told the whole fleet that all entries
-        of its failure domain were absent.
+        After a change of collector, entries need time to send their updates
+        to the new one. An isolated entry can't judge its peers: one that had
+        been isolated for 8 s reported to the whole fleet that all entries of
+        its failure domain were absent.
         """
-        return now - self.choice.since <= JOINING_MS or self._is_deaf(now)
+        return (
+            now - self.choice.chosen_at <= JOIN_GRACE_MS
+            or self._lacks_updates(now)
+        )
 
-    def _is_deaf(self, now: int) -> bool:
+    def _lacks_updates(self, now: int) -> bool:
         return now - self.heard_at > self.silence_ms
 
-    def compute_silence(self, peer: Peer, now: int) -> int | None:
-        """Return how long a peer has not been heard; None for unknown."""
-        if self._should_hear(peer):
+    def compute_update_age(self, peer: Peer, now: int) -> int | None:
+        """Return the time since a peer's last update; None for unknown."""
+        if self._is_direct_sender(peer):
             return None if peer.heard_at is None else now - peer.heard_at
         absence = self.absent.get(peer.record.host)
         if absence is None or absence.until < now:
@@ -290,7 +313,7 @@
         return now - absence.since + self.silence_ms
 
     def is_isolated(self, now: int) -> bool:
-        """Tell whether no peer at all is heard, though there are some."""
+        """Tell whether there are peers, and none of them counts as alive."""
         return bool(self.peers) and not any(
             self.is_alive(one, now) for one in self.peers.values()
         )
@@ -301,30 +324,31 @@
         Parameters
         ----------
         bound_ms : float
-            Age of a proof up to which a copy is current.
+            Age in milliseconds up to which a copy is current.
         now : int
-            Milliseconds.
+            Milliseconds of the clock.
 
         Returns
         -------
         bool
-            True also where there are others, and none of them is heard.
+            True also where there are peers, and all of them are
+            unresponsive.
         """
-        heard = [
+        responsive = [
             one
             for one in self.peers.values()
             if one.heard_at is not None
             and now - one.heard_at <= self.silence_ms
         ]
-        if not heard:
+        if not responsive:
             return bool(self.peers)
         return any(
-            one.proof_at is not None and now - one.proof_at <= bound_ms
-            for one in heard
+            one.confirmed_at is not None and now - one.confirmed_at <= bound_ms
+            for one in responsive
         )
 
     def list_serving(self, now: int) -> list[messages.Record]:
-        """List the other entries that callers may use."""
+        """List the other entries to which callers may send requests."""
         return [
             one.record
             for one in self.peers.values()
@@ -332,10 +356,10 @@
         ]
 
     def count_entries(self) -> int:
-        """Count the entries that run, this one included.
+        """Count the registered entries, this one included.
 
-        Shares of what all entries may use are computed from it, so entries
-        that may be running are counted in.
+        Shares of fleet-wide limits are computed from this number, so entries
+        that may still be running are included.
         """
         return 1 + len(self.peers)
 
@@ -343,13 +367,28 @@
 def choose_addresses(
     serving: Iterable[messages.Record], domain: str, limit: int
 ) -> tuple[str, ...]:
-    """Choose the addresses that a caller is given.
+    """Choose the addresses that are returned to a caller.
 
-    Those of his own failure domain; others as well where it has too few.
+    The addresses of the caller's failure domain; those of other domains as
+    well where it has too few.
+
+    Parameters
+    ----------
+    serving : iterable of messages.Record
+        Entries that serve.
+    domain : str
+        Failure domain of the caller.
+    limit : int
+        Maximum number of addresses.
+
+    Returns
+    -------
+    tuple of str
+        ``ip:port`` of entries, those of the caller's domain first.
     """
     ordered = sorted(
         serving, key=lambda one: (one.failure_domain != domain, one.host)
     )
-    near = [one for one in ordered if one.failure_domain == domain]
-    chosen = near if len(near) >= FEW_ADDRESSES else ordered
+    local = [one for one in ordered if one.failure_domain == domain]
+    chosen = local if len(local) >= MIN_LOCAL_ADDRESSES else ordered
     return tuple(one.callers for one in chosen[:limit])
--- a/src/thornspool/domain/freshness/__init__.py
+++ b/src/thornspool/domain/freshness/__init__.py
@@ -1,1 +1,1 @@
-"""How old a belief may be, and what proves its age."""
+"""Freshness of the local copy of the store."""
--- a/src/thornspool/domain/freshness/proofs.py
+++ b/src/thornspool/domain/freshness/proofs.py
@@ -1,11 +1,11 @@
-"""Proof of how current the local copy of the store is.
-
-A key that operators withdrew must stop working within a bound also on a
-host that the store has stopped talking to. Such a host can't be told, so it
-may act on its copy only while something proves that the copy was current a
-short while ago: an answer of the store, dated at the moment at which its
-call was sent, or a peer's proof of the same revision, dated at the moment
-at which that peer had last heard a stamp of ours.
+"""Freshness of the local copy of the store.
+
+A withdrawn key must stop working within a bound, also on a host that receives
+nothing more from the store. As such a host can't be notified, it may act on
+its copy only while the copy has recently been confirmed to be current: by an
+answer of the store, dated at the sending of its call, or by a peer whose copy
+has the same revision, dated at the last stamp of this entry that the peer had
+received.
 """
 
 from __future__ import annotations
@@ -15,37 +15,44 @@
 KEY_AGE_SHARE = 0.85
 """Share of the bound for withdrawn keys after which keyed requests stop.
 
-The bound runs from the store's acknowledgement to the moment at which a
-request is sent, and the proof is dated at its sending, so 1.0 would be safe
-with clocks that run alike; the rest covers timers and clocks that drift.
+The bound runs from the store's acknowledgement to the sending of a request,
+and a confirmation is dated at the sending of its call, so 1.0 would be safe
+with clocks that run at the same rate. The remainder covers late timers and
+clock drift.
 """
 
 
 @attrs.define
 class Proof:
-    """When the copy was last known to be current.
+    """Time at which the copy was last confirmed to be current.
 
     Attributes
     ----------
     current_at : int or None
         Milliseconds of the clock that counts suspended time; None before
-        the first proof.
+        the first confirmation.
     """
 
     current_at: int | None = None
 
     def renew(self, at: int) -> None:
-        """Note that the copy held everything acknowledged before a time."""
+        """Confirm that the copy holds everything acknowledged before a time.
+
+        Parameters
+        ----------
+        at : int
+            Milliseconds of the clock; a time before the last one is ignored.
+        """
         if self.current_at is None or at > self.current_at:
             self.current_at = at
 
     def compute_age(self, now: int) -> int | None:
-        """Return the age in milliseconds; None without any proof."""
+        """Return the age in milliseconds; None before a confirmation."""
         if self.current_at is None:
             return None
         return max(0, now - self.current_at)
 
     def is_within(self, bound_ms: float, now: int) -> bool:
-        """Tell whether the copy is proved to be younger than a bound."""
+        """Tell whether the age of the copy is within a bound."""
         age = self.compute_age(now)
         return age is not None and age <= bound_ms
--- a/tests/domain/entries/__init__.py
+++ b/tests/domain/entries/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package domain entries."""
+"""Tests of ``thornspool.domain.entries``."""
--- a/tests/domain/entries/test_leadership.py
+++ b/tests/domain/entries/test_leadership.py
@@ -1,4 +1,4 @@
-"""Tests of who leads and who else is an entry."""
+"""Tests of the leader election and of the view of the other entries."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     )
 
 
-def build_news(host, state=messages.State.SERVING, **changes):
+def build_update(host, state=messages.State.SERVING, **changes):
     values = {
         'host': host,
         'incarnation': f'{host}-1',
@@ -35,59 +35,61 @@
     def setUp(self):
         self.view = view_module.View(build_record('one'))
         self.view.take_record(build_record('two'), 0)
-        self.lead = leadership.Leadership('one-1')
-        self.lead.renewed_at = 0
+        self.leadership = leadership.Leadership('one-1')
+        self.leadership.renewed_at = 0
 
     def find(self, now, candidates=('one', 'two')):
-        return self.lead.find_claim(self.view, candidates, now)
+        return self.leadership.find_claim(self.view, candidates, now)
 
-    def test_claims_a_free_key_in_its_turn(self):
+    def test_claims_a_missing_key_after_its_delay(self):
         self.assertEqual(0, self.find(0))
         self.assertIsNone(self.find(0, ('a-first', 'one')))
-        self.assertEqual(0, self.find(leadership.TURN_MS, ('a-first', 'one')))
+        self.assertEqual(
+            0, self.find(leadership.CLAIM_STAGGER_MS, ('a-first', 'one'))
+        )
 
-    def test_claims_nothing_without_a_lease(self):
-        self.lead.renewed_at = None
+    def test_claims_nothing_without_a_valid_lease(self):
+        self.leadership.renewed_at = None
         self.assertIsNone(self.find(0))
 
-    def test_leaves_a_holder_alone_that_is_heard(self):
-        self.lead.take_holder(leadership.Holder('two', 'two-1', 7), 0)
-        self.view.take_news(build_news('two'), 100)
+    def test_does_not_replace_a_responsive_leader(self):
+        self.leadership.take_holder(leadership.Holder('two', 'two-1', 7), 0)
+        self.view.take_news(build_update('two'), 100)
         self.assertIsNone(self.find(200))
 
-    def test_takes_over_from_a_holder_that_went_silent(self):
-        """The entry that gives orders dies."""
+    def test_takes_over_from_an_unresponsive_leader(self):
+        """The leader dies while other entries still send updates."""
         self.view.take_record(build_record('three'), 0)
-        self.lead.take_holder(leadership.Holder('two', 'two-1', 7), 0)
-        self.view.take_news(build_news('two'), 100)
-        self.view.take_news(build_news('three'), 1_300)
-        self.lead.renewed_at = 1_300
+        self.leadership.take_holder(leadership.Holder('two', 'two-1', 7), 0)
+        self.view.take_news(build_update('two'), 100)
+        self.view.take_news(build_update('three'), 1_300)
+        self.leadership.renewed_at = 1_300
         self.assertEqual(7, self.find(1_400, ('one', 'three')))
 
-    def test_an_isolated_entry_takes_nothing_over(self):
-        """An entry is cut off from all others, and hears nobody."""
-        self.lead.take_holder(leadership.Holder('two', 'two-1', 7), 0)
-        self.view.take_news(build_news('two'), 100)
-        self.lead.renewed_at = 5_000
+    def test_an_isolated_entry_claims_nothing(self):
+        """The network links of an entry to all others fail."""
+        self.leadership.take_holder(leadership.Holder('two', 'two-1', 7), 0)
+        self.view.take_news(build_update('two'), 100)
+        self.leadership.renewed_at = 5_000
         self.assertIsNone(self.find(5_000))
 
-    def test_stops_to_act_before_its_lease_ends(self):
-        """A host stands still and wakes after its lease has ended."""
-        self.lead.take_holder(leadership.Holder('one', 'one-1', 7), 0)
-        self.assertTrue(self.lead.may_act(100))
-        self.assertFalse(self.lead.may_act(leadership.LEAD_LEASE_MS))
+    def test_stops_acting_before_its_lease_expires(self):
+        """A host is suspended and resumes after its lease has expired."""
+        self.leadership.take_holder(leadership.Holder('one', 'one-1', 7), 0)
+        self.assertTrue(self.leadership.may_act(100))
+        self.assertFalse(self.leadership.may_act(leadership.LEAD_LEASE_MS))
 
     def test_two_renewals_in_a_row_may_be_lost(self):
-        """A lease that ended made its host register anew."""
+        """An expired lease forces its host to register again."""
         for length, interval in (
             (leadership.LEASE_MS, leadership.RENEW_MS),
             (leadership.LEAD_LEASE_MS, leadership.LEAD_RENEW_MS),
         ):
             self.assertGreaterEqual(length - 3 * interval, 100)
 
-    def test_takes_back_what_an_earlier_process_held(self):
-        self.lead.take_holder(leadership.Holder('one', 'one-0', 7), 0)
-        self.assertFalse(self.lead.may_act(0))
+    def test_claims_the_key_of_an_earlier_process_of_its_host(self):
+        self.leadership.take_holder(leadership.Holder('one', 'one-0', 7), 0)
+        self.assertFalse(self.leadership.may_act(0))
         self.assertEqual(7, self.find(0))
 
 
@@ -95,26 +97,26 @@
     def setUp(self):
         self.view = view_module.View(build_record('own'))
 
-    def test_a_peer_counts_when_it_joins_and_while_it_is_heard(self):
+    def test_a_peer_serves_when_it_joins_and_while_it_sends_updates(self):
         self.view.take_record(build_record('two'), 0)
         self.assertEqual(1, len(self.view.list_serving(1_000)))
         self.assertEqual([], self.view.list_serving(2_000))
-        self.view.take_news(build_news('two'), 2_100)
+        self.view.take_news(build_update('two'), 2_100)
         self.assertEqual(1, len(self.view.list_serving(2_500)))
         self.assertEqual([], self.view.list_serving(3_200))
 
-    def test_a_peer_that_leaves_is_not_named(self):
-        """A host is stopped for an update."""
+    def test_a_leaving_peer_is_not_listed(self):
+        """A host is stopped for a software update."""
         self.view.take_record(build_record('two'), 0)
-        self.view.take_news(build_news('two', messages.State.LEAVING), 100)
+        self.view.take_news(build_update('two', messages.State.LEAVING), 100)
         self.assertEqual([], self.view.list_serving(150))
 
-    def test_news_of_an_earlier_process_is_ignored(self):
+    def test_an_update_of_an_earlier_process_is_ignored(self):
         self.view.take_record(build_record('two'), 0)
-        news = build_news('two', incarnation='two-0')
-        self.assertIsNone(self.view.take_news(news, 10))
+        update = build_update('two', incarnation='two-0')
+        self.assertIsNone(self.view.take_news(update, 10))
 
-    def test_names_the_callers_own_domain_first(self):
+    def test_lists_the_addresses_of_the_callers_domain_first(self):
         records = [
             build_record('one', 'a'),
             build_record('two', 'a'),
--- a/tests/domain/fleet/__init__.py
+++ b/tests/domain/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package domain fleet."""
+"""Tests of ``thornspool.domain.fleet``."""
--- a/tests/domain/freshness/__init__.py
+++ b/tests/domain/freshness/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package domain freshness."""
+"""Tests of ``thornspool.domain.freshness``."""
--- a/tests/domain/freshness/test_proofs.py
+++ b/tests/domain/freshness/test_proofs.py
@@ -1,4 +1,4 @@
-"""Tests of the proof of freshness."""
+"""Tests of the freshness of the local copy of the store."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 from thornspool.domain.freshness import proofs
 
 
-class ProofTest(unittest.TestCase):
-    def test_nothing_is_proved_at_first(self):
+class FreshnessTest(unittest.TestCase):
+    def test_an_unconfirmed_copy_is_not_current(self):
         self.assertFalse(proofs.Proof().is_within(1e9, 5))
 
-    def test_an_older_proof_does_not_replace_a_newer_one(self):
-        proof = proofs.Proof()
-        proof.renew(100)
-        proof.renew(50)
-        self.assertEqual(20, proof.compute_age(120))
+    def test_an_older_confirmation_does_not_replace_a_newer_one(self):
+        freshness = proofs.Proof()
+        freshness.renew(100)
+        freshness.renew(50)
+        self.assertEqual(20, freshness.compute_age(120))
 
-    def test_ends_with_its_bound(self):
-        proof = proofs.Proof()
-        proof.renew(100)
-        self.assertTrue(proof.is_within(50, 150))
-        self.assertFalse(proof.is_within(50, 151))
+    def test_a_copy_is_current_up_to_the_bound(self):
+        freshness = proofs.Proof()
+        freshness.renew(100)
+        self.assertTrue(freshness.is_within(50, 150))
+        self.assertFalse(freshness.is_within(50, 151))
--- a/tests/domain/retries/__init__.py
+++ b/tests/domain/retries/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package domain retries."""
+"""Tests of ``thornspool.domain.retries``."""
--- a/tests/domain/routing/__init__.py
+++ b/tests/domain/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package domain routing."""
+"""Tests of ``thornspool.domain.routing``."""
