--- a/src/thornspool/domain/fleet/__init__.py
+++ b/src/thornspool/domain/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What is known of engines, services and the models they run."""
+"""Engines, plain servers and models, with their health and load."""
--- a/src/thornspool/domain/fleet/events.py
+++ b/src/thornspool/domain/fleet/events.py
@@ -1,8 +1,8 @@
-"""Whole events of a stream, so that a stream can go on at another engine.
+"""Splits a stream into complete events, so that another engine can resume it.
 
-An engine may stop in the middle of an event. Only whole events are passed
-on, so that a second run that begins behind the last of them joins without a
-seam: a caller would otherwise read the half of one event and then another.
+An engine may fail in the middle of an event. Only complete events are
+forwarded, so that a second run can resume after the last of them. Otherwise
+the caller would receive a partial event, followed by the next one.
 """
 
 from __future__ import annotations
@@ -11,22 +11,22 @@
 
 import attrs
 
-_END = re.compile(rb'\r?\n\r?\n')
-_ID = re.compile(rb'(?:^|\n)id: ?([^\r\n]*)')
+_EVENT_END = re.compile(rb'\r?\n\r?\n')
+_EVENT_ID = re.compile(rb'(?:^|\n)id: ?([^\r\n]*)')
 
 
 @attrs.define
 class EventBuffer:
-    """Bytes of a stream that are not a whole event yet.
+    """Buffer for the incomplete last event of a stream.
 
     Attributes
     ----------
     last_id : str
-        Id of the last whole event; empty before the first.
+        Id of the last complete event; empty before the first.
     count : int
-        Whole events so far.
+        Number of complete events.
     pending : bytes
-        Begin of the next event.
+        Bytes of the incomplete event.
     """
 
     last_id: str = ''
@@ -34,18 +34,18 @@
     pending: bytes = b''
 
     def take(self, chunk: bytes) -> bytes:
-        """Take a piece of the stream and return what is whole."""
+        """Append a chunk of the stream and return the complete events."""
         joined = self.pending + chunk
         end = 0
-        for found in _END.finditer(joined):
-            end = found.end()
+        for match in _EVENT_END.finditer(joined):
+            end = match.end()
             self.count += 1
-        whole, self.pending = joined[:end], joined[end:]
-        ids = _ID.findall(whole)
+        complete, self.pending = joined[:end], joined[end:]
+        ids = _EVENT_ID.findall(complete)
         if ids:
             self.last_id = ids[-1].decode('latin-1')
-        return whole
+        return complete
 
     def drop_pending(self) -> None:
-        """Forget an event whose rest will not come."""
+        """Discard an incomplete event after its run has failed."""
         self.pending = b''
--- a/src/thornspool/domain/fleet/marks.py
+++ b/src/thornspool/domain/fleet/marks.py
@@ -1,4 +1,4 @@
-"""Short names of engines for news between entries."""
+"""Short hashes of server names, used in state updates between entries."""
 
 from __future__ import annotations
 
@@ -6,18 +6,21 @@
 
 import xxhash
 
-MARK_BITS = 24
-"""Bits of an engine's mark; among 690 engines, one pair in 70 fleets has
-the same one, and each of the two then seems to hold what both do."""
+HASH_BITS = 24
+"""Number of bits of a server hash.
 
-KEPT_MARKS = 4_096
-"""Marks that are kept; some 700 engines and those that they replaced."""
+With 690 engines, one fleet in 70 has a pair with the same hash. Each engine of
+such a pair is then charged with the requests of both.
+"""
 
+CACHED_HASHES = 4_096
+"""Size of the cache: some 700 engines and those that they replaced."""
 
-@functools.lru_cache(KEPT_MARKS)
+
+@functools.lru_cache(CACHED_HASHES)
 def compute_mark(name: str) -> int:
-    """Compute the short name of an engine.
+    """Compute the hash that identifies a name in state updates.
 
-    Whole names would make up most of the bytes of all news.
+    Full names would account for most of the bytes of all state updates.
     """
-    return xxhash.xxh32_intdigest(name.encode()) >> (32 - MARK_BITS)
+    return xxhash.xxh32_intdigest(name.encode()) >> (32 - HASH_BITS)
--- a/src/thornspool/domain/fleet/messages.py
+++ b/src/thornspool/domain/fleet/messages.py
@@ -1,4 +1,4 @@
-"""Engines, plain servers and the shape of the model they share."""
+"""Engines, plain servers and the model that engines share by layers."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         return self.end - self.first
 
     def contains(self, other: LayerRange) -> bool:
-        """Tell whether every layer of another range is in this one."""
+        """Tell whether this range includes every layer of another one."""
         return self.first <= other.first and other.end <= self.end
 
 
@@ -39,23 +39,24 @@
     Attributes
     ----------
     id : str
-        Name of this instance in the list of servers.
+        Name of the instance in the list of servers.
     service : str
-        Service that it belongs to.
+        Service of the instance.
     address : str
         ``ip:port``.
     failure_domain : str
-        Where it stands.
+        Failure domain of the instance.
     slots : int
-        Requests that it runs at once.
+        Maximum number of concurrent requests.
     draining : bool
-        Whether it has announced that it will end.
+        Whether the instance has announced that it will stop.
     born : int or None
-        Unix milliseconds of its start; tells two starts under one id apart.
+        Unix milliseconds of its start, which distinguish two starts under
+        one id.
     kind : str
         Kind of accelerator; empty for a plain server.
     layers : LayerRange or None
-        Layers that it holds; None while it is empty.
+        Layers that it has loaded; None while it has none.
     """
 
     id: str
@@ -76,11 +77,11 @@
     Attributes
     ----------
     memory_mb : float
-        Memory for layers and requests together.
+        Megabytes of memory for layers and requests together.
     step_factor : float
-        Times that a decoding step takes longer than on the fastest kind.
+        Duration of a decoding step, relative to the fastest kind.
     read_factor : float
-        The same for reading a prompt.
+        Duration of reading a prompt, relative to the fastest kind.
     """
 
     memory_mb: float
@@ -90,33 +91,33 @@
 
 @attrs.frozen
 class Model:
-    """Sizes and speeds of a model that engines share by layers.
+    """Memory sizes and speeds of a model that engines share by layers.
 
     Attributes
     ----------
     layers : int
         Number of layers.
     layer_mb : float
-        Megabytes of weights a layer.
+        Megabytes of weights per layer.
     token_bytes : float
-        Bytes of cache that one token takes over all layers.
+        Bytes of cache per token over all layers.
     step_ms : float
         Milliseconds of one decoding step over all layers.
     per_sequence_ms : float
         Milliseconds that each running request adds to a step.
     read_per_s : float
-        Prompt tokens read a second over all layers.
+        Prompt tokens per second over all layers.
     load_s : float
         Seconds to load all layers.
     usual_prompt, usual_answer : float
-        Mean tokens of a request.
+        Mean number of tokens of the prompt and the answer of a request.
     accelerators : dict of str to Accelerator
-        By kind.
+        Accelerators by kind.
     activation_bytes : float
-        Bytes that one token hands from one engine to the next.
+        Bytes that one engine sends to the next one per token.
     pipe_mbps : float
-        Megabits a second of the link between two failure domains, which
-        all requests share; 0 for unknown.
+        Bandwidth of the link between two failure domains in megabits per
+        second, which all requests share; 0 for unknown.
     """
 
     layers: int
@@ -134,26 +135,26 @@
 
     @property
     def layer_token_mb(self) -> float:
-        """Megabytes of cache that one token takes in one layer."""
+        """Megabytes of cache per token and layer."""
         return self.token_bytes / self.layers / BYTES_PER_MB
 
     def compute_room(self, kind: str, held: int) -> float:
-        """Compute the room for requests beside held layers.
+        """Compute the memory that loaded layers leave for requests.
 
         Parameters
         ----------
         kind : str
             Kind of accelerator.
         held : int
-            Layers held.
+            Number of loaded layers.
 
         Returns
         -------
         float
-            Tokens times layers; 0 for a kind that is not known.
+            Token-layers (tokens times layers); 0 for an unknown kind.
         """
         accelerator = self.accelerators.get(kind)
         if accelerator is None:
             return 0.0
-        free = accelerator.memory_mb - held * self.layer_mb
-        return max(0.0, free / self.layer_token_mb)
+        free_mb = accelerator.memory_mb - held * self.layer_mb
+        return max(0.0, free_mb / self.layer_token_mb)
--- a/src/thornspool/domain/fleet/moves.py
+++ b/src/thornspool/domain/fleet/moves.py
@@ -1,9 +1,10 @@
-"""What engines keep of their layers while they carry out an order.
+"""Layers that engines retain while they execute an order.
 
-Answers the load that goes on while layers are moved. An engine refuses the
-layers that it gives up from the moment of its order, and its entry in the list
-shows that only when the order is done. So the entry that gives orders tells
-the others first what the engine will keep.
+Requests continue while layers are moved between engines. An engine rejects
+requests for the layers that it releases as soon as it receives its order, but
+the list of servers shows the change only when the order is complete. The
+leader therefore announces the retained range to the other entries before it
+sends the order.
 """
 
 from __future__ import annotations
@@ -18,78 +19,107 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Mapping
 
-TOLD_MS = 1_000
-"""Time for which what a peer told counts; it is told again at each turn."""
+REPORT_VALID_MS = 1_000
+"""Time for which a reported range is valid; every state update repeats it."""
 
-Kept = tuple[int, int]
-"""First layer and end of what an engine keeps; equal for nothing."""
+RetainedRange = tuple[int, int]
+"""First layer and end of a retained range; both are equal for no layers."""
 
 
 @attrs.define
 class Moves:
-    """Engines that give up layers, by mark.
+    """Retained ranges of the engines that release layers, by server hash.
 
     Attributes
     ----------
     own : dict of int to tuple of int
-        Those that this entry has given orders to.
+        Ranges of the engines to which this entry has sent orders.
     has_news : bool
-        Whether there are some of which peers were not told yet.
+        Whether there are ranges that were not announced to peers yet.
     """
 
-    own: dict[int, Kept] = attrs.field(factory=dict)
+    own: dict[int, RetainedRange] = attrs.field(factory=dict)
     has_news: bool = False
-    _told: dict[int, tuple[Kept, int]] = attrs.field(factory=dict)
+    _reported: dict[int, tuple[RetainedRange, int]] = attrs.field(factory=dict)
 
     def begin(
         self,
         server: messages.Server,
-        kept: messages.LayerRange | None,
+        retained: messages.LayerRange | None,
     ) -> bool:
-        """Note an order; tells whether the engine gives up layers."""
-        if kept == server.layers:
+        """Record an order.
+
+        Parameters
+        ----------
+        server : messages.Server
+            The engine, with its layers before the order.
+        retained : messages.LayerRange or None
+            Layers that it retains; None for none.
+
+        Returns
+        -------
+        bool
+            Whether the engine releases layers.
+        """
+        if retained == server.layers:
             return False
         self.own[marks.compute_mark(server.id)] = (
-            (0, 0) if kept is None else (kept.first, kept.end)
+            (0, 0) if retained is None else (retained.first, retained.end)
         )
         self.has_news = True
         return True
 
     def end(self, name: str) -> None:
-        """Note that an order is done or lost."""
+        """Remove an order that is complete or lost."""
         self.own.pop(marks.compute_mark(name), None)
 
-    def note_told(self, told: Mapping[int, Kept], now: int) -> None:
-        """Note what a peer tells."""
-        for mark, kept in told.items():
-            self._told[mark] = (kept, now)
-
-    def list_known(self, own_only: bool) -> dict[int, Kept]:
-        """List what peers should hear of."""
-        if own_only:
+    def note_told(
+        self, reported: Mapping[int, RetainedRange], now: int
+    ) -> None:
+        """Record the ranges that a peer reports."""
+        for server_hash, retained in reported.items():
+            self._reported[server_hash] = (retained, now)
+
+    def list_known(self, local_only: bool) -> dict[int, RetainedRange]:
+        """List the ranges to announce to peers.
+
+        Parameters
+        ----------
+        local_only : bool
+            Whether to leave out ranges that peers have reported.
+
+        Returns
+        -------
+        dict of int to tuple of int
+            Retained ranges by server hash.
+        """
+        if local_only:
             return dict(self.own)
-        told = {mark: kept for mark, (kept, _) in self._told.items()}
-        return {**told, **self.own}
+        reported = {
+            server_hash: retained
+            for server_hash, (retained, _) in self._reported.items()
+        }
+        return {**reported, **self.own}
 
     def narrow(self, server: messages.Server) -> messages.Server:
-        """Return an engine with the layers that it takes requests for."""
-        if not self.own and not self._told:
+        """Return an engine with the layers for which it accepts requests."""
+        if not self.own and not self._reported:
             return server
-        mark = marks.compute_mark(server.id)
-        kept = self.own.get(mark)
-        if kept is None and mark in self._told:
-            kept = self._told[mark][0]
-        if kept is None or server.layers is None:
+        server_hash = marks.compute_mark(server.id)
+        retained = self.own.get(server_hash)
+        if retained is None and server_hash in self._reported:
+            retained = self._reported[server_hash][0]
+        if retained is None or server.layers is None:
             return server
-        first = max(server.layers.first, kept[0])
-        end = min(server.layers.end, kept[1])
+        first = max(server.layers.first, retained[0])
+        end = min(server.layers.end, retained[1])
         layers = messages.LayerRange(first, end) if first < end else None
         return attrs.evolve(server, layers=layers)
 
     def forget_old(self, now: int) -> None:
-        """Forget what is not told any more."""
-        self._told = {
-            mark: (kept, at)
-            for mark, (kept, at) in self._told.items()
-            if now - at <= TOLD_MS
+        """Remove the ranges that are no longer reported."""
+        self._reported = {
+            server_hash: (retained, at)
+            for server_hash, (retained, at) in self._reported.items()
+            if now - at <= REPORT_VALID_MS
         }
--- a/src/thornspool/domain/fleet/outliers.py
+++ b/src/thornspool/domain/fleet/outliers.py
@@ -1,9 +1,11 @@
-"""Outlier ejection: engines that break runs while their health is good.
-
-Answers the load in which some engines reset what they are sent. A lost answer
-now and then says nothing of an engine that serves the rest, so an entry blames
-one only while most of its own runs there break, and evidence of all entries is
-counted together. An entry on whose own link everything breaks blames nobody.
+"""Outlier ejection: engines that break runs although their probes succeed.
+
+Some engines reset the connections of requests sent to them. Occasional lost
+answers are no sign of a faulty engine while it serves the other requests.
+An entry therefore attributes a break to an engine only while most of the
+entry's recent runs on it break, and the breaks that all entries observe count
+together. An entry whose runs break on several engines in a row attributes the
+breaks to its own network link, and ejects no engine.
 """
 
 from __future__ import annotations
@@ -19,162 +21,186 @@
     from collections.abc import Iterable
 
 WINDOW_MS = 1_000
-"""Time within which breaks count together."""
+"""Time within which breaks count together for an ejection."""
 
-LEAST_BREAKS = 2
-"""Breaks within the window that eject an engine; one may be chance."""
+MIN_BREAKS = 2
+"""Breaks within the window that eject an engine; one may be a coincidence."""
 
 FAULTY_SHARE = 0.5
-"""Share of an entry's recent runs that an engine breaks, from which the entry
-blames it."""
+"""Share of broken runs from which an entry attributes breaks to an engine."""
 
 HALF_LIFE_MS = 2_000
-"""Time after which a run counts half in that share."""
+"""Half-life of a run's weight in the share of broken runs."""
+
+ANNOUNCE_MS = 500
+"""Time for which a break is announced to peers.
 
-TELL_MS = 500
-"""Time for which a break is told to peers, a little over a turn of news."""
+It is a little longer than the interval of state updates.
+"""
 
-REMEMBER_MS = 10_000
-"""Time for which an engine counts as one that has broken runs."""
+RETENTION_MS = 10_000
+"""Time for which breaks and runs of an engine are retained."""
 
-OWN_FAULT = 3
-"""Engines in a row that break an entry's runs, from which it doubts its own
-link."""
+LOCAL_FAULT_ENGINES = 3
+"""Consecutive engines with a broken run from which the fault is attributed to
+the entry's own network link."""
 
 MAX_EJECTED_SHARE = 0.34
-"""Share of a fleet that may be ejected; past it the rest would be
-overloaded."""
+"""Maximum share of ejected servers; with more, the rest is overloaded."""
 
 
 @attrs.define
 class Runs:
-    """Recent runs of one engine, weighted by their age."""
+    """Recent runs of this entry on one engine, weighted by their age."""
 
     broken: float = 0.0
-    sound: float = 0.0
-    at: int = 0
+    succeeded: float = 0.0
+    updated_at: int = 0
 
-    def note(self, broken: bool, now: int) -> None:
-        """Note one run."""
-        weight = 0.5 ** (max(0, now - self.at) / HALF_LIFE_MS)
+    def record(self, broken: bool, now: int) -> None:
+        """Record one run."""
+        weight = 0.5 ** (max(0, now - self.updated_at) / HALF_LIFE_MS)
         self.broken = self.broken * weight + broken
-        self.sound = self.sound * weight + (not broken)
-        self.at = now
+        self.succeeded = self.succeeded * weight + (not broken)
+        self.updated_at = now
 
     @property
     def share(self) -> float:
-        """Share of them that the engine broke."""
-        total = self.broken + self.sound
+        """Share of the runs that the engine broke."""
+        total = self.broken + self.succeeded
         return self.broken / total if total else 0.0
 
 
 @attrs.define
 class Outliers:
-    """Runs that engines broke, by mark.
+    """Broken runs of engines, by server hash.
 
     Attributes
     ----------
     has_news : bool
-        Whether this entry has seen a break since peers were told.
+        Whether there are breaks that were not announced to peers yet.
     """
 
     has_news: bool = False
-    _breaks: dict[int, collections.deque[int]] = attrs.field(factory=dict)
-    _own: dict[int, int] = attrs.field(factory=dict)
-    _told: dict[tuple[str, int], int] = attrs.field(factory=dict)
-    _in_a_row: set[int] = attrs.field(factory=set)
+    _break_times: dict[int, collections.deque[int]] = attrs.field(factory=dict)
+    _local: dict[int, int] = attrs.field(factory=dict)
+    _reported: dict[tuple[str, int], int] = attrs.field(factory=dict)
+    _consecutive: set[int] = attrs.field(factory=set)
     _runs: dict[int, Runs] = attrs.field(factory=dict)
 
     def note_success(self, name: str, now: int) -> None:
-        """Note that an engine has answered this entry."""
-        self._in_a_row.clear()
-        self._note_run(marks.compute_mark(name), False, now)
+        """Record that an engine has answered a request of this entry."""
+        self._consecutive.clear()
+        self._record_run(marks.compute_mark(name), False, now)
 
-    def _note_run(self, mark: int, broken: bool, now: int) -> None:
-        self._runs.setdefault(mark, Runs(at=now)).note(broken, now)
+    def _record_run(self, server_hash: int, broken: bool, now: int) -> None:
+        self._runs.setdefault(server_hash, Runs(updated_at=now)).record(
+            broken, now
+        )
 
     def note_break(self, name: str, now: int) -> bool:
-        """Note that an engine has broken a run of this entry.
+        """Record that an engine has broken a run of this entry.
+
+        Parameters
+        ----------
+        name : str
+            The engine.
+        now : int
+            Milliseconds of the clock.
 
         Returns
         -------
         bool
-            Whether it counts; False when the own link may be at fault, or
-            when the engine has served most runs of this entry.
+            Whether the break is attributed to the engine; False when the
+            entry's network link may have failed, or when the engine has
+            served most recent runs of this entry.
         """
-        mark = marks.compute_mark(name)
-        self._in_a_row.add(mark)
-        self._note_run(mark, True, now)
-        if len(self._in_a_row) >= OWN_FAULT:
+        server_hash = marks.compute_mark(name)
+        self._consecutive.add(server_hash)
+        self._record_run(server_hash, True, now)
+        if len(self._consecutive) >= LOCAL_FAULT_ENGINES:
             return False
-        if self._runs[mark].share < FAULTY_SHARE:
+        if self._runs[server_hash].share < FAULTY_SHARE:
             return False
-        self._record(mark, now)
-        self._own[mark] = now
+        self._record_break(server_hash, now)
+        self._local[server_hash] = now
         self.has_news = True
         return True
 
-    def note_told(self, host: str, told: Iterable[int], now: int) -> set[int]:
-        """Note what a peer tells; the same break is told several times.
+    def note_told(
+        self, host: str, reported: Iterable[int], now: int
+    ) -> set[int]:
+        """Record breaks that a peer reports, each of them only once.
+
+        Parameters
+        ----------
+        host : str
+            The peer, which reports the same break in several updates.
+        reported : iterable of int
+            Server hashes of the engines.
+        now : int
+            Milliseconds of the clock.
 
         Returns
         -------
         set of int
-            Marks of engines of which this was new.
+            Hashes of the engines with a new break.
         """
         new = set()
-        for mark in told:
-            since = self._told.get((host, mark))
-            if since is None or now - since > TELL_MS:
-                self._told[host, mark] = now
-                self._record(mark, now)
-                new.add(mark)
+        for server_hash in reported:
+            since = self._reported.get((host, server_hash))
+            if since is None or now - since > ANNOUNCE_MS:
+                self._reported[host, server_hash] = now
+                self._record_break(server_hash, now)
+                new.add(server_hash)
         return new
 
-    def _record(self, mark: int, now: int) -> None:
-        times = self._breaks.setdefault(
-            mark, collections.deque(maxlen=LEAST_BREAKS)
+    def _record_break(self, server_hash: int, now: int) -> None:
+        times = self._break_times.setdefault(
+            server_hash, collections.deque(maxlen=MIN_BREAKS)
         )
         times.append(now)
 
-    def is_outlier(self, mark: int, now: int) -> bool:
-        """Tell whether an engine has broken enough runs to be ejected."""
-        own = self._runs.get(mark)
-        if own is not None and own.share < FAULTY_SHARE:
+    def is_outlier(self, server_hash: int, now: int) -> bool:
+        """Tell whether an engine has broken enough runs for an ejection."""
+        runs = self._runs.get(server_hash)
+        if runs is not None and runs.share < FAULTY_SHARE:
             return False
-        times = self._breaks.get(mark)
-        if times is None or len(times) < LEAST_BREAKS:
+        times = self._break_times.get(server_hash)
+        if times is None or len(times) < MIN_BREAKS:
             return False
         return now - times[0] <= WINDOW_MS
 
-    def has_broken(self, mark: int) -> bool:
-        """Tell whether an engine has broken a run in the last seconds."""
-        return mark in self._breaks
+    def has_broken(self, server_hash: int) -> bool:
+        """Tell whether a broken run of an engine is retained."""
+        return server_hash in self._break_times
 
     def list_fresh(self, now: int) -> tuple[int, ...]:
-        """List the engines whose breaks peers should hear of."""
+        """List the hashes of the engines whose breaks are announced."""
         return tuple(
-            mark for mark, at in self._own.items() if now - at <= TELL_MS
+            server_hash
+            for server_hash, at in self._local.items()
+            if now - at <= ANNOUNCE_MS
         )
 
     def forget_old(self, now: int) -> None:
-        """Forget what no longer counts."""
-        self._breaks = {
-            mark: times
-            for mark, times in self._breaks.items()
-            if now - times[-1] <= REMEMBER_MS
+        """Remove breaks, runs and reports that have expired."""
+        self._break_times = {
+            server_hash: times
+            for server_hash, times in self._break_times.items()
+            if now - times[-1] <= RETENTION_MS
         }
         self._runs = {
-            mark: runs
-            for mark, runs in self._runs.items()
-            if now - runs.at <= REMEMBER_MS
+            server_hash: runs
+            for server_hash, runs in self._runs.items()
+            if now - runs.updated_at <= RETENTION_MS
         }
-        self._own = _keep_recent(self._own, now)
-        self._told = _keep_recent(self._told, now)
+        self._local = _keep_recent(self._local, now)
+        self._reported = _keep_recent(self._reported, now)
 
 
 _Key = typing.TypeVar('_Key')
 
 
 def _keep_recent(times: dict[_Key, int], now: int) -> dict[_Key, int]:
-    return {key: at for key, at in times.items() if now - at <= TELL_MS}
+    return {key: at for key, at in times.items() if now - at <= ANNOUNCE_MS}
--- a/src/thornspool/domain/fleet/paces.py
+++ b/src/thornspool/domain/fleet/paces.py
@@ -1,10 +1,10 @@
-"""How fast engines work against what their kind should do.
+"""Slowdown factors of engines, relative to the expected speed of their kind.
 
-An engine that has turned slow answers everything, only late, so that no
-failure shows it: callers notice by first events after a second in place of
-60 ms. It says so itself when asked. Entries ask the engines of a path on
-which a request is late, tell each other what they heard, and choose other
-paths meanwhile.
+An engine that has become slow answers all requests, but late: the first event
+arrives after a second instead of 60 ms. No request fails, so that failure
+detection doesn't find it, but the engine reports its slowdown when probed.
+Entries probe the engines of a path on which a request is late, exchange the
+slowdown factors, and choose other paths until the engine recovers.
 """
 
 from __future__ import annotations
@@ -19,86 +19,101 @@
     from collections.abc import Iterable
 
 VALID_MS = 4_000
-"""Time for which a pace counts; engines are slow for 5 to 9 s, and one that
-has recovered is used again within this."""
+"""Time for which a slowdown factor is valid.
+
+Engines are slow for 5 to 9 s. An engine that has recovered is used again after
+this time at the latest.
+"""
 
 FRESH_MS = 1_000
-"""Time for which an engine is not asked again; its own report lags 200 ms."""
+"""Time for which an engine is not probed again; its report lags 200 ms."""
 
 SLOW = 1.5
-"""Pace from which an engine counts as slow; others vary by some 10 in 100."""
+"""Slowdown factor from which an engine is slow; normal variation is 10 %."""
 
 
 @attrs.frozen
-class Pace:
-    """What is known of one engine.
+class Slowdown:
+    """Slowdown of one engine.
 
     Attributes
     ----------
     factor : float
-        Its times against the expected ones.
-    at : int
-        When it was heard.
+        Ratio of its times to the expected times.
+    received_at : int
+        When the factor was received.
     direct : bool
-        Whether this entry or one of its own failure domain has asked it;
-        what a collector passed on is not passed on again.
+        Whether this entry or one of its failure domain has probed the engine.
+        A factor that a collector forwarded is not forwarded again.
     """
 
     factor: float
-    at: int
+    received_at: int
     direct: bool
 
 
 @attrs.define
 class Paces:
-    """Paces of engines, by mark."""
+    """Slowdown factors of engines, by server hash."""
 
-    _known: dict[int, Pace] = attrs.field(factory=dict)
+    _slowdowns: dict[int, Slowdown] = attrs.field(factory=dict)
 
     def note(self, name: str, factor: float, now: int) -> None:
-        """Note what an engine said of itself."""
-        self._known[marks.compute_mark(name)] = Pace(factor, now, True)
+        """Record the factor that an engine returned to a probe."""
+        self._slowdowns[marks.compute_mark(name)] = Slowdown(factor, now, True)
 
     def note_told(
-        self, told: dict[int, float], now: int, direct: bool
+        self, reported: dict[int, float], now: int, direct: bool
     ) -> None:
-        """Note what a peer tells of slow engines."""
-        for mark, factor in told.items():
-            known = self._known.get(mark)
-            if known is None or now - known.at > FRESH_MS:
-                self._known[mark] = Pace(factor, now, direct)
+        """Record the slowdown factors that a peer reports.
+
+        Parameters
+        ----------
+        reported : dict of int to float
+            Factors of slow engines, by server hash.
+        now : int
+            Milliseconds of the clock.
+        direct : bool
+            Whether an entry of this failure domain has probed the engines.
+        """
+        for server_hash, factor in reported.items():
+            slowdown = self._slowdowns.get(server_hash)
+            if slowdown is None or now - slowdown.received_at > FRESH_MS:
+                self._slowdowns[server_hash] = Slowdown(factor, now, direct)
 
     def get(self, name: str, now: int) -> float:
-        """Return an engine's pace; 1 for one of which nothing is known."""
-        known = self._known.get(marks.compute_mark(name))
-        if known is None or now - known.at > VALID_MS:
+        """Return an engine's slowdown factor; 1 without a valid report."""
+        slowdown = self._slowdowns.get(marks.compute_mark(name))
+        if slowdown is None or now - slowdown.received_at > VALID_MS:
             return 1.0
-        return max(1.0, known.factor)
+        return max(1.0, slowdown.factor)
 
     def is_fresh(self, name: str, now: int, within_ms: int = FRESH_MS) -> bool:
-        """Tell whether an engine's pace was heard a moment ago."""
-        known = self._known.get(marks.compute_mark(name))
-        return known is not None and now - known.at <= within_ms
+        """Tell whether an engine's factor was received within a time."""
+        slowdown = self._slowdowns.get(marks.compute_mark(name))
+        return slowdown is not None and now - slowdown.received_at <= within_ms
 
     def select(self, names: Iterable[str], now: int) -> dict[str, float]:
-        """Select the slow ones of some engines."""
-        if not self._known:
+        """Select the slow engines with their factors."""
+        if not self._slowdowns:
             return {}
-        paces = {name: self.get(name, now) for name in names}
-        return {name: pace for name, pace in paces.items() if pace >= SLOW}
+        factors = {name: self.get(name, now) for name in names}
+        return {
+            name: factor for name, factor in factors.items() if factor >= SLOW
+        }
 
     def list_slow(self, now: int, direct_only: bool) -> dict[int, float]:
-        """List the slow engines that were heard a moment ago, to be told."""
+        """List the recent factors of slow engines to announce to peers."""
         return {
-            mark: known.factor
-            for mark, known in self._known.items()
-            if known.factor >= SLOW
-            and now - known.at <= FRESH_MS
-            and (known.direct or not direct_only)
+            server_hash: slowdown.factor
+            for server_hash, slowdown in self._slowdowns.items()
+            if slowdown.factor >= SLOW
+            and now - slowdown.received_at <= FRESH_MS
+            and (slowdown.direct or not direct_only)
         }
 
     def forget_old(self, now: int) -> None:
-        """Forget what no longer counts."""
-        for mark, known in list(self._known.items()):
-            if now - known.at > VALID_MS:
-                del self._known[mark]
+        """Remove factors that have expired."""
+        for server_hash, slowdown in list(self._slowdowns.items()):
+            if now - slowdown.received_at > VALID_MS:
+                del self._slowdowns[server_hash]
--- a/src/thornspool/domain/fleet/refusals.py
+++ b/src/thornspool/domain/fleet/refusals.py
@@ -1,9 +1,10 @@
-"""Engines that have just refused work, and how long they are left out.
+"""Exclusion of engines that have just refused a request.
 
-An engine refuses when it is short of memory, gives up layers, leaves or is
-gone, and the list of servers shows it late or not at all. Each refused request
-costs a repeat of those that all entries share. So all entries leave such an
-engine out at once, and try it again after a while that grows.
+An engine refuses requests when it is short of memory, releases layers, drains
+or has stopped; the list of servers shows this late or not at all. Each refused
+request costs a retry from the budget that all entries share. All entries
+therefore exclude such an engine at once, and send requests to it again after a
+backoff that doubles with each further refusal.
 """
 
 from __future__ import annotations
@@ -17,41 +18,54 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Iterable
 
-FIRST_MS = 300
-"""Time for which an engine is left out at first; a stream that frees its
-memory ends there every some 100 ms."""
+INITIAL_BACKOFF_MS = 300
+"""Length of the first exclusion; an engine completes a stream, which frees
+memory, every 100 ms or so."""
 
 MAX_MS = 1_500
-"""Longest time, which three refusals in a row lead to."""
+"""Maximum length of an exclusion, reached by three refusals in a row."""
 
 MAX_EJECTED_MS = 5_000
-"""Longest time for an engine that breaks runs; unlike one that is full it
-does not recover by being left alone."""
+"""Maximum length of an exclusion of an engine that breaks runs.
 
-EJECTED_SPREAD = 4.0
-"""Times of the usual difference in patience for engines that break runs: each
-entry that tries one at the same moment loses a run."""
+Unlike an engine without free memory, it does not recover when it gets no
+requests.
+"""
+
+EJECTED_JITTER_FACTOR = 4.0
+"""Factor by which the jitter is larger for engines that break runs.
 
-TELL_MS = 500
-"""Time for which a refusal is told to peers, a little over a turn of news."""
+Every entry that sends a request to such an engine at the same time loses a
+run.
+"""
+
+ANNOUNCE_MS = 500
+"""Time for which a refusal is announced to peers.
+
+It is a little longer than the interval of state updates.
+"""
 
 MOST_PATIENCE = 1.5
-"""Largest difference between entries in the time of leaving out: 150 ms of
-the first 300, in which news of a refusal reach the failure domain."""
+"""Maximum jitter factor of the lengths of exclusions between entries.
+
+It spreads the first exclusion of 300 ms by 150 ms, in which a refusal is
+announced to the whole failure domain.
+"""
 
 
 @attrs.frozen
-class Refusal:
-    """How long an engine is left out.
+class Exclusion:
+    """Exclusion of one engine.
 
     Attributes
     ----------
     since, until : int
-        When it was last left out, and until when.
+        Start and end, in milliseconds of the clock.
     length_ms : int
-        Time of that without this entry's patience.
+        Length without this entry's jitter factor.
     direct : bool
-        Whether it refused this entry or one of its failure domain.
+        Whether the engine refused a request of this entry or of one of its
+        failure domain.
     """
 
     since: int
@@ -62,96 +76,132 @@
 
 @attrs.define
 class Refusals:
-    """Engines that are left out, by mark.
+    """Excluded engines, by server hash.
 
     Attributes
     ----------
     patience : float
-        Factor from 1 to ``MOST_PATIENCE`` of the time for which this entry
-        leaves engines out. Entries differ in it: the first one that tries an
-        engine again tells the others before they do.
+        Jitter factor from 1 to ``MOST_PATIENCE`` for the lengths of this
+        entry's exclusions. It differs between entries, so that the first one
+        to send a request to the engine announces a further refusal before
+        the others send theirs.
     has_news : bool
-        Whether an engine has refused this entry since peers were told.
+        Whether there are refusals that were not announced to peers yet.
     """
 
     patience: float = 1.0
     has_news: bool = False
-    _known: dict[int, Refusal] = attrs.field(factory=dict)
-
-    def note(self, name: str, now: int, longest_ms: int = MAX_MS) -> bool:
-        """Note a refusal; tells whether the engine was not left out yet."""
-        mark = marks.compute_mark(name)
-        known = self._known.get(mark)
-        if known is not None and now < known.until:
-            # Sent before the first refusal had come.
+    _exclusions: dict[int, Exclusion] = attrs.field(factory=dict)
+
+    def note(self, name: str, now: int, max_ms: int = MAX_MS) -> bool:
+        """Record a refusal.
+
+        Parameters
+        ----------
+        name : str
+            The engine.
+        now : int
+            Milliseconds of the clock.
+        max_ms : int, optional
+            Maximum length of the exclusion in milliseconds.
+
+        Returns
+        -------
+        bool
+            Whether the engine was not excluded before.
+        """
+        server_hash = marks.compute_mark(name)
+        exclusion = self._exclusions.get(server_hash)
+        if exclusion is not None and now < exclusion.until:
+            # The request was sent before the first refusal arrived.
             return False
-        self._leave_out(mark, now, True, longest_ms)
+        self._exclude(server_hash, now, True, max_ms)
         self.has_news = True
         return True
 
     def is_on_trial(self, name: str, now: int) -> bool:
-        """Tell whether an engine was left out until a moment ago."""
-        known = self._known.get(marks.compute_mark(name))
-        return known is not None and _is_on_trial(known, now)
+        """Tell whether an engine's exclusion has just ended."""
+        exclusion = self._exclusions.get(marks.compute_mark(name))
+        return exclusion is not None and _is_half_open(exclusion, now)
 
     def count_left_out(self, now: int) -> int:
-        """Count the engines that are left out now."""
-        return sum(now < known.until for known in self._known.values())
+        """Count the excluded engines."""
+        return sum(
+            now < exclusion.until for exclusion in self._exclusions.values()
+        )
 
-    def _leave_out(
-        self, mark: int, now: int, direct: bool, longest_ms: int
+    def _exclude(
+        self, server_hash: int, now: int, direct: bool, max_ms: int
     ) -> None:
-        """Leave an engine out, twice as long when it was just tried again."""
-        known = self._known.get(mark)
-        length = FIRST_MS
-        if known is not None and _is_on_trial(known, now):
-            length = min(longest_ms, 2 * known.length_ms)
-        patience = self.patience
-        if longest_ms > MAX_MS:
-            patience = 1.0 + EJECTED_SPREAD * (patience - 1.0)
-        until = now + round(length * patience)
-        self._known[mark] = Refusal(now, until, length, direct)
+        """Exclude an engine, twice as long if an exclusion has just ended."""
+        exclusion = self._exclusions.get(server_hash)
+        length = INITIAL_BACKOFF_MS
+        if exclusion is not None and _is_half_open(exclusion, now):
+            length = min(max_ms, 2 * exclusion.length_ms)
+        jitter = self.patience
+        if max_ms > MAX_MS:
+            jitter = 1.0 + EJECTED_JITTER_FACTOR * (jitter - 1.0)
+        until = now + round(length * jitter)
+        self._exclusions[server_hash] = Exclusion(now, until, length, direct)
 
     def note_told(
         self,
-        told: Iterable[int],
+        reported: Iterable[int],
         now: int,
         direct: bool,
-        longest_ms: int = MAX_MS,
+        max_ms: int = MAX_MS,
     ) -> None:
-        """Note what peers tell, so that few entries try an engine again."""
-        for mark in told:
-            known = self._known.get(mark)
-            is_same = known is not None and now - known.since <= TELL_MS
-            if known is None or (now >= known.until and not is_same):
-                self._leave_out(mark, now, direct, longest_ms)
+        """Record refusals that a peer reports.
+
+        Few entries then send further requests to a refusing engine.
+
+        Parameters
+        ----------
+        reported : iterable of int
+            Server hashes of the engines.
+        now : int
+            Milliseconds of the clock.
+        direct : bool
+            Whether the engines refused an entry of this failure domain.
+        max_ms : int, optional
+            Maximum length of an exclusion in milliseconds.
+        """
+        for server_hash in reported:
+            exclusion = self._exclusions.get(server_hash)
+            is_repeated = (
+                exclusion is not None and now - exclusion.since <= ANNOUNCE_MS
+            )
+            if exclusion is None or (
+                now >= exclusion.until and not is_repeated
+            ):
+                self._exclude(server_hash, now, direct, max_ms)
 
     def is_refusing(self, name: str, now: int) -> bool:
-        """Tell whether an engine is left out now."""
-        known = self._known.get(marks.compute_mark(name))
-        return known is not None and now < known.until
+        """Tell whether an engine is excluded."""
+        exclusion = self._exclusions.get(marks.compute_mark(name))
+        return exclusion is not None and now < exclusion.until
 
     def select(self, names: Iterable[str], now: int) -> set[str]:
-        """Select the engines that are left out now."""
-        if not self._known:
+        """Select the excluded engines."""
+        if not self._exclusions:
             return set()
         return {name for name in names if self.is_refusing(name, now)}
 
     def list_fresh(self, now: int, direct_only: bool) -> tuple[int, ...]:
-        """List the marks that peers should hear of."""
+        """List the hashes of the engines whose refusals are announced."""
         return tuple(
-            mark
-            for mark, known in self._known.items()
-            if now - known.since <= TELL_MS
-            and (known.direct or not direct_only)
+            server_hash
+            for server_hash, exclusion in self._exclusions.items()
+            if now - exclusion.since <= ANNOUNCE_MS
+            and (exclusion.direct or not direct_only)
         )
 
     def forget_old(self, now: int) -> None:
-        """Forget engines that have not refused for a while."""
-        for mark, known in list(self._known.items()):
-            if now - known.until > max(MAX_MS, known.length_ms):
-                del self._known[mark]
+        """Remove exclusions whose backoff has been reset."""
+        for server_hash, exclusion in list(self._exclusions.items()):
+            if now - exclusion.until > max(MAX_MS, exclusion.length_ms):
+                del self._exclusions[server_hash]
 
 
-def _is_on_trial(known: Refusal, now: int) -> bool:
-    return 0 <= now - known.until < known.length_ms
+def _is_half_open(exclusion: Exclusion, now: int) -> bool:
+    return 0 <= now - exclusion.until < exclusion.length_ms
--- a/src/thornspool/domain/fleet/standing.py
+++ b/src/thornspool/domain/fleet/standing.py
@@ -1,4 +1,4 @@
-"""Which plain server takes a call: by load, recent failures and place."""
+"""Selects a plain server by load, recent failures and failure domain."""
 
 from __future__ import annotations
 
@@ -14,47 +14,46 @@
 
 
 class ReportedLoad(typing.Protocol):
-    """What a server told of itself with an answer."""
+    """Load that a server reports with a response."""
 
     @property
     def running(self) -> int:
-        """Requests that run."""
+        """Number of running requests."""
 
     @property
     def waiting(self) -> int:
-        """Requests that wait."""
+        """Number of queued requests."""
 
 
-HALF_LIFE_MS = 2_000
-"""Time after which a failure counts half.
+FAILURE_HALF_LIFE_MS = 2_000
+"""Half-life of the weight of a failure.
 
-Servers that fail do so for seconds; one call every few seconds finds out
-whether it is over.
+Servers fail for several seconds at a time; with this value, one call every few
+seconds detects that a server has recovered.
 """
 
-LOAD_AGE_MS = 500
-"""Time for which a reported load is believed: some five calls."""
+LOAD_VALID_MS = 500
+"""Time for which a reported load is valid: some five calls."""
 
 REMOTE_WEIGHT = 0.15
-"""Cost of a server in another failure domain, in shares of its slots."""
+"""Cost of a server in another failure domain, as a share of its slots."""
 
 ERROR_WEIGHT = 0.15
-"""Weight of an error that a server answers itself; one in seven reads fails
-at sound servers."""
+"""Weight of an error response; one in seven reads fails at healthy servers."""
 
 REFUSED_WEIGHT = 0.5
-"""Weight of a refusal: full now, or failing."""
+"""Weight of a refusal by a server that is overloaded or failing."""
 
 BROKEN_WEIGHT = 1.0
-"""Weight of an answer that was lost or spoiled."""
+"""Weight of a lost or corrupt response."""
 
 SILENT_WEIGHT = 1.0
-"""Weight of a call without an answer in its time."""
+"""Weight of a call that timed out."""
 
 
 @attrs.define
 class Standing:
-    """What is known of a server."""
+    """Load and recent failures of a server."""
 
     in_flight: int = 0
     failures: float = 0.0
@@ -65,34 +64,34 @@
 
 @attrs.define
 class Standings:
-    """What is known of all servers, by id."""
+    """Load and recent failures of all servers, by id."""
 
     servers: dict[str, Standing] = attrs.field(factory=dict)
 
     def begin(self, name: str) -> None:
-        """Note a call on its way."""
-        self._find(name).in_flight += 1
+        """Record the start of a call."""
+        self._get_or_add(name).in_flight += 1
 
     def finish(self, name: str) -> None:
-        """Note that a call has ended."""
-        found = self._find(name)
-        found.in_flight = max(0, found.in_flight - 1)
+        """Record the end of a call."""
+        score = self._get_or_add(name)
+        score.in_flight = max(0, score.in_flight - 1)
 
     def note_failure(self, name: str, weight: float, now: int) -> None:
-        """Note a failure with its weight."""
-        found = self._find(name)
-        found.failures = _decay(found, now) + weight
-        found.failures_at = now
+        """Record a failure with its weight."""
+        score = self._get_or_add(name)
+        score.failures = _decay_failures(score, now) + weight
+        score.failures_at = now
 
     def note_load(
         self, name: str, load: ReportedLoad | None, now: int
     ) -> None:
-        """Note the load that a server told."""
+        """Record the load that a server reports; None is ignored."""
         if load is None:
             return
-        found = self._find(name)
-        found.load = load.running + load.waiting
-        found.load_at = now
+        score = self._get_or_add(name)
+        score.load = load.running + load.waiting
+        score.load_at = now
 
     def choose(
         self,
@@ -101,33 +100,53 @@
         now: int,
         noise: Callable[[], float],
     ) -> messages.Server | None:
-        """Choose the server with the least cost; None among none."""
+        """Choose the server with the lowest cost.
+
+        Parameters
+        ----------
+        servers : sequence of messages.Server
+            Servers to choose from.
+        domain : str
+            Local failure domain.
+        now : int
+            Milliseconds of the clock.
+        noise : callable
+            Returns a random number from 0 to 1, of which a tenth is added to
+            each cost.
+
+        Returns
+        -------
+        messages.Server or None
+            None for an empty sequence.
+        """
         if not servers:
             return None
         return min(
             servers,
-            key=lambda one: self._measure(one, domain, now) + 0.1 * noise(),
+            key=lambda one: (
+                self._compute_cost(one, domain, now) + 0.1 * noise()
+            ),
         )
 
-    def _measure(
+    def _compute_cost(
         self, server: messages.Server, domain: str, now: int
     ) -> float:
-        found = self._find(server.id)
-        load = found.in_flight
-        if found.load_at is not None and now - found.load_at < LOAD_AGE_MS:
-            load = max(load, found.load)
-        cost = load / max(1, server.slots) + _decay(found, now)
+        score = self._get_or_add(server.id)
+        load = score.in_flight
+        if score.load_at is not None and now - score.load_at < LOAD_VALID_MS:
+            load = max(load, score.load)
+        cost = load / max(1, server.slots) + _decay_failures(score, now)
         if server.failure_domain != domain:
             cost += REMOTE_WEIGHT
         return cost
 
-    def _find(self, name: str) -> Standing:
-        found = self.servers.get(name)
-        if found is None:
-            found = self.servers[name] = Standing()
-        return found
+    def _get_or_add(self, name: str) -> Standing:
+        score = self.servers.get(name)
+        if score is None:
+            score = self.servers[name] = Standing()
+        return score
 
 
-def _decay(found: Standing, now: int) -> float:
-    age = max(0, now - found.failures_at)
-    return found.failures * float(0.5 ** (age / HALF_LIFE_MS))
+def _decay_failures(score: Standing, now: int) -> float:
+    age = max(0, now - score.failures_at)
+    return score.failures * float(0.5 ** (age / FAILURE_HALF_LIFE_MS))
--- a/src/thornspool/domain/fleet/sweeps.py
+++ b/src/thornspool/domain/fleet/sweeps.py
@@ -1,7 +1,7 @@
-"""Rounds of questions to all engines of a service.
+"""Sweeps: probes of all engines of a service.
 
-Answers the load in which several engines turn slow at the same moment. Found
-one by one, the others would be used until then.
+Several engines may become slow at the same time. If each of them were only
+detected by a late request of its own, entries would keep using the others.
 """
 
 from __future__ import annotations
@@ -14,41 +14,47 @@
     from collections.abc import Iterable
     import random
 
-AT_ONCE = 10
-"""Engines that are asked at one turn."""
+BATCH_SIZE = 10
+"""Number of engines that are probed at one tick."""
 
-PAUSE_MS = 3_000
-"""Least time between the begins of two rounds."""
+MIN_INTERVAL_MS = 3_000
+"""Minimum time between the starts of two sweeps."""
 
 
 @attrs.define
 class Sweep:
-    """The engines that one round has still to ask."""
+    """Engines that the current sweep has not probed yet."""
 
-    _left: list[str] = attrs.field(factory=list)
-    _began_at: int | None = None
+    _remaining: list[str] = attrs.field(factory=list)
+    _started_at: int | None = None
 
     def begin(
         self, names: Iterable[str], source: random.Random, now: int
     ) -> None:
-        """Begin a round, unless the last one began a moment ago.
+        """Start a sweep, unless the last one has started recently.
 
         Parameters
         ----------
         names : iterable of str
-            Engines to ask.
+            Engines to probe.
         source : random.Random
-            Shuffles them, as several entries may begin a round.
+            Shuffles the engines, as several entries may sweep at once.
         now : int
             Milliseconds of the clock.
         """
-        if self._began_at is not None and now - self._began_at < PAUSE_MS:
+        if (
+            self._started_at is not None
+            and now - self._started_at < MIN_INTERVAL_MS
+        ):
             return
-        self._began_at = now
-        self._left = list(names)
-        source.shuffle(self._left)
+        self._started_at = now
+        self._remaining = list(names)
+        source.shuffle(self._remaining)
 
     def take_next(self) -> list[str]:
-        """Take the engines to ask at this turn."""
-        taken, self._left = self._left[:AT_ONCE], self._left[AT_ONCE:]
-        return taken
+        """Remove and return the engines to probe at this tick."""
+        batch, self._remaining = (
+            self._remaining[:BATCH_SIZE],
+            self._remaining[BATCH_SIZE:],
+        )
+        return batch
--- a/tests/domain/fleet/builders.py
+++ b/tests/domain/fleet/builders.py
@@ -39,7 +39,7 @@
 
 
 def build_server(name: str = 'a-0', **changes: typing.Any) -> messages.Server:
-    """Build a server whose domain is the first part of its name."""
+    """Build a server; its failure domain is the first part of its name."""
     domain, _, number = name.partition('-')
     values: dict[str, typing.Any] = {
         'id': name,
@@ -57,13 +57,13 @@
 def build_engine(
     name: str, kind: str = 'small', first: int = -1, end: int = -1
 ) -> messages.Server:
-    """Build an engine; empty without layers."""
+    """Build an engine; without a range, it has no layers."""
     layers = messages.LayerRange(first, end) if end > 0 else None
     return build_server(name, kind=kind, layers=layers)
 
 
 def build_domain(domain: str) -> list[messages.Server]:
-    """Build the empty engines of a failure domain."""
+    """Build the engines of a failure domain, without layers."""
     return [
         build_engine(f'{domain}-{number}', kind)
         for number, kind in enumerate(DOMAINS[domain])
--- a/tests/domain/fleet/test_events.py
+++ b/tests/domain/fleet/test_events.py
@@ -1,4 +1,4 @@
-"""Tests of whole events of a stream."""
+"""Tests of splitting a stream into complete events."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
     @hypothesis.given(
         strategies.lists(strategies.integers(0, len(STREAM)), max_size=12)
     )
-    def test_passes_whole_events_whatever_the_pieces(self, cuts):
-        """An engine stops in the middle of an event."""
+    def test_forwards_complete_events_for_any_chunks(self, boundaries):
+        """An engine fails in the middle of an event."""
         buffer = events.EventBuffer()
-        passed = b''
-        edges = [0, *sorted(cuts), len(STREAM)]
+        forwarded = b''
+        edges = [0, *sorted(boundaries), len(STREAM)]
         for first, end in itertools.pairwise(edges):
-            passed += buffer.take(STREAM[first:end])
-            self.assertTrue(passed == b'' or passed.endswith(b'\n\n'))
-            self.assertEqual(passed.count(b'\n\n'), buffer.count)
-        self.assertEqual(STREAM, passed)
+            forwarded += buffer.take(STREAM[first:end])
+            self.assertTrue(forwarded == b'' or forwarded.endswith(b'\n\n'))
+            self.assertEqual(forwarded.count(b'\n\n'), buffer.count)
+        self.assertEqual(STREAM, forwarded)
         self.assertEqual('8', buffer.last_id)
 
-    def test_keeps_the_id_of_the_last_whole_event(self):
+    def test_keeps_the_id_of_the_last_complete_event(self):
         buffer = events.EventBuffer()
         buffer.take(b'id: 4\ndata: x\n\nid: 5\nda')
         self.assertEqual('4', buffer.last_id)
--- a/tests/domain/fleet/test_moves.py
+++ b/tests/domain/fleet/test_moves.py
@@ -1,4 +1,4 @@
-"""Tests of what engines keep while they give up layers."""
+"""Tests of the layers that engines retain while they release others."""
 
 from __future__ import annotations
 
@@ -10,44 +10,44 @@
 from thornspool.domain.fleet import moves as moves_module
 
 SERVER = builders.build_engine('a-1', 'small', 10, 20)
-MARK = marks.compute_mark('a-1')
+SERVER_HASH = marks.compute_mark('a-1')
 
 
 class MovesTest(unittest.TestCase):
     def setUp(self):
         self.moves = moves_module.Moves()
 
-    def test_an_engine_without_an_order_keeps_all(self):
+    def test_an_engine_without_an_order_retains_all_layers(self):
         self.assertIs(SERVER, self.moves.narrow(SERVER))
 
-    def test_requests_get_only_what_is_kept(self):
+    def test_an_engine_accepts_requests_for_its_retained_layers(self):
         cases = (
             (messages.LayerRange(12, 20), (12, 20)),
             (messages.LayerRange(10, 15), (10, 15)),
             (None, None),
         )
-        for kept, expected in cases:
-            with self.subTest(kept):
+        for retained, expected in cases:
+            with self.subTest(retained):
                 self.moves = moves_module.Moves()
-                self.assertTrue(self.moves.begin(SERVER, kept))
+                self.assertTrue(self.moves.begin(SERVER, retained))
                 layers = self.moves.narrow(SERVER).layers
                 found = layers and (layers.first, layers.end)
                 self.assertEqual(expected, found)
 
-    def test_an_engine_that_gives_up_nothing_is_not_told(self):
+    def test_an_engine_that_releases_no_layers_is_not_announced(self):
         self.assertFalse(self.moves.begin(SERVER, SERVER.layers))
-        self.assertEqual({}, self.moves.list_known(own_only=True))
+        self.assertEqual({}, self.moves.list_known(local_only=True))
 
-    def test_what_peers_tell_counts_for_a_while(self):
-        """Guards against a layer that stays unused as its leader died."""
-        self.moves.note_told({MARK: (15, 20)}, 0)
+    def test_a_reported_range_expires(self):
+        """Guards against layers that stay unused after the leader has died."""
+        self.moves.note_told({SERVER_HASH: (15, 20)}, 0)
         self.assertEqual(15, self.moves.narrow(SERVER).layers.first)
-        self.assertEqual({}, self.moves.list_known(own_only=True))
-        self.assertIn(MARK, self.moves.list_known(own_only=False))
-        self.moves.forget_old(moves_module.TOLD_MS + 1)
+        self.assertEqual({}, self.moves.list_known(local_only=True))
+        self.assertIn(SERVER_HASH, self.moves.list_known(local_only=False))
+        self.moves.forget_old(moves_module.REPORT_VALID_MS + 1)
         self.assertIs(SERVER, self.moves.narrow(SERVER))
 
-    def test_an_order_that_is_done_is_forgotten(self):
+    def test_a_completed_order_is_removed(self):
         self.moves.begin(SERVER, messages.LayerRange(15, 20))
         self.moves.end('a-1')
         self.assertIs(SERVER, self.moves.narrow(SERVER))
--- a/tests/domain/fleet/test_outliers.py
+++ b/tests/domain/fleet/test_outliers.py
@@ -1,4 +1,4 @@
-"""Tests of the evidence by which engines are ejected."""
+"""Tests of outlier ejection."""
 
 from __future__ import annotations
 
@@ -7,70 +7,73 @@
 from thornspool.domain.fleet import marks
 from thornspool.domain.fleet import outliers as outliers_module
 
-MARK = marks.compute_mark('a-1')
+SERVER_HASH = marks.compute_mark('a-1')
 
 
 class OutliersTest(unittest.TestCase):
     def setUp(self):
         self.outliers = outliers_module.Outliers()
 
-    def test_one_lost_answer_ejects_nobody(self):
+    def test_one_break_ejects_no_engine(self):
         self.outliers.note_break('a-1', 0)
-        self.assertFalse(self.outliers.is_outlier(MARK, 0))
+        self.assertFalse(self.outliers.is_outlier(SERVER_HASH, 0))
 
-    def test_two_breaks_within_the_window_eject(self):
+    def test_two_breaks_within_the_window_eject_an_engine(self):
         self.outliers.note_break('a-1', 0)
         self.outliers.note_break('a-1', outliers_module.WINDOW_MS)
         self.assertTrue(
-            self.outliers.is_outlier(MARK, outliers_module.WINDOW_MS)
+            self.outliers.is_outlier(SERVER_HASH, outliers_module.WINDOW_MS)
         )
 
-    def test_breaks_far_apart_eject_nobody(self):
+    def test_breaks_outside_the_window_eject_no_engine(self):
         self.outliers.note_break('a-1', 0)
         now = outliers_module.WINDOW_MS + 1
         self.outliers.note_break('a-1', now)
-        self.assertFalse(self.outliers.is_outlier(MARK, now))
+        self.assertFalse(self.outliers.is_outlier(SERVER_HASH, now))
 
-    def test_answers_lost_now_and_then_eject_nobody(self):
-        """Guards against a domain that loses its only first engine."""
+    def test_occasional_breaks_eject_no_engine(self):
+        """Guards against an ejection of a domain's only first engine."""
         for number in range(200):
             now = 50 * number
             if number % 10 in {0, 5}:
                 self.outliers.note_break('a-1', now)
-                self.outliers.note_told('h-2', [MARK], now)
-                self.outliers.note_told('h-3', [MARK], now)
+                self.outliers.note_told('h-2', [SERVER_HASH], now)
+                self.outliers.note_told('h-3', [SERVER_HASH], now)
             else:
                 self.outliers.note_success('a-1', now)
             if number > 10:
-                self.assertFalse(self.outliers.is_outlier(MARK, now))
+                self.assertFalse(self.outliers.is_outlier(SERVER_HASH, now))
 
     def test_breaks_of_two_entries_count_together(self):
         self.outliers.note_break('a-1', 0)
-        self.assertEqual({MARK}, self.outliers.note_told('h-2', [MARK], 10))
-        self.assertTrue(self.outliers.is_outlier(MARK, 10))
+        self.assertEqual(
+            {SERVER_HASH}, self.outliers.note_told('h-2', [SERVER_HASH], 10)
+        )
+        self.assertTrue(self.outliers.is_outlier(SERVER_HASH, 10))
 
-    def test_one_break_told_again_and_again_counts_once(self):
-        for now in range(0, outliers_module.TELL_MS, 100):
-            self.outliers.note_told('h-2', [MARK], now)
-        self.assertFalse(self.outliers.is_outlier(MARK, 400))
+    def test_a_break_reported_several_times_counts_once(self):
+        for now in range(0, outliers_module.ANNOUNCE_MS, 100):
+            self.outliers.note_told('h-2', [SERVER_HASH], now)
+        self.assertFalse(self.outliers.is_outlier(SERVER_HASH, 400))
 
-    def test_an_entry_with_a_broken_link_blames_no_engine(self):
-        """Guards against a host that is cut off ejecting a sound fleet."""
+    def test_breaks_on_many_engines_are_attributed_to_the_local_link(self):
+        """Guards against an isolated host that ejects healthy engines."""
         for number in range(20):
             self.outliers.note_break(f'a-{number % 5}', number)
         self.assertLessEqual(
-            len(self.outliers.list_fresh(20)), outliers_module.OWN_FAULT - 1
+            len(self.outliers.list_fresh(20)),
+            outliers_module.LOCAL_FAULT_ENGINES - 1,
         )
 
-    def test_an_answer_restores_trust_in_the_own_link(self):
+    def test_an_answer_resets_the_count_of_consecutive_engines(self):
         for number in range(6):
             self.outliers.note_break(f'a-{number}', 0)
             self.outliers.note_success('a-9', 0)
         self.assertEqual(6, len(self.outliers.list_fresh(0)))
 
-    def test_what_is_old_is_forgotten(self):
+    def test_old_breaks_expire(self):
         self.outliers.note_break('a-1', 0)
-        self.assertTrue(self.outliers.has_broken(MARK))
-        self.outliers.forget_old(outliers_module.REMEMBER_MS + 1)
-        self.assertFalse(self.outliers.has_broken(MARK))
+        self.assertTrue(self.outliers.has_broken(SERVER_HASH))
+        self.outliers.forget_old(outliers_module.RETENTION_MS + 1)
+        self.assertFalse(self.outliers.has_broken(SERVER_HASH))
         self.assertEqual((), self.outliers.list_fresh(0))
--- a/tests/domain/fleet/test_paces.py
+++ b/tests/domain/fleet/test_paces.py
@@ -1,4 +1,4 @@
-"""Tests of what is known of slow engines."""
+"""Tests of the slowdown factors of engines."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 class PacesTest(unittest.TestCase):
     def setUp(self):
         self.paces = paces_module.Paces()
-        self.mark = marks.compute_mark('a-1')
+        self.server_hash = marks.compute_mark('a-1')
 
-    def test_counts_for_a_while(self):
-        """An engine was slow and is not asked any more."""
+    def test_a_factor_expires(self):
+        """An engine was slow and is no longer probed."""
         self.paces.note('a-1', 5.0, 0)
         self.assertEqual({'a-1': 5.0}, self.paces.select(['a-1', 'a-2'], 10))
         after = paces_module.VALID_MS + 1
@@ -22,18 +22,18 @@
         self.paces.forget_old(after)
         self.assertFalse(self.paces.is_fresh('a-1', after, 10_000))
 
-    def test_a_fast_one_is_no_faster_than_expected(self):
+    def test_the_factor_of_a_fast_engine_is_one(self):
         self.paces.note('a-1', 0.5, 0)
         self.assertEqual(1.0, self.paces.get('a-1', 0))
 
-    def test_what_was_passed_on_is_not_passed_on_again(self):
-        """Two collectors tell each other of a slow engine."""
-        self.paces.note_told({self.mark: 5.0}, 0, direct=False)
+    def test_a_forwarded_factor_is_not_forwarded_again(self):
+        """Two collectors send each other the factor of a slow engine."""
+        self.paces.note_told({self.server_hash: 5.0}, 0, direct=False)
         self.assertEqual({}, self.paces.list_slow(0, direct_only=True))
-        told = self.paces.list_slow(0, direct_only=False)
-        self.assertEqual({self.mark: 5.0}, told)
+        announced = self.paces.list_slow(0, direct_only=False)
+        self.assertEqual({self.server_hash: 5.0}, announced)
 
-    def test_old_word_does_not_replace_a_fresh_answer(self):
+    def test_a_report_does_not_replace_a_recent_probe(self):
         self.paces.note('a-1', 1.0, 0)
-        self.paces.note_told({self.mark: 5.0}, 500, direct=False)
+        self.paces.note_told({self.server_hash: 5.0}, 500, direct=False)
         self.assertEqual(1.0, self.paces.get('a-1', 500))
--- a/tests/domain/fleet/test_sweeps.py
+++ b/tests/domain/fleet/test_sweeps.py
@@ -1,4 +1,4 @@
-"""Tests of rounds of questions to all engines."""
+"""Tests of sweeps, which probe all engines."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
         self.sweep = sweeps.Sweep()
         self.source = random.Random(1)
 
-    def test_all_engines_are_asked_a_few_at_a_time(self):
+    def test_a_sweep_probes_all_engines_in_batches(self):
         self.sweep.begin(NAMES, self.source, 0)
-        turns = [self.sweep.take_next() for _ in range(4)]
-        self.assertEqual([10, 10, 5, 0], [len(one) for one in turns])
-        self.assertEqual(sorted(NAMES), sorted(itertools.chain(*turns)))
+        batches = [self.sweep.take_next() for _ in range(4)]
+        self.assertEqual([10, 10, 5, 0], [len(one) for one in batches])
+        self.assertEqual(sorted(NAMES), sorted(itertools.chain(*batches)))
 
-    def test_rounds_do_not_follow_each_other_at_once(self):
-        """Guards against a slow fleet that is asked without end."""
+    def test_sweeps_keep_a_minimum_interval(self):
+        """Guards against endless sweeps of a fleet that stays slow."""
         self.sweep.begin(NAMES, self.source, 0)
         while self.sweep.take_next():
             pass
-        self.sweep.begin(NAMES, self.source, sweeps.PAUSE_MS - 1)
+        self.sweep.begin(NAMES, self.source, sweeps.MIN_INTERVAL_MS - 1)
         self.assertEqual([], self.sweep.take_next())
-        self.sweep.begin(NAMES, self.source, sweeps.PAUSE_MS)
+        self.sweep.begin(NAMES, self.source, sweeps.MIN_INTERVAL_MS)
         self.assertTrue(self.sweep.take_next())
--- a/tests/domain/fleet/test_timings.py
+++ b/tests/domain/fleet/test_timings.py
@@ -1,4 +1,4 @@
-"""Tests of how the time of a stream is told."""
+"""Tests of the timing of a stream."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
     def setUp(self):
         self.timing = timings.StreamTiming()
 
-    def test_an_undisturbed_stream_names_its_engines(self):
+    def test_an_undisturbed_stream_attributes_its_time_to_the_engines(self):
         for now in (50, 90, 190, 230):
             self.timing.note_event(now)
         self.assertEqual('engines', self.timing.first_cause)
         self.assertEqual(100, self.timing.longest_pause_ms)
         self.assertEqual('engines', self.timing.pause_cause)
 
-    def test_the_first_disturbance_of_a_pause_is_its_cause(self):
+    def test_the_first_disturbance_of_an_interval_is_its_cause(self):
         self.timing.note_event(0)
         self.timing.note_disturbance('engine_lost')
         self.timing.note_disturbance('refused_by_engine_503')
@@ -29,7 +29,7 @@
             (self.timing.pause_cause, self.timing.longest_pause_ms),
         )
 
-    def test_a_wait_for_room_delays_the_first_event(self):
+    def test_a_wait_for_capacity_delays_the_first_event(self):
         self.timing.note_wait(10)
         self.timing.note_wait(35)
         self.timing.note_send(60)
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -180,7 +180,11 @@
         ),
     ),
     'refusal-backoff': (
-        Edit(f'{_FLEET}/refusals.py', 'FIRST_MS = 300\n', 'FIRST_MS = 0\n'),
+        Edit(
+            f'{_FLEET}/refusals.py',
+            'INITIAL_BACKOFF_MS = 300\n',
+            'INITIAL_BACKOFF_MS = 0\n',
+        ),
     ),
     'paces': (Edit(f'{_FLEET}/paces.py', 'SLOW = 1.5\n', 'SLOW = 1e9\n'),),
     'noise-in-costs': (
