--- a/src/thornspool/domain/retries/backoff.py
+++ b/src/thornspool/domain/retries/backoff.py
@@ -6,31 +6,31 @@
 
 from __future__ import annotations
 
-_LARGEST_EXPONENT = 30
+_MAX_EXPONENT = 30
 
 
 def compute_delay(
     attempt: int, base_ms: int, cap_ms: int, fraction: float
 ) -> int:
-    """Compute the wait before an attempt.
+    """Compute the delay before the next attempt.
 
     Parameters
     ----------
     attempt : int
-        Number of failures so far, from 0.
+        Number of earlier failures, from 0.
     base_ms : int
-        Upper bound of the first wait, in milliseconds.
+        Upper bound of the first delay, in milliseconds.
     cap_ms : int
-        Upper bound of every wait, in milliseconds.
+        Upper bound of every delay, in milliseconds.
     fraction : float
         A random number from 0 to 1, drawn by the caller.
 
     Returns
     -------
     int
-        Milliseconds, spread evenly under the exponential bound, so that
-        callers that failed together do not come back together.
+        Milliseconds, distributed uniformly below the exponential bound, so
+        that callers that failed together do not retry together.
     """
-    exponent = min(max(attempt, 0), _LARGEST_EXPONENT)
+    exponent = min(max(attempt, 0), _MAX_EXPONENT)
     bound = min(cap_ms, base_ms << exponent)
     return int(bound * fraction)
--- a/src/thornspool/domain/retries/budget.py
+++ b/src/thornspool/domain/retries/budget.py
@@ -1,7 +1,7 @@
-"""A budget that keeps retries a share of recent successes.
+"""Retry budget: limits retries to a share of recent successes.
 
-Retries multiply load exactly when a target group has least capacity; one
-notices by attempts that grow while answers fall. With a budget the
+Retries multiply the load of a target group when its capacity is lowest: the
+number of attempts grows while the number of answers falls. With a budget, the
 attempts stay within requests + share * successes + burst + floor * time.
 """
 
@@ -18,28 +18,28 @@
 
 @attrs.define
 class RetryBudget:
-    """Tokens of one target group; a retry costs one.
+    """Tokens of one target group; a retry costs one token.
 
     Attributes
     ----------
     share : float
-        Tokens gained with each success.
+        Tokens added per success.
     bucket : TokenBucket
-        Holds the tokens and gains the floor; its burst forgets successes
-        that are not recent.
+        Bucket that is refilled at the floor rate. Its burst limits how many
+        tokens earlier successes can accumulate.
     """
 
     share: float
     bucket: buckets.TokenBucket
 
     def record_success(self, now: int) -> None:
-        """Note a success at a time in monotonic milliseconds."""
+        """Record a success at a time in monotonic milliseconds."""
         self.bucket.refill(now)
         level = self.bucket.level + self.share
         self.bucket.level = min(self.bucket.burst, level)
 
     def spend(self, now: int) -> bool:
-        """Take the price of one retry; False when it is not there."""
+        """Spend a token on a retry; return False without one."""
         return self.bucket.take(1.0, now)
 
 
@@ -49,6 +49,18 @@
     floor_per_s: float = DEFAULT_FLOOR_PER_S,
     burst: float = DEFAULT_BURST,
 ) -> RetryBudget:
-    """Build a full budget."""
+    """Build a full budget.
+
+    Parameters
+    ----------
+    now : int
+        Monotonic milliseconds.
+    share : float, optional
+        Tokens added per success.
+    floor_per_s : float, optional
+        Tokens added per second.
+    burst : float, optional
+        Maximum number of tokens.
+    """
     bucket = buckets.build_bucket(floor_per_s, burst, now)
     return RetryBudget(share, bucket)
--- a/src/thornspool/domain/retries/decisions.py
+++ b/src/thornspool/domain/retries/decisions.py
@@ -1,4 +1,4 @@
-"""Whether a failed attempt is tried again, and when."""
+"""Decides whether and when a failed attempt is retried."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 @attrs.frozen
 class RetryPolicy:
-    """Bounds of the retries of one request.
+    """Limits on the retries of one request.
 
     Attributes
     ----------
     max_attempts : int
-        Attempts in all, the first included.
+        Maximum number of attempts, including the first.
     base_ms, cap_ms : int
-        Bounds of the waits, in milliseconds.
+        Bounds of the first and of every delay, in milliseconds.
     """
 
     max_attempts: int = 4
@@ -40,38 +40,37 @@
     fraction: float,
     policy: RetryPolicy = DEFAULT_POLICY,
 ) -> messages.Decision:
-    """Decide on a failed attempt.
+    """Decide whether to retry a failed attempt.
 
     Parameters
     ----------
     failure : Failure
-        What failed.
+        The failed attempt.
     budget : RetryBudget
-        Budget of the target group; charged only when the answer is to try
-        again.
+        Budget of the target group; charged only for a retry.
     now : int
         Monotonic milliseconds.
     fraction : float
         A random number from 0 to 1, drawn by the caller.
     policy : RetryPolicy, optional
-        Bounds.
+        Limits of attempts and delays.
 
     Returns
     -------
-    Retry or GiveUp
-        What to do.
+    Retry or Abandon
+        The decision.
     """
-    # A second run of a hold or a payout is the failure that callers pay
-    # for; it shows as a doubled booking, so no budget can buy it.
+    # A second run of a hold or a payout causes a duplicate booking at the
+    # caller's cost. Such an attempt is never retried, whatever the budget.
     if failure.fate is messages.Fate.MAY_HAVE_RUN and not failure.idempotent:
-        return messages.GiveUp(messages.Reason.MAY_HAVE_RUN)
+        return messages.Abandon(messages.AbandonReason.MAY_HAVE_RUN)
     if failure.attempts >= policy.max_attempts:
-        return messages.GiveUp(messages.Reason.ATTEMPTS)
+        return messages.Abandon(messages.AbandonReason.ATTEMPTS)
     delay = backoff.compute_delay(
         failure.attempts - 1, policy.base_ms, policy.cap_ms, fraction
     )
     if now + delay + failure.estimated_ms >= failure.deadline:
-        return messages.GiveUp(messages.Reason.DEADLINE)
+        return messages.Abandon(messages.AbandonReason.DEADLINE)
     if not budget.spend(now):
-        return messages.GiveUp(messages.Reason.BUDGET)
+        return messages.Abandon(messages.AbandonReason.BUDGET)
     return messages.Retry(delay)
--- a/src/thornspool/domain/retries/messages.py
+++ b/src/thornspool/domain/retries/messages.py
@@ -1,4 +1,4 @@
-"""Typed messages about retries."""
+"""Failed attempts and the decisions on their retries."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class Fate(enum.Enum):
-    """What is known of an attempt that failed."""
+    """Whether a failed attempt may have been executed."""
 
     NOT_RUN = 'not run'
     MAY_HAVE_RUN = 'may have run'
 
 
-class Reason(enum.Enum):
-    """Why a request is not tried again."""
+class AbandonReason(enum.Enum):
+    """Reason why a request is not retried."""
 
     MAY_HAVE_RUN = 'may have run'
     ATTEMPTS = 'attempts'
@@ -30,15 +30,15 @@
     Attributes
     ----------
     fate : Fate
-        Whether it may have run.
+        Whether it may have been executed.
     idempotent : bool
-        Whether running it twice is harmless.
+        Whether the request can be executed twice without harm.
     attempts : int
-        Attempts made so far, at least 1.
+        Number of attempts, at least 1.
     deadline : int
-        Monotonic milliseconds by which the caller wants the answer.
+        Monotonic milliseconds by which the caller needs the answer.
     estimated_ms : int
-        Expected time of one attempt, in milliseconds.
+        Expected duration of one attempt, in milliseconds.
     """
 
     fate: Fate
@@ -50,16 +50,16 @@
 
 @attrs.frozen
 class Retry:
-    """Try again after a wait in milliseconds."""
+    """Retry the request after a delay in milliseconds."""
 
     delay_ms: int
 
 
 @attrs.frozen
-class GiveUp:
-    """Give the caller its final answer now."""
+class Abandon:
+    """Return the final answer to the caller without a retry."""
 
-    reason: Reason
+    reason: AbandonReason
 
 
-Decision = Retry | GiveUp
+Decision = Retry | Abandon
--- a/src/thornspool/domain/retries/pools.py
+++ b/src/thornspool/domain/retries/pools.py
@@ -1,14 +1,14 @@
-"""Repeated sends that all entries share, over a sliding window.
+"""Retry budget that all entries share, over a sliding window.
 
-All entries together may send a service a bounded number of requests again.
-Without a bound, a service that fails under load is hit hardest just then;
-one notices by arrivals that grow while answers fall.
+The number of retries that all entries together send to a service is limited.
+Without a limit, a service that fails under load gets the most requests just
+then: the number of arrivals grows while the number of answers falls.
 
-Failures come to few entries at a time, so equal parts for the whole window
-waste most of it. So entries
-tell each other how many requests and repeats they have had, and each may
-take an equal part of what is left, within the time that such news take. Were
-all entries to take theirs at once, the bound would still hold.
+Failures affect few entries at a time, so that fixed equal shares of the window
+would leave most of the budget unused. Entries therefore report their numbers
+of requests and retries to each other. Each may use an equal share of the
+remaining budget within the time in which a report reaches all entries. The
+limit holds even if all entries use their shares at once.
 """
 
 from __future__ import annotations
@@ -19,33 +19,39 @@
 import attrs
 import xxhash
 
-SETTLE_MS = 1_200
-"""Time in which news reach every entry: three turns of 400 ms, over the
-collectors of two failure domains."""
+PROPAGATION_MS = 1_200
+"""Time in which a report reaches every entry.
 
-TOLD_MS = 3_000
-"""Age past which what others told counts no longer; equal parts of the whole
-window hold without a word between entries."""
+It passes the collectors of two failure domains, in three update intervals of
+400 ms.
+"""
+
+REPORT_VALID_MS = 3_000
+"""Time for which the report of the other entries is valid.
+
+After it, each entry uses an equal share of the whole window, which keeps the
+limit without any reports.
+"""
 
 
-REMEMBER_MS = 5_000
-"""Time for which the most that others told of counts.
+PEAK_RETENTION_MS = 5_000
+"""Time for which the maximum number of reported retries is retained.
 
-An entry that is killed takes its own count with it, and its repeats still
-stand in the service's window: where half of the entries restarted at once,
-the others took their repeats for unused.
+The count of a killed entry is lost, while its retries are still in the window
+of the service. When half of the entries restarted at once, the others treated
+the retries of these as unused.
 """
 
 
-_DRAWS = 2.0**32
+_HASH_RANGE = 2.0**32
 
-SAMPLE_MS = 250
-"""Interval at which the requests of the window are remembered."""
+SAMPLE_INTERVAL_MS = 250
+"""Interval at which the number of requests in the window is sampled."""
 
 
 @attrs.frozen
 class Work:
-    """Requests and repeats of one service in the last window."""
+    """Numbers of requests and retries of one service in the last window."""
 
     requests: float
     repeats: float
@@ -53,21 +59,21 @@
 
 @attrs.define
 class RepeatPool:
-    """Requests and repeats of one service.
+    """Requests and retries of one service.
 
     Attributes
     ----------
     ratio : float
-        Repeats allowed for each request.
+        Retries allowed per request.
     slack : float
-        Repeats allowed besides, over all entries.
+        Additional retries allowed per window, over all entries.
     window_ms : int
         Length of the window in milliseconds.
     entries : int
-        Entries that share it.
+        Number of entries that share the budget.
     seed : int
-        Differs between entries; decides whose turn it is when less than one
-        repeat is left for each.
+        Differs between entries; determines which of them may retry when the
+        remaining budget is less than one retry for each.
     """
 
     ratio: float
@@ -76,115 +82,132 @@
     entries: int = 1
     seed: int = 0
     _others: Work | None = attrs.field(default=None, init=False)
-    _others_at: int = attrs.field(default=0, init=False)
-    _told: collections.deque[tuple[int, float]] = attrs.field(
+    _reported_at: int = attrs.field(default=0, init=False)
+    _others_retries: collections.deque[tuple[int, float]] = attrs.field(
         factory=collections.deque, init=False
     )
-    _seen: collections.deque[tuple[int, float]] = attrs.field(
+    _samples: collections.deque[tuple[int, float]] = attrs.field(
         factory=collections.deque, init=False
     )
-    _requests: collections.deque[int] = attrs.field(
+    _request_times: collections.deque[int] = attrs.field(
         factory=collections.deque, init=False
     )
-    _repeats: collections.deque[int] = attrs.field(
+    _retry_times: collections.deque[int] = attrs.field(
         factory=collections.deque, init=False
     )
 
     def record_request(self, now: int) -> None:
-        """Note the first send of a request."""
-        self._requests.append(now)
-        self._forget(now)
+        """Record the first attempt of a request."""
+        self._request_times.append(now)
+        self._drop_expired(now)
 
     def take_others(self, work: Work, now: int) -> None:
-        """Take what all other entries have had."""
-        self._told.append((now, work.repeats))
-        while self._told[0][0] <= now - REMEMBER_MS:
-            self._told.popleft()
-        most = max(repeats for _, repeats in self._told)
-        self._others = Work(work.requests, most)
-        self._others_at = now
-        if not self._seen or now - self._seen[-1][0] >= SAMPLE_MS:
+        """Apply the reported numbers of all other entries."""
+        self._others_retries.append((now, work.repeats))
+        while self._others_retries[0][0] <= now - PEAK_RETENTION_MS:
+            self._others_retries.popleft()
+        peak = max(retries for _, retries in self._others_retries)
+        self._others = Work(work.requests, peak)
+        self._reported_at = now
+        if (
+            not self._samples
+            or now - self._samples[-1][0] >= SAMPLE_INTERVAL_MS
+        ):
             total = self.count(now).requests + work.requests
-            self._seen.append((now, total))
-        while self._seen[0][0] < now - self.window_ms - 2 * SAMPLE_MS:
-            self._seen.popleft()
+            self._samples.append((now, total))
+        while (
+            self._samples[0][0] < now - self.window_ms - 2 * SAMPLE_INTERVAL_MS
+        ):
+            self._samples.popleft()
 
     def count(self, now: int) -> Work:
-        """Count what this entry has had."""
-        self._forget(now)
-        return Work(len(self._requests), len(self._repeats))
+        """Count this entry's requests and retries in the window."""
+        self._drop_expired(now)
+        return Work(len(self._request_times), len(self._retry_times))
 
     def count_requests(self, now: int) -> float:
-        """Count the requests of all entries, as far as this one knows."""
-        own = self.count(now).requests
+        """Count the requests of all entries in the window.
+
+        Without a valid report, the number is estimated from this entry's own
+        requests.
+        """
+        local = self.count(now).requests
         others = self._others
-        if others is None or now - self._others_at > TOLD_MS:
-            return own * self.entries
-        return own + others.requests
+        if others is None or now - self._reported_at > REPORT_VALID_MS:
+            return local * self.entries
+        return local + others.requests
 
-    def has_room(self, now: int, part: float = 1.0) -> bool:
-        """Tell whether one more repeat fits.
+    def has_room(self, now: int, limit_share: float = 1.0) -> bool:
+        """Tell whether the budget allows one more retry of this entry.
 
         Parameters
         ----------
         now : int
             Milliseconds of the clock.
-        part : float, optional
-            Part of what is allowed that the asker may fill.
+        limit_share : float, optional
+            Share of the budget that may be used up.
         """
-        self._forget(now)
+        self._drop_expired(now)
         others = self._others
-        if others is None or now - self._others_at > TOLD_MS:
-            return self._fits_alone(part)
-        recent = sum(1 for at in self._repeats if at > now - SETTLE_MS)
-        requests = self._count_most(len(self._requests) + others.requests, now)
-        allowed = part * (self.slack + self.ratio * requests)
-        settled = len(self._repeats) - recent + others.repeats
+        if others is None or now - self._reported_at > REPORT_VALID_MS:
+            return self._fits_equal_share(limit_share)
+        recent = sum(
+            1 for at in self._retry_times if at > now - PROPAGATION_MS
+        )
+        requests = self._find_peak_requests(
+            len(self._request_times) + others.requests, now
+        )
+        allowed = limit_share * (self.slack + self.ratio * requests)
+        settled = len(self._retry_times) - recent + others.repeats
         share = (allowed - settled) / self.entries
-        return recent + 1 <= math.floor(share) + self._has_turn(share, now)
+        return recent + 1 <= math.floor(share) + self._may_round_up(share, now)
 
-    def _has_turn(self, share: float, now: int) -> bool:
-        """Tell whether this entry may take one more than its whole share.
+    def _may_round_up(self, share: float, now: int) -> bool:
+        """Tell whether this entry may round its share up.
 
-        Rounded down everywhere, a large fleet would leave up to one repeat
-        of each entry unused.
+        The result is drawn anew in each propagation interval. If all entries
+        rounded their shares down, a large fleet would leave up to one retry
+        per entry unused.
         """
-        turn = now // SETTLE_MS
-        drawn = xxhash.xxh32_intdigest(f'{self.seed} {turn}'.encode()) / _DRAWS
+        interval = now // PROPAGATION_MS
+        drawn = (
+            xxhash.xxh32_intdigest(f'{self.seed} {interval}'.encode())
+            / _HASH_RANGE
+        )
         return drawn < share - math.floor(share)
 
-    def _count_most(self, requests: float, now: int) -> float:
-        """Return the requests by which the repeats of a window are bounded.
+    def _find_peak_requests(self, requests: float, now: int) -> float:
+        """Return the number of requests that determines the retry limit.
 
-        Those of this window, of the one before it, or of the one half a
-        window before it, whichever are most. Just after an outage few have
-        come, and callers whose engines were lost meanwhile would be refused
-        for want of repeats.
+        It is the maximum over the current window, the window before it and
+        the one half a window before it. Few requests arrive in a window just
+        after an outage; with these alone, callers whose engines failed during
+        the outage would be refused without a retry.
         """
-        before = [
+        earlier = [
             total
-            for at, total in self._seen
+            for at, total in self._samples
             if any(
-                abs(now - ago - at) <= SAMPLE_MS
-                for ago in (self.window_ms // 2, self.window_ms)
+                abs(now - age - at) <= SAMPLE_INTERVAL_MS
+                for age in (self.window_ms // 2, self.window_ms)
             )
         ]
-        return max([requests, *before])
+        return max([requests, *earlier])
 
-    def take_repeat(self, now: int, part: float = 1.0) -> bool:
-        """Take one repeat; False when the share is used up."""
-        if not self.has_room(now, part):
+    def take_repeat(self, now: int, limit_share: float = 1.0) -> bool:
+        """Acquire one retry; return False when the share is used up."""
+        if not self.has_room(now, limit_share):
             return False
-        self._repeats.append(now)
+        self._retry_times.append(now)
         return True
 
-    def _fits_alone(self, part: float) -> bool:
-        """Tell whether a repeat fits into an equal part of the window."""
+    def _fits_equal_share(self, limit_share: float) -> bool:
+        """Tell whether an equal share of the window allows one more retry."""
         slack = self.slack / self.entries
-        allowed = part * (slack + self.ratio * len(self._requests))
-        return len(self._repeats) + 1 <= allowed
+        allowed = limit_share * (slack + self.ratio * len(self._request_times))
+        return len(self._retry_times) + 1 <= allowed
 
-    def _forget(self, now: int) -> None:
-        for times in (self._requests, self._repeats):
+    def _drop_expired(self, now: int) -> None:
+        for times in (self._request_times, self._retry_times):
             while times and times[0] <= now - self.window_ms:
                 times.popleft()
--- a/src/thornspool/domain/routing/messages.py
+++ b/src/thornspool/domain/routing/messages.py
@@ -1,4 +1,4 @@
-"""The operators' configuration, and how a request is matched with it."""
+"""The operators' configuration, and the matching of requests with it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Kind(enum.Enum):
-    """What may be repeated of a request."""
+    """Kind of request, which determines what may be retried."""
 
     IDEMPOTENT = 'idempotent'
     NON_IDEMPOTENT = 'non_idempotent'
@@ -21,7 +21,7 @@
 
 @attrs.frozen
 class Share:
-    """A service's part of the traffic of a route."""
+    """Weight of a service in the traffic of a route."""
 
     service: str
     weight: float
@@ -29,32 +29,32 @@
 
 @attrs.frozen
 class Route:
-    """Where requests of one host and path prefix go.
+    """Route of the requests with one host and path prefix.
 
     Attributes
     ----------
     name : str
-        Its name.
+        Name of the route.
     host, prefix : str
-        What it matches.
+        Host and path prefix of the matched requests.
     kind : Kind
-        What may be repeated.
+        Kind of the requests.
     shares : tuple of Share
-        Services that take its requests.
+        Services that serve the requests, with their weights.
     timeout_ms : int
-        Longest time that a caller may be kept waiting.
+        Maximum time for which a caller may wait, in milliseconds.
     target_latency_ms : int
-        Time to an answer, or to the first event, that callers aim at.
+        Target time to the answer or to the first event, in milliseconds.
     target_gap_ms : int
-        Longest pause between events that callers aim at; 0 for none.
+        Target for the longest event interval, in milliseconds; 0 for none.
     priority : int
-        Rank; 0 goes first.
+        Priority; 0 is the highest.
     attempts : int
-        Most servers that one request may run on.
+        Maximum number of servers on which one request may run.
     anonymous : bool
-        Whether it needs no key.
+        Whether requests need no key.
     resumable : bool
-        Whether a stream may go on at another server.
+        Whether a stream may be resumed at another server.
     """
 
     name: str
@@ -80,14 +80,14 @@
 
 @attrs.frozen
 class Workspace:
-    """Whom a key belongs to.
+    """Owner of a key.
 
     Attributes
     ----------
     name : str
-        Its name.
+        Name of the workspace.
     priority : int or None
-        Takes precedence over a route's.
+        Priority that overrides the route's; None for the route's.
     """
 
     name: str
@@ -96,12 +96,12 @@
 
 @attrs.frozen
 class Service:
-    """A group of equal servers.
+    """A group of servers that serve the same requests.
 
     Attributes
     ----------
     name : str
-        Its name.
+        Name of the service.
     model : fleet.Model or None
         The model that its engines share; None for a plain service.
     """
@@ -112,22 +112,22 @@
 
 @attrs.frozen
 class Configuration:
-    """One version of the configuration, whole.
+    """One complete version of the configuration.
 
     Attributes
     ----------
     version : int
-        Grows with each change.
+        Number that increases with each change.
     routes : dict of str to tuple of Route
-        By host, longest prefix first.
+        Routes by host, longest prefix first.
     services : dict of str to Service
-        By name.
+        Services by name.
     workspaces : dict of str to Workspace
-        By key.
+        Workspaces by key.
     needs_keys : bool
-        Whether requests of routes that are not anonymous carry a key.
+        Whether requests of routes that are not anonymous need a key.
     max_body_bytes : int
-        Largest request body.
+        Maximum size of a request body, in bytes.
     """
 
     version: int
@@ -138,7 +138,7 @@
     max_body_bytes: int
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Find the route with the longest prefix that begins a path."""
+        """Find the route with the longest prefix that matches a path."""
         for route in self.routes.get(host, ()):
             if path.startswith(route.prefix):
                 return route
@@ -164,12 +164,17 @@
     route : Route
         A route with at least one share.
     point : float
-        Random number from 0 to under 1.
+        Random number from 0 to less than 1.
+
+    Returns
+    -------
+    str
+        Name of the service.
     """
     total = sum(one.weight for one in route.shares)
-    left = point * total
+    remaining = point * total
     for one in route.shares:
-        left -= one.weight
-        if left < 0:
+        remaining -= one.weight
+        if remaining < 0:
             return one.service
     return route.shares[-1].service
--- a/tests/domain/retries/test_pools.py
+++ b/tests/domain/retries/test_pools.py
@@ -1,4 +1,4 @@
-"""Tests of the repeats that all entries share."""
+"""Tests of the retry budget that all entries share."""
 
 from __future__ import annotations
 
@@ -8,60 +8,60 @@
 from thornspool.domain.retries import pools
 
 
-class AloneTest(unittest.TestCase):
-    """An entry that hears nothing of the others."""
+class EqualShareTest(unittest.TestCase):
+    """An entry without a valid report of the other entries."""
 
-    def test_no_window_holds_more_than_its_share(self):
-        """A service fails every request for a while."""
+    def test_no_window_exceeds_the_retry_limit(self):
+        """A service fails every request for several seconds."""
         source = random.Random(5)
         pool = pools.RepeatPool(0.2, 10.0, 1_000)
-        requests, repeats = [], []
+        requests, retries = [], []
         for now in range(0, 6_000, 3):
             if source.random() < 0.3:
                 pool.record_request(now)
                 requests.append(now)
             if pool.take_repeat(now):
-                repeats.append(now)
+                retries.append(now)
             counted = [at for at in requests if at > now - 1_000]
-            taken = [at for at in repeats if at > now - 1_000]
-            self.assertLessEqual(len(taken), 10.0 + 0.2 * len(counted) + 12)
+            acquired = [at for at in retries if at > now - 1_000]
+            self.assertLessEqual(len(acquired), 10.0 + 0.2 * len(counted) + 12)
 
-    def test_room_comes_back_as_the_window_slides(self):
+    def test_retries_leave_the_sliding_window(self):
         pool = pools.RepeatPool(0.0, 2.0, 1_000)
         self.assertTrue(pool.take_repeat(0))
         self.assertTrue(pool.take_repeat(10))
         self.assertFalse(pool.take_repeat(999))
         self.assertTrue(pool.take_repeat(1_000))
 
-    def test_the_slack_is_shared_by_all_entries(self):
+    def test_the_slack_is_divided_between_all_entries(self):
         pool = pools.RepeatPool(0.0, 20.0, 1_000, entries=10)
-        taken = sum(pool.take_repeat(now) for now in range(50))
-        self.assertEqual(2, taken)
+        acquired = sum(pool.take_repeat(now) for now in range(50))
+        self.assertEqual(2, acquired)
 
-    def test_old_word_of_the_others_counts_no_longer(self):
-        """The collector is lost, and with it what the others have had."""
+    def test_an_outdated_report_is_ignored(self):
+        """The collector fails, and no further reports arrive."""
         pool = pools.RepeatPool(0.0, 20.0, 10_000, entries=10)
         pool.take_others(pools.Work(0.0, 0.0), 0)
-        late = pools.TOLD_MS + 1
-        taken = sum(pool.take_repeat(late + now) for now in range(5_000))
-        self.assertEqual(2, taken)
+        late = pools.REPORT_VALID_MS + 1
+        acquired = sum(pool.take_repeat(late + now) for now in range(5_000))
+        self.assertEqual(2, acquired)
 
 
 class OutageTest(unittest.TestCase):
-    def test_the_requests_of_the_window_before_count(self):
-        """The store was away, and for 10 s few requests reached a server."""
+    def test_the_requests_of_the_previous_window_count(self):
+        """For 10 s, the store is unavailable and few requests are served."""
         pool = pools.RepeatPool(0.2, 0.0, 10_000)
-        taken = 0
+        acquired = 0
         for now in range(0, 21_000, 100):
             if now < 10_000:
                 pool.record_request(now)
             pool.take_others(pools.Work(0.0, 0.0), now)
             if now >= 14_000 and pool.take_repeat(now):
-                taken += 1
-        self.assertGreaterEqual(taken, 18)
-        self.assertLessEqual(taken, 20)
+                acquired += 1
+        self.assertGreaterEqual(acquired, 18)
+        self.assertLessEqual(acquired, 20)
 
-    def test_requests_of_long_ago_do_not(self):
+    def test_requests_of_earlier_windows_do_not_count(self):
         pool = pools.RepeatPool(0.2, 0.0, 10_000)
         for now in range(0, 31_000, 100):
             if now < 10_000:
@@ -71,39 +71,51 @@
 
 
 class RestartTest(unittest.TestCase):
-    def test_repeats_of_entries_that_were_killed_still_count(self):
-        """Half of all entries are killed and start anew."""
+    def test_the_retries_of_killed_entries_still_count(self):
+        """Half of all entries are killed and restart without their counts."""
         pool = pools.RepeatPool(0.0, 100.0, 10_000, entries=2)
         pool.take_others(pools.Work(0.0, 99.0), 0)
         pool.take_others(pools.Work(0.0, 0.0), 400)
         self.assertFalse(pool.take_repeat(500))
-        late = pools.REMEMBER_MS + 400
+        late = pools.PEAK_RETENTION_MS + 400
         pool.take_others(pools.Work(0.0, 0.0), late)
         self.assertTrue(pool.take_repeat(late))
 
 
 class SharedTest(unittest.TestCase):
-    def play(self, entries, demand, news_ms, seconds=30):
-        """Let entries take repeats; returns their times."""
+    def simulate(self, entries, demand, delay_ms, seconds=30):
+        """Simulate entries; return the times of retries and requests.
+
+        Parameters
+        ----------
+        entries : int
+            Number of entries.
+        demand : callable
+            Returns the probability of a retry of an entry at a time.
+        delay_ms : int
+            Time in which a report reaches all entries.
+        seconds : int, optional
+            Simulated time.
+        """
         source = random.Random(7)
         fleet = [
             pools.RepeatPool(0.2, 250.0, 10_000, entries, number)
             for number in range(entries)
         ]
-        told = [(0, [pools.Work(0, 0)] * entries)]
-        taken, requests = [], []
+        reports = [(0, [pools.Work(0, 0)] * entries)]
+        acquired, requests = [], []
         for now in range(0, seconds * 1_000, 20):
             for number, pool in enumerate(fleet):
                 if source.random() < 0.03:
                     pool.record_request(now)
                     requests.append(now)
                 if source.random() < demand(number, now):
-                    taken += [now] * pool.take_repeat(now)
+                    acquired += [now] * pool.take_repeat(now)
             if now % 400 == 0:
                 counts = [pool.count(now) for pool in fleet]
-                told.append((now, counts))
-                known = [one for at, one in told if at <= now - news_ms]
-                latest = (known or [told[0][1]])[-1]
+                reports.append((now, counts))
+                known = [one for at, one in reports if at <= now - delay_ms]
+                latest = (known or [reports[0][1]])[-1]
                 for number, pool in enumerate(fleet):
                     rest = latest[:number] + latest[number + 1 :]
                     pool.take_others(
@@ -113,45 +125,48 @@
                         ),
                         now,
                     )
-        return taken, requests
+        return acquired, requests
 
-    def measure_excess(self, taken, requests):
-        """Return the largest share of the bound used in any window."""
-        worst = 0.0
+    def measure_usage(self, acquired, requests):
+        """Return the maximum share of the limit used in any window."""
+        highest = 0.0
         for end in range(10_000, 30_000, 500):
-            window = [at for at in taken if end - 10_000 < at <= end]
-            asked = [at for at in requests if end - 10_000 < at <= end]
-            worst = max(worst, len(window) / (250.0 + 0.2 * len(asked)))
-        return worst
-
-    def test_the_bound_holds_when_all_entries_want_to_repeat(self):
-        """Every engine fails, and each entry would repeat all it has."""
-        excess = self.measure_excess(
-            *self.play(40, lambda number, now: 0.5, 800)
+            window = [at for at in acquired if end - 10_000 < at <= end]
+            arrived = [at for at in requests if end - 10_000 < at <= end]
+            highest = max(highest, len(window) / (250.0 + 0.2 * len(arrived)))
+        return highest
+
+    def test_the_limit_holds_when_all_entries_retry(self):
+        """Every engine fails, and each entry retries all of its requests."""
+        usage = self.measure_usage(
+            *self.simulate(40, lambda number, now: 0.5, 800)
         )
-        self.assertLessEqual(excess, 1.1)
-        self.assertGreater(excess, 0.6)
+        self.assertLessEqual(usage, 1.1)
+        self.assertGreater(usage, 0.6)
 
-    def test_few_entries_may_use_what_the_others_leave(self):
-        """Failures come to 4 of 40 entries, as a domain loses an engine."""
-        taken, _ = self.play(
+    def test_few_entries_may_use_the_shares_of_the_others(self):
+        """Failures affect 4 of 40 entries, as a domain loses an engine."""
+        acquired, _ = self.simulate(
             40, lambda number, now: 0.1 if number < 4 else 0.0, 800
         )
-        first = [at for at in taken if at <= 10_000]
+        first = [at for at in acquired if at <= 10_000]
         self.assertGreater(len(first), 100)
 
-    def test_a_large_fleet_uses_what_is_less_than_one_for_each(self):
-        """Guards against a repeat of each entry that is never used."""
+    def test_a_large_fleet_uses_shares_of_less_than_one_retry(self):
+        """Guards against up to one unused retry per entry.
+
+        It would remain if all entries rounded their shares down.
+        """
         found = []
-        for left in (10, 30, 60):
+        for remaining in (10, 30, 60):
             fleet = [
                 pools.RepeatPool(0.0, 100.0, 10_000, 88, number)
                 for number in range(88)
             ]
             for pool in fleet:
-                pool.take_others(pools.Work(0, 100 - left), 0)
-            taken = sum(pool.take_repeat(0) for pool in fleet)
-            self.assertLessEqual(abs(taken - left), 15)
-            found.append(taken)
+                pool.take_others(pools.Work(0, 100 - remaining), 0)
+            acquired = sum(pool.take_repeat(0) for pool in fleet)
+            self.assertLessEqual(abs(acquired - remaining), 15)
+            found.append(acquired)
         self.assertEqual(sorted(found), found)
         self.assertGreater(found[-1], 40)
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -154,14 +154,16 @@
     'shared-repeats': (
         Edit(
             f'{_RETRIES}/pools.py',
-            'self._others_at > TOLD_MS:\n            return self._fits_alone',
-            'self._others_at >= 0:\n            return self._fits_alone',
+            'self._reported_at > REPORT_VALID_MS:\n'
+            '            return self._fits_equal_share',
+            'self._reported_at >= 0:\n'
+            '            return self._fits_equal_share',
         ),
     ),
     'turns-for-repeats': (
         Edit(
             f'{_RETRIES}/pools.py',
-            'math.floor(share) + self._has_turn(share, now)\n',
+            'math.floor(share) + self._may_round_up(share, now)\n',
             'math.floor(share)\n',
         ),
     ),
