--- a/src/thornspool/domain/entries/messages.py
+++ b/src/thornspool/domain/entries/messages.py
@@ -71,8 +71,8 @@
     revision : int
         Revision of the store that the sender's copy has reached.
     proof_age_ms : int
-        Age of the sender's copy of the store, in milliseconds; negative where
-        the store has not confirmed the copy yet.
+        Age of the sender's copy of the store, in milliseconds; negative while
+        the copy is unconfirmed.
     taken : dict of int to float
         Token-layers that requests reserve, by server hash of the engine.
     work : dict of int to float
--- a/src/thornspool/domain/entries/totals.py
+++ b/src/thornspool/domain/entries/totals.py
@@ -68,7 +68,7 @@
 
     def note(
         self,
-        news: messages.News,
+        update: messages.News,
         domain: str,
         amounts: Amounts,
         now: int,
@@ -77,7 +77,7 @@
 
         Parameters
         ----------
-        news : messages.News
+        update : messages.News
             The state update.
         domain : str
             Failure domain of its sender.
@@ -87,9 +87,9 @@
             Milliseconds of the clock.
         """
         report = Report(now, amounts)
-        if news.scope is messages.Scope.ENTRY:
-            self.entries[news.host] = report
-        elif news.scope is messages.Scope.DOMAIN:
+        if update.scope is messages.Scope.ENTRY:
+            self.entries[update.host] = report
+        elif update.scope is messages.Scope.DOMAIN:
             self.domains[domain] = report
         else:
             self.rest = report
--- a/src/thornspool/domain/entries/view.py
+++ b/src/thornspool/domain/entries/view.py
@@ -172,7 +172,7 @@
         )
 
     def note_absent(
-        self, collector: messages.Record, news: messages.News, now: int
+        self, collector: messages.Record, update: messages.News, now: int
     ) -> None:
         """Record which entries a collector reports as absent.
 
@@ -183,30 +183,30 @@
         ----------
         collector : messages.Record
             The collector.
-        news : messages.News
+        update : messages.News
             Its state update.
         now : int
             Milliseconds of the clock.
         """
         self._domain_updates[collector.failure_domain] = now
-        reported = set(news.absent)
+        reported = set(update.absent)
         for host in reported:
             known = self.absent.get(host)
             since = now if known is None or known.until < now else known.since
             self.absent[host] = Absence(since, now + ABSENCE_VALID_MS)
         for host in [one for one in self.absent if one not in reported]:
             peer = self.peers.get(host)
-            inside = news.scope is messages.Scope.REST or (
+            inside = update.scope is messages.Scope.REST or (
                 peer is not None
                 and peer.record.failure_domain == collector.failure_domain
             )
             if inside:
                 del self.absent[host]
         for peer in self.peers.values():
-            self._mark_present(peer, collector, news)
+            self._mark_present(peer, collector, update)
 
     def _mark_present(
-        self, peer: Peer, collector: messages.Record, news: messages.News
+        self, peer: Peer, collector: messages.Record, update: messages.News
     ) -> None:
         """Mark a starting entry as serving where a collector confirms it.
 
@@ -215,19 +215,19 @@
         """
         inside = (
             peer.record.host != collector.host
-            and peer.record.host not in news.absent
+            and peer.record.host not in update.absent
             and (
-                news.scope is messages.Scope.REST
+                update.scope is messages.Scope.REST
                 or peer.record.failure_domain == collector.failure_domain
             )
         )
         if inside and peer.state is messages.State.STARTING:
             peer.state = messages.State.SERVING
 
-    def take_news(self, news: messages.News, now: int) -> Peer | None:
+    def take_news(self, update: messages.News, now: int) -> Peer | None:
         """Apply a state update; return None for a sender that isn't listed."""
-        peer = self.peers.get(news.host)
-        if peer is None or peer.record.incarnation != news.incarnation:
+        peer = self.peers.get(update.host)
+        if peer is None or peer.record.incarnation != update.incarnation:
             return None
         if self._lacks_updates(now):
             # This entry was isolated; the missing updates are no sign that
@@ -235,13 +235,13 @@
             self.choice.chosen_at = now
         self.heard_at = now
         peer.heard_at = now
-        if news.shut_out_ms > 0:
-            self.choice.note_shut_out(news.host, now + news.shut_out_ms)
-        peer.heard_stamp = max(peer.heard_stamp, news.stamp)
-        peer.state = news.state
+        if update.shut_out_ms > 0:
+            self.choice.note_shut_out(update.host, now + update.shut_out_ms)
+        peer.heard_stamp = max(peer.heard_stamp, update.stamp)
+        peer.state = update.state
         peer.confirmed_at = None
-        if news.proof_age_ms >= 0:
-            peer.confirmed_at = now - news.proof_age_ms
+        if update.proof_age_ms >= 0:
+            peer.confirmed_at = now - update.proof_age_ms
         return peer
 
     def is_alive(self, peer: Peer, now: int) -> bool:
--- a/src/thornspool/domain/fleet/outliers.py
+++ b/src/thornspool/domain/fleet/outliers.py
@@ -172,7 +172,7 @@
         return now - times[0] <= WINDOW_MS
 
     def has_broken(self, server_hash: int) -> bool:
-        """Tell whether a broken run of an engine is retained."""
+        """Tell whether an engine has broken a run in the retention time."""
         return server_hash in self._break_times
 
     def list_fresh(self, now: int) -> tuple[int, ...]:
