--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -158,14 +158,16 @@
     'shared-repeats': (
         Edit(
             f'{_RETRIES}/pools.py',
-            'self._others_at > TOLD_MS:\n            return self._fits_alone',
-            'self._others_at >= 0:\n            return self._fits_alone',
+            'self._reported_at > REPORT_VALID_MS:\n'
+            '            return self._fits_equal_share',
+            'self._reported_at >= 0:\n'
+            '            return self._fits_equal_share',
         ),
     ),
     'turns-for-repeats': (
         Edit(
             f'{_RETRIES}/pools.py',
-            'math.floor(share) + self._has_turn(share, now)\n',
+            'math.floor(share) + self._may_round_up(share, now)\n',
             'math.floor(share)\n',
         ),
     ),
@@ -184,7 +186,11 @@
         ),
     ),
     'refusal-backoff': (
-        Edit(f'{_FLEET}/refusals.py', 'FIRST_MS = 300\n', 'FIRST_MS = 0\n'),
+        Edit(
+            f'{_FLEET}/refusals.py',
+            'INITIAL_BACKOFF_MS = 300\n',
+            'INITIAL_BACKOFF_MS = 0\n',
+        ),
     ),
     'paces': (Edit(f'{_FLEET}/paces.py', 'SLOW = 1.5\n', 'SLOW = 1e9\n'),),
     'noise-in-costs': (
