--- a/src/thornspool/application/configuration/__init__.py
+++ b/src/thornspool/application/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Use cases of configuration: publishing it and following it."""
+"""Use cases of configuration: publishing and replication to entries."""
--- a/src/thornspool/application/configuration/following.py
+++ b/src/thornspool/application/configuration/following.py
@@ -1,4 +1,8 @@
-"""Following of the latest version by watch, by hints and by asking."""
+"""Replication of the latest version of the configuration to an entry.
+
+An entry watches the platform, pulls versions that peers report, and polls a
+peer or the platform when no source confirmed its version recently.
+"""
 
 from __future__ import annotations
 
@@ -31,63 +35,63 @@
 
 @attrs.frozen
 class Timing:
-    """Times of the configuration service, in milliseconds.
+    """Timeouts and intervals of the configuration service, in milliseconds.
 
     Attributes
     ----------
     decide : int
-        Longest time until a publication's outcome is told.
-    in_force : int
-        Longest wait for all entries to report an accepted version.
-    report_interval : int
-        Time between two looks at what they report.
-    ask_interval : int
-        Time between two rounds of asking those that do not report yet.
-    watch : int
-        Longest wait of one watch at the platform.
-    backoff, backoff_limit : int
-        First and longest pause after the platform failed.
-    hint_delay : int
-        Longest wait before a peer is asked for a version that it was heard
-        to have; usually the watch has brought it by then.
-    probe_interval : int
-        Time between two looks whether a peer has to be asked.
-    probe_after : int
-        Silence after which a peer is asked.
-    isolation : int
-        Silence after which this entry counts as isolated.
+        Maximum time until the outcome of a publication is returned.
+    in_force_timeout_ms : int
+        Maximum time to wait until all entries report an accepted version.
+    report_interval_ms : int
+        Time between two checks of the reported versions.
+    poll_interval_ms : int
+        Time between two polls of entries that do not report the version.
+    watch_timeout_ms : int
+        Maximum duration of one watch request to the platform.
+    backoff_ms, backoff_limit_ms : int
+        Initial and maximum delay after a failure of the platform.
+    pull_delay_ms : int
+        Maximum delay before a version that a peer reported is pulled from
+        it; the watch usually delivers the version earlier.
+    contact_check_interval_ms : int
+        Time between two checks of the time since the last contact.
+    contact_timeout_ms : int
+        Time since the last contact after which a peer is polled.
+    isolation_timeout_ms : int
+        Time since the last contact after which this entry is isolated.
     """
 
     decide: int = 10_000
-    in_force: int = 4_000
-    report_interval: int = 100
-    ask_interval: int = 500
-    watch: int = 20_000
-    backoff: int = 200
-    backoff_limit: int = 5_000
-    hint_delay: int = 200
-    probe_interval: int = 500
-    probe_after: int = 2_000
-    isolation: int = 5_000
+    in_force_timeout_ms: int = 4_000
+    report_interval_ms: int = 100
+    poll_interval_ms: int = 500
+    watch_timeout_ms: int = 20_000
+    backoff_ms: int = 200
+    backoff_limit_ms: int = 5_000
+    pull_delay_ms: int = 200
+    contact_check_interval_ms: int = 500
+    contact_timeout_ms: int = 2_000
+    isolation_timeout_ms: int = 5_000
 
 
 class Follower:
-    """Keeper of an entry's configuration at the latest version.
+    """Background loops that keep an entry at the latest version.
 
     Parameters
     ----------
     clock : Clock
         Source of time.
     platform : Platform
-        Where versions are accepted.
+        Store of the accepted versions.
     puller : Puller
-        Reader of configuration.
+        Pulls versions from peers and the platform.
     store : Store
-        The version in force here.
+        Holds the version in force at this entry.
     rng : random.Random
-        For the length of pauses.
+        Source of jitter for the delays.
     timing : Timing
-        Times to keep.
+        Timeouts and intervals.
     """
 
     def __init__(
@@ -107,47 +111,55 @@
         self._timing = timing
         self._platform_version = 0
         self._failures = 0
-        self._heard: dict[str, int] = {}
-        self._hint = asyncio.Event()
+        self._reported_versions: dict[str, int] = {}
+        self._version_reported = asyncio.Event()
 
     async def run(self) -> None:
-        """Follow until cancelled."""
-        async with asyncio.TaskGroup() as group:
-            for loop in (self._watch, self._follow_hints, self._keep_contact):
-                group.create_task(self._keep_running(loop))
-
-    async def _keep_running(self, loop: Callable[[], Awaitable[None]]) -> None:
-        """Begin a loop again when an error that nobody expected ends it.
+        """Run the loops until cancelled."""
+        async with asyncio.TaskGroup() as task_group:
+            for loop in (
+                self._watch,
+                self._pull_reported_versions,
+                self._maintain_contact,
+            ):
+                task_group.create_task(self._restart_on_error(loop))
+
+    async def _restart_on_error(
+        self, loop: Callable[[], Awaitable[None]]
+    ) -> None:
+        """Restart a loop after an unexpected error.
 
-        The entry would otherwise go on serving the version it has, and
-        publishers would see it as a straggler until somebody restarts it.
+        Otherwise the entry would keep its current version, and publishers
+        would see it as a straggler until it is restarted.
         """
         while True:
             try:
                 await loop()
             except Exception:
                 logger.exception('configuration_loop_failed')
-            await asyncio.sleep(self._timing.backoff / 1000)
+            await asyncio.sleep(self._timing.backoff_ms / 1000)
 
-    def hear_version(self, peer_address: str, version: int) -> None:
-        """Note the version that a peer says is in force there."""
+    def record_reported_version(self, peer_address: str, version: int) -> None:
+        """Record a version that a peer reports, to be pulled if later."""
         if version <= self._store.version:
             return
-        self._heard[peer_address] = version
-        self._hint.set()
+        self._reported_versions[peer_address] = version
+        self._version_reported.set()
 
     async def _watch(self) -> None:
-        """Wait at the platform for the next head, again and again."""
+        """Watch the platform for new heads and apply them."""
         while True:
             try:
-                seen = await self._platform.watch(
-                    heads.HEAD_KEY, self._platform_version, self._timing.watch
+                stored = await self._platform.watch(
+                    heads.HEAD_KEY,
+                    self._platform_version,
+                    self._timing.watch_timeout_ms,
                 )
-                self._puller.note_answer()
-                if seen is not None:
-                    await self._puller.adopt(seen.value)
-                    self._platform_version = seen.version
-                    self._puller.note_current()
+                self._puller.record_response()
+                if stored is not None:
+                    await self._puller.apply_head(stored.value)
+                    self._platform_version = stored.version
+                    self._puller.record_current()
             except exceptions.ApplicationError as error:
                 await self._back_off(error)
             else:
@@ -155,56 +167,65 @@
 
     async def _back_off(self, error: exceptions.ApplicationError) -> None:
         logger.info('configuration_watch_failed', reason=str(error))
-        pause = min(
-            self._timing.backoff << min(self._failures, 16),
-            self._timing.backoff_limit,
+        delay_ms = min(
+            self._timing.backoff_ms << min(self._failures, 16),
+            self._timing.backoff_limit_ms,
         )
         self._failures += 1
-        await asyncio.sleep(pause * self._rng.uniform(0.5, 1) / 1000)
+        await asyncio.sleep(delay_ms * self._rng.uniform(0.5, 1) / 1000)
 
-    async def _follow_hints(self) -> None:
-        """Pull versions that peers were heard to have.
+    async def _pull_reported_versions(self) -> None:
+        """Pull versions that peers reported.
 
-        A hint is dropped after one try; every later message of the peer
-        carries its version again.
+        A reported version is dropped after one attempt, because every later
+        message of the peer contains its version again.
         """
         while True:
-            await self._hint.wait()
-            delay = self._rng.uniform(0, self._timing.hint_delay)
+            await self._version_reported.wait()
+            delay = self._rng.uniform(0, self._timing.pull_delay_ms)
             await asyncio.sleep(delay / 1000)
-            # Cleared where the hints are taken: one that came during the
-            # pause is among them and must not wake the loop again.
-            self._hint.clear()
-            heard, self._heard = self._heard, {}
-            address = max(heard, key=heard.__getitem__)
-            if heard[address] > self._store.version:
-                await self._ask(address)
-
-    async def _keep_contact(self) -> None:
-        """Ask a peer, or else the platform, when nobody has answered.
-
-        The watch alone cannot tell a platform that has no news from one
-        that is gone, and it ends for as long as the platform is down.
+            # Clear the event together with the reported versions: one that
+            # arrived during the delay is handled below and must not wake
+            # the loop again, which would find no version to pull.
+            self._version_reported.clear()
+            reported, self._reported_versions = self._reported_versions, {}
+            address = max(reported, key=reported.__getitem__)
+            if reported[address] > self._store.version:
+                await self._sync_with_peer(address)
+
+    async def _maintain_contact(self) -> None:
+        """Poll a peer, then the platform, when the last contact is overdue.
+
+        A watch without a result does not show whether the platform has no
+        new version or is unreachable, and watches fail during an outage.
         """
         while True:
-            if self._is_silent() and not await self._ask(''):
+            if self._is_contact_overdue() and not await self._sync_with_peer(
+                ''
+            ):
                 with contextlib.suppress(exceptions.ApplicationError):
-                    await self._puller.follow_platform()
-            await asyncio.sleep(self._timing.probe_interval / 1000)
+                    await self._puller.sync_with_platform()
+            await asyncio.sleep(self._timing.contact_check_interval_ms / 1000)
 
-    def _is_silent(self) -> bool:
+    def _is_contact_overdue(self) -> bool:
         last = self._puller.last_contact
         if last is None:
             return True
-        return self._clock.now() - last >= self._timing.probe_after
+        return self._clock.now() - last >= self._timing.contact_timeout_ms
 
-    async def _ask(self, address: str) -> bool:
-        """Ask one peer, or any; tell whether it went well."""
+    async def _sync_with_peer(self, address: str) -> bool:
+        """Synchronize with a peer, a random one if the address is empty.
+
+        Returns
+        -------
+        bool
+            Whether it succeeded.
+        """
         try:
             if address:
-                await self._puller.ask_peer(address)
+                await self._puller.sync_with_peer(address)
             else:
-                await self._puller.ask_any_peer()
+                await self._puller.sync_with_any_peer()
         except exceptions.ApplicationError as error:
             logger.debug('configuration_ask_failed', reason=str(error))
             return False
--- a/src/thornspool/application/configuration/publishing.py
+++ b/src/thornspool/application/configuration/publishing.py
@@ -1,4 +1,4 @@
-"""Carrying out of one publication against the platform."""
+"""Execution of publications against the platform."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from thornspool.application.configuration import (
     pulling as configuration_pulling,
 )
-from thornspool.domain.configuration import contents as whole
+from thornspool.domain.configuration import contents as contents_module
 from thornspool.domain.configuration import head as heads
 from thornspool.domain.configuration import publications
 from thornspool.domain.configuration import publishing
@@ -27,32 +27,32 @@
         store as configuration_store,
     )
 
-PARALLEL_WRITES = 8
-PAUSE_MS = 150
+MAX_CONCURRENT_WRITES = 8
+RETRY_DELAY_MS = 150
 
 logger = structlog.get_logger(__name__)
 
 
 class Publisher:
-    """Writer of publications, one after the other.
+    """Publishes one publication at a time.
 
-    Publications that come in at one entry at the same time wait for each
-    other, since they could only make each other's compare-and-swap fail.
+    Concurrent publications at one entry are serialized, because they would
+    only make each other's compare-and-swap fail.
 
     Parameters
     ----------
     clock : Clock
         Source of time.
     platform : Platform
-        Where versions are accepted.
+        Store of the accepted versions.
     puller : Puller
-        Reader of configuration.
+        Pulls versions from peers and the platform.
     store : Store
-        The version in force here.
+        Holds the version in force at this entry.
     rng : random.Random
-        For the length of pauses.
+        Source of jitter for the delays.
     conflicts : callable
-        The conflict relation.
+        Returns the documents of a publication that are in conflict.
     """
 
     def __init__(
@@ -70,35 +70,43 @@
         self._store = store
         self._rng = rng
         self._conflicts = conflicts
-        self._turn = asyncio.Lock()
-        self._emptying: set[asyncio.Task[None]] = set()
+        self._lock = asyncio.Lock()
+        self._cleanup_tasks: set[asyncio.Task[None]] = set()
 
-    async def decide(
+    async def publish(
         self, publication: publications.Publication, timeout_ms: int
     ) -> publishing.Outcome:
-        """Publish until the outcome is known or time is up.
+        """Publish until the outcome is known or the timeout expires.
 
         Parameters
         ----------
         publication : Publication
-            What to publish.
+            Publication to be accepted.
         timeout_ms : int
-            Longest time for it.
+            Timeout in milliseconds, including the wait for other
+            publications at this entry.
+
+        Returns
+        -------
+        Confirmed, Conflict, Invalid or Undecided
+            Outcome of the publication.
         """
-        run = _Run(publishing.Progress(publication, self._conflicts))
+        run = _PublicationRun(
+            publishing.Progress(publication, self._conflicts)
+        )
         try:
-            async with asyncio.timeout(timeout_ms / 1000), self._turn:
-                finish = await self._run(run)
+            async with asyncio.timeout(timeout_ms / 1000), self._lock:
+                finish = await self._execute_commands(run)
         except TimeoutError:
-            return publishing.give_up(run.progress, run.reason)
-        self._apply_own(run.progress, finish.outcome)
-        self._start_emptying(finish.garbage)
+            return publishing.expire(run.progress, run.reason)
+        self._apply_locally(run.progress, finish.outcome)
+        self._start_cleanup(finish.garbage)
         return finish.outcome
 
     async def plan(
         self, publication: publications.Publication
     ) -> publications.Planned:
-        """Say what a publication would come to, and write nothing.
+        """Plan a publication on the latest version without writing it.
 
         Raises
         ------
@@ -114,24 +122,26 @@
         )
 
     def stop(self) -> None:
-        """Give up what still runs in the background."""
-        for task in self._emptying:
+        """Cancel the background cleanup of buckets."""
+        for task in self._cleanup_tasks:
             task.cancel()
 
-    async def _run(self, run: _Run) -> publishing.Finish:
+    async def _execute_commands(
+        self, run: _PublicationRun
+    ) -> publishing.Finish:
         command: publishing.Command = publishing.ReadHead()
         while not isinstance(command, publishing.Finish):
-            event = await self._carry_out(run, command)
+            event = await self._execute(run, command)
             run.progress, command = publishing.decide(run.progress, event)
         return command
 
-    async def _carry_out(
-        self, run: _Run, command: publishing.Command
+    async def _execute(
+        self, run: _PublicationRun, command: publishing.Command
     ) -> publishing.Event:
         try:
             match command:
-                case publishing.ReadHead(pause=pause):
-                    return await self._read_head(pause)
+                case publishing.ReadHead(delayed=delayed):
+                    return await self._read_head(delayed)
                 case publishing.WriteBuckets(values=values):
                     return await self._write_buckets(values)
                 case publishing.WriteHead():
@@ -140,46 +150,48 @@
             run.reason = error.message
         return publishing.StepFailed()
 
-    async def _read_head(self, pause: bool) -> publishing.Event:
-        if pause:
-            await self._pause()
+    async def _read_head(self, delayed: bool) -> publishing.Event:
+        if delayed:
+            await self._delay()
         version = await self._read_contents()
         return publishing.HeadRead(
             self._store.contents, version, self._clock.wall()
         )
 
     async def _read_contents(self) -> int:
-        """Bring the store up to the platform's head.
+        """Update the store to the platform's head.
 
         Returns
         -------
         int
-            The platform's version of the head.
+            Platform version of the head.
 
         Raises
         ------
-        PlatformError, PullFailed
-            If it cannot be read, or what was read is older than the store,
-            which would make a plan on a version that has passed.
+        PlatformError
+            If the head cannot be read.
+        PullFailed
+            If its buckets cannot be pulled, or it is older than the store's
+            version, so that a plan would be based on an outdated version.
         """
-        answer = await self._puller.read_platform_head()
-        await self._puller.adopt(answer.value)
-        head = heads.decode_head(answer.value)
+        stored = await self._puller.read_platform_head()
+        await self._puller.apply_head(stored.value)
+        head = heads.decode_head(stored.value)
         if head.version != self._store.version:
             raise configuration_pulling.PullFailed(
-                f'The platform answered with version {head.version}, and '
+                f'The platform returned version {head.version}, but '
                 f'version {self._store.version} is in force.',
                 'Publish again with the same id.',
             )
-        return answer.version
+        return stored.version
 
     async def _write_buckets(
         self, values: dict[str, bytes]
     ) -> publishing.Event:
-        gate = asyncio.Semaphore(PARALLEL_WRITES)
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_WRITES)
 
         async def write(digest: str, value: bytes) -> bool:
-            async with gate:
+            async with semaphore:
                 return await self._write_bucket(digest, value)
 
         written = await asyncio.gather(
@@ -190,37 +202,39 @@
         return publishing.StepFailed()
 
     async def _write_bucket(self, digest: str, value: bytes) -> bool:
-        """Write a bucket unless it is there; tell whether it is.
+        """Write a bucket unless it exists; return whether it is stored.
 
-        A head that refers to a bucket which is not there could not be
-        pulled by anyone, so a lost answer counts as not written.
+        No entry could pull a head that refers to a missing bucket, so a
+        write without a response counts only if a read finds the bucket.
         """
         key = storage.format_bucket_key(digest)
         result = await self._platform.put(key, value, 0)
         if isinstance(result, ports.WriteDone):
             return True
-        answer = await self._platform.get(key)
-        return answer.value == value
+        stored = await self._platform.get(key)
+        return stored.value == value
 
     async def _write_head(
         self, command: publishing.WriteHead
     ) -> publishing.Event:
-        if command.pause:
-            await self._pause()
+        if command.delayed:
+            await self._delay()
         result = await self._platform.put(
             heads.HEAD_KEY, command.value, command.expected_version
         )
         if isinstance(result, ports.WriteDone):
             return publishing.HeadWritten()
-        return publishing.HeadOpen()
+        return publishing.HeadUnconfirmed()
 
-    async def _pause(self) -> None:
-        await asyncio.sleep(PAUSE_MS * self._rng.uniform(0.5, 1.5) / 1000)
+    async def _delay(self) -> None:
+        await asyncio.sleep(
+            RETRY_DELAY_MS * self._rng.uniform(0.5, 1.5) / 1000
+        )
 
-    def _apply_own(
+    def _apply_locally(
         self, progress: publishing.Progress, outcome: publishing.Outcome
     ) -> None:
-        """Put an accepted plan in force without reading it back."""
+        """Apply an accepted plan to the store without reading it back."""
         attempt = progress.attempt
         if attempt is None or not isinstance(outcome, publishing.Confirmed):
             return
@@ -228,36 +242,36 @@
         if self._store.version != head.version - 1:
             return
         self._store.apply(
-            whole.advance_contents(
+            contents_module.advance_contents(
                 self._store.contents, head, attempt.plan.values
             )
         )
 
-    def _start_emptying(self, digests: tuple[str, ...]) -> None:
+    def _start_cleanup(self, digests: tuple[str, ...]) -> None:
         if not digests:
             return
-        task = asyncio.create_task(self._empty_buckets(digests))
-        self._emptying.add(task)
-        task.add_done_callback(self._emptying.discard)
+        task = asyncio.create_task(self._clear_buckets(digests))
+        self._cleanup_tasks.add(task)
+        task.add_done_callback(self._cleanup_tasks.discard)
 
-    async def _empty_buckets(self, digests: tuple[str, ...]) -> None:
-        """Free the space of buckets that nothing will refer to again.
+    async def _clear_buckets(self, digests: tuple[str, ...]) -> None:
+        """Clear buckets that no version will refer to again.
 
-        If it fails, some kilobytes stay in the platform; nothing else.
+        A failure only leaves some kilobytes of unused data in the platform.
         """
         for digest in digests:
             key = storage.format_bucket_key(digest)
             try:
-                answer = await self._platform.get(key)
-                if answer.value:
-                    await self._platform.put(key, b'', answer.version)
+                stored = await self._platform.get(key)
+                if stored.value:
+                    await self._platform.put(key, b'', stored.version)
             except exceptions.PlatformError:
                 logger.info('configuration_bucket_kept', digest=digest)
 
 
 @attrs.define
-class _Run:
-    """State of a publication, kept for when its time is up."""
+class _PublicationRun:
+    """State of a publication, from which a timeout builds the outcome."""
 
     progress: publishing.Progress
-    reason: str = 'Time was up.'
+    reason: str = 'The publication timed out.'
--- a/src/thornspool/application/configuration/pulling.py
+++ b/src/thornspool/application/configuration/pulling.py
@@ -1,4 +1,4 @@
-"""Pulling of heads and buckets from peers and from the platform."""
+"""Pulling of heads and buckets from peers and the platform."""
 
 from __future__ import annotations
 
@@ -9,8 +9,10 @@
 
 from thornspool.application import exceptions
 from thornspool.application import ports
-from thornspool.domain.configuration import contents as whole
-from thornspool.domain.configuration import exceptions as rule_errors
+from thornspool.domain.configuration import contents as contents_module
+from thornspool.domain.configuration import (
+    exceptions as configuration_exceptions,
+)
 from thornspool.domain.configuration import head as heads
 from thornspool.domain.configuration import messages
 from thornspool.domain.configuration import storage
@@ -23,46 +25,46 @@
         store as configuration_store,
     )
 
-PARALLEL_PULLS = 8
-LIKELY_PEERS = 2
-FALLBACK_PEERS = 3
-ASK_TIMEOUT_MS = 500
+MAX_CONCURRENT_PULLS = 8
+MAX_PEERS_BEFORE_PLATFORM = 2
+MAX_PEERS_AFTER_PLATFORM = 3
+PEER_TIMEOUT_MS = 500
 
 logger = structlog.get_logger(__name__)
 
 
 class PullFailed(exceptions.ApplicationError):
-    """A version could not be pulled whole from any source."""
+    """A version could not be pulled completely from any source."""
 
 
 class Puller:
-    """Reader of configuration from wherever it can be had.
+    """Pulls versions of the configuration from peers and the platform.
 
     Parameters
     ----------
     clock : Clock
         Source of time.
     platform : Platform
-        Where versions are accepted.
+        Store of the accepted versions.
     peers : Peers
-        Messages to other entries.
+        Sends messages to other entries.
     members : MemberView
-        Who they are.
+        Entries of the fleet and the versions that they report.
     store : Store
-        The version in force here.
+        Holds the version in force at this entry.
     rng : random.Random
-        For the choice among peers.
+        Source of randomness for the choice of peers.
     incarnation : str
-        This entry's own, which is not asked.
-    isolation_ms : int
-        Silence after which an answer alone no longer shows that the
-        version in force here is the latest.
+        Incarnation of the local entry, which is excluded from the peers.
+    isolation_timeout_ms : int
+        Time since the last contact after which a response alone no longer
+        counts as a contact, in milliseconds.
 
     Attributes
     ----------
     last_contact : int or None
-        Monotonic milliseconds when the platform or a peer last answered;
-        None before the first answer.
+        Monotonic milliseconds of the last contact with the platform or a
+        peer; None before the first contact.
     """
 
     def __init__(
@@ -74,9 +76,9 @@
         store: configuration_store.Store,
         rng: random.Random,
         incarnation: str,
-        isolation_ms: int,
+        isolation_timeout_ms: int,
     ) -> None:
-        self._isolation_ms = isolation_ms
+        self._isolation_timeout_ms = isolation_timeout_ms
         self._clock = clock
         self._platform = platform
         self._peers = peers
@@ -86,93 +88,100 @@
         self._incarnation = incarnation
         self.last_contact: int | None = None
 
-    def note_current(self) -> None:
-        """Note that the version in force here was the latest just now."""
+    def record_current(self) -> None:
+        """Record that the local version was just compared and is current."""
         self.last_contact = self._clock.now()
 
-    def note_answer(self) -> None:
-        """Note an answer that may be old or tell of a later version.
+    def record_response(self) -> None:
+        """Record a response that may be old or announce a later version.
 
-        A process that was stopped for long finds old answers in its
-        sockets, and learns of publications before it has pulled them. Were
-        that enough to end its isolation, it would run requests under a
-        configuration that operators had replaced long ago.
+        A process that was suspended for a long time finds old responses in
+        its sockets, and receives the numbers of new versions before it has
+        pulled them. If such a response ended its isolation, it would serve
+        requests under a configuration that operators have replaced.
         """
         last = self.last_contact
         if last is None:
             return
-        if self._clock.now() - last <= self._isolation_ms:
+        if self._clock.now() - last <= self._isolation_timeout_ms:
             self.last_contact = self._clock.now()
 
     async def read_platform_head(self) -> ports.Versioned:
-        """Read the head from the platform."""
-        answer = await self._platform.get(heads.HEAD_KEY)
-        self.note_answer()
-        return answer
+        """Read the head from the platform.
 
-    async def follow_platform(self) -> None:
-        """Compare versions with the platform and pull if it is ahead.
+        Raises
+        ------
+        PlatformError
+            If the platform does not respond.
+        """
+        stored = await self._platform.get(heads.HEAD_KEY)
+        self.record_response()
+        return stored
+
+    async def sync_with_platform(self) -> None:
+        """Compare versions with the platform and pull a later one.
 
         Raises
         ------
         PlatformError
-            If it does not answer.
+            If the platform does not respond.
         PullFailed
-            If its version cannot be had whole.
+            If the later version cannot be pulled completely.
         """
-        answer = await self.read_platform_head()
-        if answer.value:
-            await self.adopt(answer.value)
-        self.note_current()
+        stored = await self.read_platform_head()
+        if stored.value:
+            await self.apply_head(stored.value)
+        self.record_current()
 
-    async def ask_any_peer(self) -> None:
-        """Compare versions with one peer and pull if it is ahead.
+    async def sync_with_any_peer(self) -> None:
+        """Compare versions with a random peer and pull a later one.
 
         Raises
         ------
         PeerUnreachable
-            If it does not answer or there is none.
+            If the peer does not respond or there is no peer.
         PullFailed
-            If it is ahead and its version cannot be had whole.
+            If the later version cannot be pulled completely.
         """
         addresses = self._list_peers()
         if not addresses:
-            raise exceptions.PeerUnreachable('No peer is known.')
-        await self.ask_peer(self._rng.choice(addresses))
+            raise exceptions.PeerUnreachable('This entry has no peers.')
+        await self.sync_with_peer(self._rng.choice(addresses))
 
-    async def ask_peer(self, address: str) -> None:
-        """Compare versions with a peer and pull if it is ahead.
+    async def sync_with_peer(self, address: str) -> None:
+        """Compare versions with a peer and pull a later one.
 
         Raises
         ------
         PeerUnreachable, PullFailed
-            As of ``ask_any_peer``.
+            As for ``sync_with_any_peer``.
         """
-        question = messages.FetchHead(self._store.version)
+        request = messages.FetchHead(self._store.version)
         reply: messages.HeadReply = await self._peers.ask(
-            address, question, ASK_TIMEOUT_MS
+            address, request, PEER_TIMEOUT_MS
         )
-        self.note_answer()
+        self.record_response()
         if reply.value:
-            await self.adopt(reply.value, address)
-        self.note_current()
+            await self.apply_head(reply.value, address)
+        self.record_current()
 
-    async def adopt(self, value: bytes, preferred: str = '') -> None:
-        """Pull what an encoded head refers to and put it in force.
+    async def apply_head(self, value: bytes, preferred: str = '') -> None:
+        """Pull the buckets of an encoded head and apply its version.
 
-        Nothing happens if the head is not past the version in force.
+        A head that is not later than the version in force is ignored.
 
         Parameters
         ----------
         value : bytes
-            An encoded head that the platform accepted.
+            Encoded head that the platform accepted.
         preferred : str, optional
-            Peer address to ask first.
+            Address of the peer to pull from first.
 
         Raises
         ------
         PullFailed
-            If the head or a bucket cannot be used or had.
+            If the head or a bucket is invalid, or a bucket cannot be
+            pulled from any source.
         """
         try:
             head = heads.decode_head(value)
@@ -180,76 +189,83 @@
                 return
             contents = self._store.contents
             pulled = await self._pull_missing(contents, head, preferred)
-            advanced = whole.advance_contents(contents, head, pulled)
-        except rule_errors.ConfigurationError as error:
+            new_contents = contents_module.advance_contents(
+                contents, head, pulled
+            )
+        except configuration_exceptions.ConfigurationError as error:
             raise PullFailed(error.message, error.hint) from error
-        self._store.apply(advanced)
+        self._store.apply(new_contents)
 
     async def _pull_missing(
-        self, contents: whole.Contents, head: heads.Head, preferred: str
+        self,
+        contents: contents_module.Contents,
+        head: heads.Head,
+        preferred: str,
     ) -> dict[str, bytes]:
-        gate = asyncio.Semaphore(PARALLEL_PULLS)
-        likely = self._list_likely_peers(head.version, preferred)
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_PULLS)
+        first_peers = self._list_first_peers(head.version, preferred)
 
         async def pull(digest: str) -> tuple[str, bytes]:
-            async with gate:
-                return digest, await self._pull_bucket(digest, likely)
+            async with semaphore:
+                return digest, await self._pull_bucket(digest, first_peers)
 
-        missing = whole.list_missing(contents, head)
+        missing = contents_module.list_missing(contents, head)
         return dict(await asyncio.gather(*map(pull, missing)))
 
-    async def _pull_bucket(self, digest: str, likely: list[str]) -> bytes:
-        """Ask likely peers, then the platform, then some other peers."""
-        for address in likely:
-            value = await self._ask_bucket(address, digest)
+    async def _pull_bucket(self, digest: str, first_peers: list[str]) -> bytes:
+        """Pull a bucket from some peers, the platform, then other peers."""
+        for address in first_peers:
+            value = await self._fetch_from_peer(address, digest)
             if value:
                 return value
-        value = await self._read_bucket(digest)
+        value = await self._fetch_from_platform(digest)
         if value:
             return value
-        others = [one for one in self._list_peers() if one not in likely]
-        self._rng.shuffle(others)
-        for address in others[:FALLBACK_PEERS]:
-            value = await self._ask_bucket(address, digest)
+        remaining = [
+            one for one in self._list_peers() if one not in first_peers
+        ]
+        self._rng.shuffle(remaining)
+        for address in remaining[:MAX_PEERS_AFTER_PLATFORM]:
+            value = await self._fetch_from_peer(address, digest)
             if value:
                 return value
         raise PullFailed(
-            f'Bucket {digest} could not be had.',
-            'The next round asks again, starting from the latest head.',
+            f'Bucket {digest} could not be pulled from any source.',
+            'The next attempt starts from the latest head.',
         )
 
-    async def _ask_bucket(self, address: str, digest: str) -> bytes:
+    async def _fetch_from_peer(self, address: str, digest: str) -> bytes:
         try:
             reply: messages.BucketReply = await self._peers.ask(
-                address, messages.FetchBucket(digest), ASK_TIMEOUT_MS
+                address, messages.FetchBucket(digest), PEER_TIMEOUT_MS
             )
         except exceptions.PeerUnreachable:
             return b''
-        self.note_answer()
-        return _verify(digest, reply.value, address)
+        self.record_response()
+        return _check_digest(digest, reply.value, address)
 
-    async def _read_bucket(self, digest: str) -> bytes:
+    async def _fetch_from_platform(self, digest: str) -> bytes:
         key = storage.format_bucket_key(digest)
         try:
-            answer = await self._platform.get(key)
+            stored = await self._platform.get(key)
         except exceptions.PlatformError:
             return b''
-        self.note_answer()
-        return _verify(digest, answer.value, 'platform')
+        self.record_response()
+        return _check_digest(digest, stored.value, 'platform')
 
-    def _list_likely_peers(self, version: int, preferred: str) -> list[str]:
-        """Return the peers to ask before the platform.
+    def _list_first_peers(self, version: int, preferred: str) -> list[str]:
+        """Return the peers to pull from before the platform is read.
 
-        When every entry hears of a version at the same moment, no peer is
-        known to hold it yet, and one is tried all the same.
+        When all entries learn of a version at the same time, no peer has
+        reported it yet; one peer is tried nevertheless.
         """
         holders = self._list_peers(version)
         candidates = holders or self._list_peers()
         self._rng.shuffle(candidates)
-        likely = candidates[: LIKELY_PEERS if holders else 1]
+        first_peers = candidates[: MAX_PEERS_BEFORE_PLATFORM if holders else 1]
         if not preferred:
-            return likely
-        return [preferred, *(one for one in likely if one != preferred)]
+            return first_peers
+        return [preferred, *(one for one in first_peers if one != preferred)]
 
     def _list_peers(self, version: int = 0) -> list[str]:
         return [
@@ -261,12 +277,12 @@
         ]
 
 
-def _verify(digest: str, value: bytes, source: str) -> bytes:
-    """Return the bytes, or none if they are not those of the digest.
+def _check_digest(digest: str, value: bytes, source: str) -> bytes:
+    """Return the bytes, or empty bytes if they do not match the digest.
 
-    A peer that answers with other bytes, or a bucket that was emptied after
-    it was retired, would otherwise put documents in force that nobody
-    accepted. It shows as this line; the next source is asked.
+    Otherwise, a peer that returns wrong bytes, or a bucket that was cleared
+    after it was retired, could put documents in force that were never
+    accepted. A mismatch is logged, and the next source is used.
     """
     if value and storage.compute_digest(value) == digest:
         return value
--- a/src/thornspool/application/configuration/results.py
+++ b/src/thornspool/application/configuration/results.py
@@ -1,4 +1,4 @@
-"""What a publisher is told."""
+"""Results of a publication."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 @attrs.frozen
 class Straggler:
-    """An entry where a version was not in force in time.
+    """An entry that did not report a version as in force in time.
 
     Attributes
     ----------
     host : str
-        Host that it runs on.
+        Name of the host that it runs on.
     incarnation : str
-        The process.
+        Incarnation of the entry.
     version : int
-        Version that it reported last.
+        Version that it last reported.
     """
 
     host: str
@@ -29,16 +29,16 @@
 
 @attrs.frozen
 class Accepted:
-    """The publication is accepted and will never be undone by itself.
+    """The publication is accepted and will not be reverted.
 
     Attributes
     ----------
     version : int
-        Version that holds it.
+        Version that contains it.
     in_force : tuple of str
-        Incarnations that report this version or a later one.
+        Incarnations of the entries that report this version or a later one.
     stragglers : tuple of Straggler
-        Those that do not, yet.
+        Entries that report an earlier version.
     """
 
     version: int
--- a/src/thornspool/application/configuration/service.py
+++ b/src/thornspool/application/configuration/service.py
@@ -1,4 +1,4 @@
-"""Configuration that is in force everywhere and never reverts."""
+"""Service that publishes configuration and keeps entries up to date."""
 
 from __future__ import annotations
 
@@ -31,37 +31,37 @@
     from collections.abc import Callable
 
     from thornspool import clock as clocks
-    from thornspool.domain.configuration import contents as whole
+    from thornspool.domain.configuration import contents as contents_module
     from thornspool.domain.configuration import documents
 
 logger = structlog.get_logger(__name__)
 
 
-def _wait_for_gossip(version: int) -> None:
-    """Ask nobody."""
+def _rely_on_gossip(version: int) -> None:
+    """Wait for versions to arrive by gossip; the default poll function."""
 
 
 class ConfigurationService:
-    """Publishes configuration and keeps this entry's up to date.
+    """Publishes configuration and keeps the local version up to date.
 
     Parameters
     ----------
     clock : Clock
         Source of time.
     platform : Platform
-        Where versions are accepted and kept.
+        Store of the accepted versions.
     peers : Peers
-        Messages to other entries; two handlers are registered with it.
+        Sends messages to other entries; two handlers are registered with it.
     members : MemberView
-        Who the entries are and which version each reports.
+        Entries of the fleet and the versions that they report.
     incarnation : str
-        This entry's own incarnation.
+        Incarnation of the local entry.
     rng : random.Random, optional
-        For pauses and for the choice among peers.
+        Source of jitter and of the choice of peers.
     timing : Timing, optional
-        Times to keep.
+        Timeouts and intervals.
     conflicts : callable, optional
-        The conflict relation between publications.
+        Returns the documents of a publication that are in conflict.
     """
 
     def __init__(
@@ -75,7 +75,7 @@
         timing: configuration_following.Timing | None = None,
         conflicts: publications.FindConflicts = publications.find_conflicts,
     ) -> None:
-        self._ask_versions: Callable[[int], None] = _wait_for_gossip
+        self._poll_versions: Callable[[int], None] = _rely_on_gossip
         self._clock = clock
         self._platform = platform
         self._members = members
@@ -91,7 +91,7 @@
             self._store,
             self._rng,
             incarnation,
-            self._timing.isolation,
+            self._timing.isolation_timeout_ms,
         )
         self._publisher = configuration_publishing.Publisher(
             clock,
@@ -109,70 +109,73 @@
             self._rng,
             self._timing,
         )
-        peers.handle(messages.FetchHead, self._answer_head)
-        peers.handle(messages.FetchBucket, self._answer_bucket)
+        peers.handle(messages.FetchHead, self._handle_fetch_head)
+        peers.handle(messages.FetchBucket, self._handle_fetch_bucket)
 
-    def ask_stragglers_with(self, ask: Callable[[int], None]) -> None:
-        """Have entries asked that do not report a version yet.
+    def ask_stragglers_with(self, poll: Callable[[int], None]) -> None:
+        """Set the function that polls entries for their version.
 
         Parameters
         ----------
-        ask : callable
-            Takes the version; called twice a second while a publisher
-            waits, since gossip alone tells only after some seconds.
+        poll : callable
+            Called with the published version every ``poll_interval_ms``
+            (twice per second by default) while entries do not report it,
+            because gossip alone takes some seconds.
         """
-        self._ask_versions = ask
+        self._poll_versions = poll
 
     def snapshot(self) -> documents.Snapshot:
-        """Return the documents in force here."""
+        """Return the documents in force at this entry."""
         return self._store.contents.snapshot
 
     def version(self) -> int:
-        """Return the version in force here; 0 before any."""
+        """Return the version in force at this entry; 0 if there is none."""
         return self._store.version
 
     def history(self) -> tuple[heads.Record, ...]:
-        """Return the latest publications, oldest first."""
+        """Return the records of the latest publications, oldest first."""
         return self._store.contents.head.history
 
-    def contents(self) -> whole.Contents:
-        """Return the version in force here with the change of each."""
+    def contents(self) -> contents_module.Contents:
+        """Return the contents in force, with each document's last change."""
         return self._store.contents
 
     def subscribe(
         self, callback: Callable[[documents.Snapshot], None]
     ) -> None:
-        """Have a function called with each snapshot that comes in force."""
+        """Register a function to call with each snapshot put in force."""
         self._store.subscribe(callback)
 
     def is_isolated(self, now: int) -> bool:
-        """Tell whether neither platform nor any peer answered of late.
+        """Return whether neither the platform nor a peer responded recently.
 
-        An entry that nobody answers cannot know whether its configuration
-        still is the one in force, so it takes no new work then.
+        An entry without contact to the platform and its peers cannot
+        determine whether its configuration is current, so it accepts no new
+        requests.
 
         Parameters
         ----------
         now : int
-            Monotonic milliseconds.
+            Current time in monotonic milliseconds.
         """
         last = self._puller.last_contact
-        return last is None or now - last > self._timing.isolation
+        return last is None or now - last > self._timing.isolation_timeout_ms
 
     def hear_version(self, peer_address: str, version: int) -> None:
-        """Note the version that a peer says is in force there.
+        """Record the version that a peer reports.
 
         Parameters
         ----------
         peer_address : str
-            ``tcp://ip:port`` of the peer.
+            Address of the peer in the form ``tcp://ip:port``.
         version : int
-            Its version; if it is past this entry's, it is pulled soon.
+            Version of the peer; pulled soon if it is later than the local
+            one.
         """
-        self._follower.hear_version(peer_address, version)
+        self._follower.record_reported_version(peer_address, version)
 
     async def run(self) -> None:
-        """Keep the configuration up to date until cancelled."""
+        """Keep the local version up to date until cancelled."""
         try:
             await self._follower.run()
         finally:
@@ -181,19 +184,20 @@
     async def publish(
         self, publication: publications.Publication
     ) -> configuration_results.PublishResult:
-        """Publish, and wait until it is in force at every member.
+        """Publish, and wait until all members report the version.
 
         Parameters
         ----------
         publication : Publication
-            What to publish; sending it again with its id is safe.
+            Publication to be accepted; retrying with its id is safe.
 
         Returns
         -------
         Accepted, Conflict, Invalid or Undecided
-            After at most the times ``decide`` and ``in_force`` together.
+            Returned after at most the timeouts ``decide`` plus
+            ``in_force_timeout_ms`` of the timing.
         """
-        outcome = await self._publisher.decide(
+        outcome = await self._publisher.publish(
             publication, self._timing.decide
         )
         logger.info(
@@ -209,7 +213,7 @@
     async def plan(
         self, publication: publications.Publication
     ) -> publications.Planned:
-        """Say what a publication would come to, and write nothing.
+        """Plan a publication on the latest version without writing it.
 
         Raises
         ------
@@ -219,13 +223,13 @@
         return await self._publisher.plan(publication)
 
     def report(self, version: int) -> configuration_results.Accepted:
-        """Say where a version is in force, as members reported last."""
+        """Return which members reported a version and which did not."""
         current: list[str] = []
         stragglers: list[configuration_results.Straggler] = []
         for member in self._members.list_members():
             if member.state is ports.MemberState.DEAD:
                 continue
-            reported = self._read_version(member)
+            reported = self._get_reported_version(member)
             if reported >= version:
                 current.append(member.incarnation)
                 continue
@@ -238,7 +242,7 @@
             version, tuple(current), tuple(stragglers)
         )
 
-    def _read_version(self, member: ports.Member) -> int:
+    def _get_reported_version(self, member: ports.Member) -> int:
         if member.incarnation == self._incarnation:
             return self._store.version
         return member.configuration_version
@@ -247,19 +251,19 @@
         self, version: int
     ) -> configuration_results.Accepted:
         now = self._clock.now()
-        deadline = now + self._timing.in_force
-        ask_at = now + self._timing.ask_interval
+        deadline = now + self._timing.in_force_timeout_ms
+        next_poll_at = now + self._timing.poll_interval_ms
         report = self.report(version)
         while report.stragglers and now < deadline:
-            await asyncio.sleep(self._timing.report_interval / 1000)
+            await asyncio.sleep(self._timing.report_interval_ms / 1000)
             now = self._clock.now()
-            if now >= ask_at:
-                self._ask_versions(version)
-                ask_at = now + self._timing.ask_interval
+            if now >= next_poll_at:
+                self._poll_versions(version)
+                next_poll_at = now + self._timing.poll_interval_ms
             report = self.report(version)
         return report
 
-    async def _answer_head(
+    async def _handle_fetch_head(
         self, _sender: str, message: messages.FetchHead
     ) -> messages.HeadReply:
         head = self._store.contents.head
@@ -267,7 +271,7 @@
             return messages.HeadReply(head.version, b'')
         return messages.HeadReply(head.version, heads.encode_head(head))
 
-    async def _answer_bucket(
+    async def _handle_fetch_bucket(
         self, _sender: str, message: messages.FetchBucket
     ) -> messages.BucketReply:
         value = self._store.contents.values.get(message.digest, b'')
--- a/src/thornspool/application/configuration/store.py
+++ b/src/thornspool/application/configuration/store.py
@@ -1,4 +1,4 @@
-"""The version of the configuration that is in force at this entry."""
+"""Holder of the configuration version that is in force at an entry."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import structlog
 
-from thornspool.domain.configuration import contents as whole
+from thornspool.domain.configuration import contents as contents_module
 
 if typing.TYPE_CHECKING:
     from collections.abc import Callable
@@ -17,40 +17,40 @@
 
 
 class Store:
-    """Holder of the version in force; it only ever moves forwards."""
+    """Holds the version in force, which only increases."""
 
     def __init__(self) -> None:
-        self.contents = whole.Contents()
+        self.contents = contents_module.Contents()
         self._subscribers: list[Callable[[documents.Snapshot], None]] = []
 
     @property
     def version(self) -> int:
-        """Version in force, 0 before any."""
+        """Version in force; 0 if there is none."""
         return self.contents.head.version
 
     def subscribe(
         self, callback: Callable[[documents.Snapshot], None]
     ) -> None:
-        """Have a function called with each snapshot that comes in force."""
+        """Register a function to call with each snapshot put in force."""
         self._subscribers.append(callback)
 
-    def apply(self, contents: whole.Contents) -> bool:
-        """Put a version in force, all of it at once, unless it is not newer.
+    def apply(self, contents: contents_module.Contents) -> bool:
+        """Put a version in force atomically if it is later.
 
         A read of the platform may be old, a peer may lag, and two pulls may
-        end in the wrong order. Taking any of these would bring a withdrawn
-        configuration back, which callers would notice as limits or targets
-        that revert; the comparison here is the one place that prevents it.
+        finish out of order. Applying any of these would restore a replaced
+        configuration, so that limits or targets revert for callers. The
+        comparison here is the only place that prevents this.
 
         Parameters
         ----------
         contents : Contents
-            A version that the platform accepted.
+            Version that the platform accepted.
 
         Returns
         -------
         bool
-            Whether it is in force now.
+            Whether the version was applied.
         """
         if contents.head.version <= self.version:
             return False
@@ -64,8 +64,8 @@
         try:
             callback(self.contents.snapshot)
         except Exception:
-            # One subscriber's fault must not keep the others on an older
-            # version; it shows as this line, naming the function.
+            # An error in one subscriber must not keep the others on an older
+            # version. The log line names the subscriber.
             logger.exception(
                 'configuration_subscriber_failed', subscriber=repr(callback)
             )
--- a/src/thornspool/domain/configuration/__init__.py
+++ b/src/thornspool/domain/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration that is accepted once and never reverts."""
+"""Rules of the versioned configuration: planning, encoding, checks."""
--- a/src/thornspool/domain/configuration/contents.py
+++ b/src/thornspool/domain/configuration/contents.py
@@ -1,4 +1,4 @@
-"""One whole version of the configuration, held in memory."""
+"""A complete version of the configuration in memory."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 @attrs.frozen
 class Contents:
-    """A head with everything that it refers to.
+    """A head with all buckets that it refers to.
 
     Attributes
     ----------
     head : Head
-        The version.
+        Head of this version.
     buckets : tuple of Bucket
-        The decoded buckets, by index.
+        Decoded buckets by index.
     values : dict of str to bytes
-        The encoded buckets by digest, to hand to peers.
+        Encoded buckets by digest, served to peers on request.
     snapshot : Snapshot
-        The documents as the rest of the program reads them.
+        Documents by kind and name, for the readers of the configuration.
     """
 
     head: heads.Head = attrs.field(factory=heads.Head)
@@ -39,12 +39,12 @@
     def find(
         self, key: documents.DocumentKey
     ) -> storage.StoredDocument | None:
-        """Return a document, also a removed one that is remembered."""
+        """Return a stored document, or its tombstone if it was removed."""
         return self.buckets[storage.assign_bucket(key)].get(key)
 
 
 def list_missing(contents: Contents, head: heads.Head) -> tuple[str, ...]:
-    """Return the digests that a head refers to and the contents lack."""
+    """Return the digests of a head whose buckets the contents lack."""
     return tuple(
         digest
         for digest in dict.fromkeys(head.buckets)
@@ -55,33 +55,42 @@
 def advance_contents(
     contents: Contents, head: heads.Head, pulled: Mapping[str, bytes]
 ) -> Contents:
-    """Build the contents of another version from what changed.
+    """Build the contents of another version from the changed buckets.
+
+    Unchanged buckets are shared with the given contents.
 
     Parameters
     ----------
     contents : Contents
-        The version that is held.
+        Current version.
     head : Head
-        The version to build.
+        Head of the version to build.
     pulled : mapping of str to bytes
-        The bytes of every digest of ``list_missing``.
+        Encoded buckets for every digest that ``list_missing`` returns.
+
+    Returns
+    -------
+    Contents
+        The new version; the given contents are not modified.
 
     Raises
     ------
-    DigestMismatch, MalformedValue
-        If bytes that were pulled cannot be used; nothing is changed then.
+    DigestMismatch
+        If the bytes of a pulled bucket do not match its digest.
+    MalformedValue
+        If the bytes of a pulled bucket cannot be decoded.
     """
     old = contents.head.buckets
     decoded = tuple(
         contents.buckets[index]
         if digest == old[index]
         else storage.decode_bucket(
-            digest, _find_value(contents, digest, pulled)
+            digest, _get_value(contents, digest, pulled)
         )
         for index, digest in enumerate(head.buckets)
     )
     values = {
-        digest: _find_value(contents, digest, pulled)
+        digest: _get_value(contents, digest, pulled)
         for digest in head.buckets
         if digest
     }
@@ -90,11 +99,11 @@
         for index, digest in enumerate(head.buckets)
         if digest != old[index]
     ]
-    snapshot = _advance_snapshot(contents, head.version, decoded, changed)
+    snapshot = _update_snapshot(contents, head.version, decoded, changed)
     return Contents(head, decoded, values, snapshot)
 
 
-def _find_value(
+def _get_value(
     contents: Contents, digest: str, pulled: Mapping[str, bytes]
 ) -> bytes:
     if digest in pulled:
@@ -102,13 +111,13 @@
     return contents.values.get(digest, b'')
 
 
-def _advance_snapshot(
+def _update_snapshot(
     contents: Contents,
     version: int,
     decoded: tuple[storage.Bucket, ...],
     changed: Iterable[int],
 ) -> documents.Snapshot:
-    """Copy the dictionaries by kind and carry the changed buckets over."""
+    """Build the new snapshot by replacing the changed buckets' documents."""
     by_kind = copy_by_kind(contents.snapshot)
     for index in changed:
         for key in contents.buckets[index]:
@@ -122,7 +131,7 @@
 def copy_by_kind(
     snapshot: documents.Snapshot,
 ) -> dict[documents.DocumentKind, dict[str, typing.Any]]:
-    """Return copies of a snapshot's dictionaries."""
+    """Return shallow copies of a snapshot's dictionaries by kind."""
     return {
         documents.DocumentKind.WORKSPACE: dict(snapshot.workspaces),
         documents.DocumentKind.SERVICE: dict(snapshot.services),
@@ -135,7 +144,7 @@
     version: int,
     by_kind: Mapping[documents.DocumentKind, dict[str, typing.Any]],
 ) -> documents.Snapshot:
-    """Build a snapshot from dictionaries by kind."""
+    """Build a snapshot from dictionaries of documents by kind."""
     return documents.Snapshot(
         version,
         by_kind[documents.DocumentKind.WORKSPACE],
--- a/src/thornspool/domain/configuration/documents.py
+++ b/src/thornspool/domain/configuration/documents.py
@@ -1,8 +1,8 @@
-"""The documents that operators publish, as typed data.
+"""Typed documents that operators publish.
 
-A document is addressed by its kind and its name. Names are unique within a
-kind. The shapes here are what the rest of the program reads; checking files
-against the schema is the work of other modules of this package.
+A document is identified by its kind and name; names are unique within a kind.
+The ``files`` module checks service files against the schema, and the ``rules``
+module checks references between documents.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 
 
 class Fencing(enum.Enum):
-    """What a target does with an order that carries an old fencing token."""
+    """How a target handles a request with an outdated fencing token."""
 
     REFUSES = 'refuses'
     IGNORES = 'ignores'
 
 
 class TargetKind(enum.Enum):
-    """What a target serves."""
+    """Whether a target is a model engine or a plain service."""
 
     ENGINE = 'engine'
     SERVICE = 'service'
@@ -28,16 +28,16 @@
 
 @attrs.frozen
 class Limits:
-    """Limits of a workspace across all entries; None stands for no limit.
+    """Limits of a workspace across all entries; None means unlimited.
 
     Attributes
     ----------
     requests_per_s : float or None
-        Accepted requests in a second.
+        Accepted requests per second.
     tokens_per_s : float or None
-        Generated tokens in a second.
+        Generated tokens per second.
     concurrency : int or None
-        Requests in flight at once.
+        Maximum number of in-flight requests.
     """
 
     requests_per_s: float | None = None
@@ -47,20 +47,21 @@
 
 @attrs.frozen
 class Objective:
-    """Service-level objective; a latency of None is not part of it.
+    """Service-level objective; a latency of None sets no bound.
 
     Attributes
     ----------
     availability : float
-        Share of requests that must succeed, over 0 and under 1.
+        Share of requests that must succeed, between 0 and 1, exclusive.
     first_token_ms : int or None
-        Bound on the time to the first token.
+        Maximum time to the first token, in milliseconds.
     between_tokens_ms : int or None
-        Bound on the time between two tokens.
+        Maximum time between two tokens, in milliseconds.
     latency_ms : int or None
-        Bound on the whole answer of a call to a plain service.
+        Maximum time for a complete response of a plain service, in
+        milliseconds.
     latency_share : float
-        Share of requests that must keep the latency bounds.
+        Share of requests that must meet the latency bounds.
     """
 
     availability: float = 0.999
@@ -72,18 +73,18 @@
 
 @attrs.frozen
 class Workspace:
-    """A customer's space: what it may use and how much.
+    """A customer's workspace: allowed models, limits and objective.
 
     Attributes
     ----------
     name : str
         Unique name.
     models : tuple of str
-        Names of the models that it may use.
+        Names of the models that its requests may use.
     limits : Limits
         Limits across all entries.
     objective : Objective
-        Objective of its model requests.
+        Service-level objective of its model requests.
     """
 
     name: str
@@ -101,12 +102,12 @@
     name : str
         Unique within the service.
     idempotent : bool
-        Whether a call may be repeated.
+        Whether a call may be retried.
     timeout_ms : int
-        Longest time for the whole answer.
+        Timeout for the complete response, in milliseconds.
     deduplicates : bool
-        Whether the service itself runs a key at most once, so that sending
-        a key again is safe when an outcome is unknown.
+        Whether the service executes each idempotency key at most once, so
+        that retrying a key is safe when the outcome is unknown.
     """
 
     name: str
@@ -126,11 +127,11 @@
     workspace : str
         Workspace that may call it.
     targets : tuple of str
-        Names of the targets that serve it.
+        Names of the targets that run the service.
     operations : tuple of Operation
-        What can be called.
+        Operations that can be called.
     objective : Objective
-        Objective of its calls.
+        Service-level objective of its calls.
     """
 
     name: str
@@ -140,7 +141,7 @@
     objective: Objective = Objective()
 
     def find_operation(self, name: str) -> Operation | None:
-        """Return an operation by name."""
+        """Return the operation of a name, or None if there is none."""
         for operation in self.operations:
             if operation.name == name:
                 return operation
@@ -149,7 +150,7 @@
 
 @attrs.frozen
 class Stage:
-    """A range of a model's layers held by one target.
+    """A range of a model's layers that one target holds.
 
     Attributes
     ----------
@@ -158,7 +159,7 @@
     first_layer : int
         First layer of the range.
     end_layer : int
-        One past the last layer of the range.
+        Exclusive end of the range.
     """
 
     target: str
@@ -175,13 +176,13 @@
     name : str
         Unique name.
     version : str
-        Version of the weights; stages of two versions never mix.
+        Version of the weights; a path never combines two versions.
     layers : int
         Number of layers.
     stages : tuple of Stage
-        Which target holds which layers; ranges may be held many times.
+        Layer ranges of the targets; several targets may hold a range.
     adapter : str
-        Name of the adapter, empty for none.
+        Name of the adapter; empty if there is none.
     """
 
     name: str
@@ -193,26 +194,26 @@
 
 @attrs.frozen
 class Target:
-    """Where work is sent: a model engine or a plain service.
+    """A server that requests are sent to: an engine or a plain service.
 
     Attributes
     ----------
     name : str
         Unique name.
     kind : TargetKind
-        Engine or service.
+        Whether it is an engine or a plain service.
     host : str
-        Host that it runs on.
+        Name of the host that it runs on.
     failure_domain : str
-        Where the host stands.
+        Failure domain of the host.
     url : str
-        ``http://ip:port``.
+        Address in the form ``http://ip:port``.
     accelerator : str
-        Kind of accelerator of an engine, empty for a service.
+        Accelerator type of an engine; empty for a service.
     fencing : Fencing
-        What it does with an old fencing token.
+        How it handles an outdated fencing token.
     leaving : bool
-        Set by an operator to give it no new work.
+        Whether an operator drains it; it then receives no new requests.
     """
 
     name: str
@@ -229,7 +230,7 @@
 
 
 class DocumentKind(enum.Enum):
-    """Kinds of documents, as service files name them."""
+    """Document kinds by the names that service files use."""
 
     WORKSPACE = 'workspace'
     SERVICE = 'service'
@@ -239,14 +240,14 @@
 
 @attrs.frozen
 class DocumentKey:
-    """Address of a document.
+    """Key of a document.
 
     Attributes
     ----------
     kind : DocumentKind
         Kind of the document.
     name : str
-        Name, unique within the kind.
+        Name that is unique within the kind.
     """
 
     kind: DocumentKind
@@ -266,20 +267,20 @@
 
 
 def identify(document: Document) -> DocumentKey:
-    """Return the address of a document."""
+    """Return the key of a document."""
     return DocumentKey(_KINDS[type(document)], document.name)
 
 
 @attrs.frozen
 class Snapshot:
-    """One version of the whole configuration.
+    """All documents of one version of the configuration.
 
     Attributes
     ----------
     version : int
-        Version of the head that accepted it; 0 before any publication.
+        Version of the head; 0 before the first publication.
     workspaces, services, models, targets : dict of str to document
-        The documents by name; never changed in place.
+        Documents by name; never modified in place.
     """
 
     version: int = 0
--- a/src/thornspool/domain/configuration/exceptions.py
+++ b/src/thornspool/domain/configuration/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of stored configuration that cannot be used."""
+"""Errors raised for stored configuration that is invalid."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class ConfigurationError(exceptions.ThornspoolError):
-    """Base of the errors of the configuration's rules."""
+    """Base class of errors in stored configuration."""
 
 
 class DigestMismatch(ConfigurationError):
-    """A bucket's bytes are not those that its digest names."""
+    """The bytes of a bucket do not match its digest."""
 
 
 class MalformedValue(ConfigurationError):
-    """Stored bytes cannot be decoded as a head or a bucket."""
+    """Stored bytes cannot be decoded as a head or bucket."""
--- a/src/thornspool/domain/configuration/files.py
+++ b/src/thornspool/domain/configuration/files.py
@@ -1,4 +1,7 @@
-"""Service files: from JSON text to documents, with every error at once."""
+"""Parsing of service files into documents.
+
+All errors of a set of files are collected rather than only the first one.
+"""
 
 from __future__ import annotations
 
@@ -19,19 +22,19 @@
     from collections.abc import Iterable
 
 _SCHEMA = 'service-file'
-_PLACE = re.compile(r' - at `(?P<place>.*)`$')
+_ERROR_PATH = re.compile(r' - at `(?P<path>.*)`$')
 
 
 @attrs.frozen
 class SourceFile:
-    """A service file as it was read.
+    """Path and text of a service file.
 
     Attributes
     ----------
     path : str
-        Where it was found, for messages.
+        Path of the file, used in error messages.
     text : str
-        Its JSON text.
+        JSON text of the file.
     """
 
     path: str
@@ -40,14 +43,14 @@
 
 @attrs.frozen
 class Origin:
-    """Where a document stands.
+    """Location of a document in a service file.
 
     Attributes
     ----------
     file : str
-        File that holds it.
+        Path of the file.
     path : str
-        JSONPath of it within the file, ``$`` for the whole file.
+        JSONPath of the document in the file; ``$`` for the whole file.
     """
 
     file: str
@@ -56,18 +59,18 @@
 
 @attrs.frozen
 class Collection:
-    """What a set of service files says.
+    """Documents and problems of a set of service files.
 
     Attributes
     ----------
     documents : tuple of Document
-        The documents that keep the schema.
+        Documents that conform to the schema.
     raw : tuple of dict
-        The same documents as JSON values, to send on.
+        The same documents as JSON values, to be sent in a publication.
     origins : dict of str to Origin
-        Where each ``kind/name`` stands.
+        Location of each document by its ``kind/name`` key.
     problems : tuple of Problem
-        Every broken rule of the schema.
+        All violations of the schema.
     """
 
     documents: tuple[documents.Document, ...]
@@ -77,15 +80,15 @@
 
 
 @attrs.define
-class _Collecting:
-    """What was collected so far."""
+class _CollectionBuilder:
+    """Mutable state while documents are collected."""
 
     documents: list[documents.Document] = attrs.field(factory=list)
     raw: list[validation.Json] = attrs.field(factory=list)
     origins: dict[str, Origin] = attrs.field(factory=dict)
     problems: list[problems.Problem] = attrs.field(factory=list)
 
-    def freeze(self) -> Collection:
+    def build(self) -> Collection:
         return Collection(
             tuple(self.documents),
             tuple(self.raw),
@@ -100,36 +103,46 @@
     Parameters
     ----------
     files : iterable of SourceFile
-        The files, in the order in which problems are to be reported.
+        Files in the order in which their problems are reported.
+
+    Returns
+    -------
+    Collection
+        Valid documents and all problems of the files.
     """
-    collecting = _Collecting()
+    builder = _CollectionBuilder()
     for file in files:
         value, found = validation.parse_json(file.path, file.text)
         if found:
-            collecting.problems.extend(found)
+            builder.problems.extend(found)
             continue
-        _add_value(collecting, file.path, value)
-    return collecting.freeze()
+        _add_value(builder, file.path, value)
+    return builder.build()
 
 
 def read_documents(value: validation.Json) -> Collection:
-    """Check documents that arrive decoded, as in a publication's body.
+    """Check decoded documents, such as those in a publication's body.
 
     Parameters
     ----------
     value : JSON value
         One document or a list of documents.
+
+    Returns
+    -------
+    Collection
+        Valid documents and all problems.
     """
-    collecting = _Collecting()
-    _add_value(collecting, '', value)
-    return collecting.freeze()
+    builder = _CollectionBuilder()
+    _add_value(builder, '', value)
+    return builder.build()
 
 
 def write_document(document: documents.Document) -> dict[str, typing.Any]:
-    """Return a document as a service file holds it, without defaults."""
+    """Return a document in the form of a service file, without defaults."""
     kind = documents.identify(document).kind.value
     value: dict[str, typing.Any] = attrs.asdict(
-        document, filter=_is_given, value_serializer=_serialize
+        document, filter=_differs_from_default, value_serializer=_serialize
     )
     if isinstance(document, documents.Target):
         value['serves'] = value.pop('kind')
@@ -139,10 +152,10 @@
 def locate_problem(
     problem: problems.Problem, origins: dict[str, Origin]
 ) -> problems.Problem:
-    """Add the file and the path within it, if the document has a file."""
+    """Add the file and the path in it if the document's origin is known."""
     origin = origins.get(problem.document)
-    is_placed = problem.file or problem.path.startswith('$[')
-    if origin is None or is_placed:
+    has_location = problem.file or problem.path.startswith('$[')
+    if origin is None or has_location:
         return problem
     return attrs.evolve(
         problem,
@@ -151,8 +164,10 @@
     )
 
 
-def _is_given(attribute: attrs.Attribute[typing.Any], value: object) -> bool:
-    """Tell whether a value differs from what stands for its absence."""
+def _differs_from_default(
+    attribute: attrs.Attribute[typing.Any], value: object
+) -> bool:
+    """Return whether a value differs from its attribute's default."""
     factory = getattr(attribute.default, 'factory', None)
     return bool(value != (factory() if factory else attribute.default))
 
@@ -164,50 +179,50 @@
 
 
 def _add_value(
-    collecting: _Collecting, file: str, value: validation.Json
+    builder: _CollectionBuilder, file: str, value: validation.Json
 ) -> None:
     if not isinstance(value, list):
-        _add_document(collecting, Origin(file, '$'), value)
+        _add_document(builder, Origin(file, '$'), value)
         return
     for index, item in enumerate(value):
-        _add_document(collecting, Origin(file, f'$[{index}]'), item)
+        _add_document(builder, Origin(file, f'$[{index}]'), item)
 
 
 def _add_document(
-    collecting: _Collecting, origin: Origin, value: validation.Json
+    builder: _CollectionBuilder, origin: Origin, value: validation.Json
 ) -> None:
-    address = _read_address(value)
-    found = _check_schema(origin, address, value)
+    key = _read_key(value)
+    found = _check_schema(origin, key, value)
     if found:
-        collecting.problems.extend(found)
+        builder.problems.extend(found)
         return
-    document = _convert(value)
+    document = _convert_document(value)
     if isinstance(document, msgspec.ValidationError):
-        collecting.problems.append(_report_type(origin, address, document))
+        builder.problems.append(_report_type(origin, key, document))
         return
-    first = collecting.origins.get(address)
+    first = builder.origins.get(key)
     if first is not None:
-        collecting.problems.append(_report_duplicate(origin, address, first))
+        builder.problems.append(_report_duplicate(origin, key, first))
         return
-    collecting.origins[address] = origin
-    collecting.documents.append(document)
-    collecting.raw.append(value)
+    builder.origins[key] = origin
+    builder.documents.append(document)
+    builder.raw.append(value)
 
 
-def _read_address(value: validation.Json) -> str:
+def _read_key(value: validation.Json) -> str:
     if not isinstance(value, dict) or not value.get('name'):
         return ''
     return f'{value.get("kind")}/{value["name"]}'
 
 
-def _convert(
+def _convert_document(
     value: dict[str, validation.Json],
 ) -> documents.Document | msgspec.ValidationError:
-    """Turn a document that keeps the schema into its type.
+    """Convert a document that conforms to the schema to its class.
 
-    A target's own kind stands under "serves" in files, since "kind" tells
-    the kind of document there. JSON Schema takes 2.0 for an integer and
-    the typed documents do not, so an error is still possible.
+    Files store a target's kind as "serves", since "kind" is the document
+    kind there. JSON Schema accepts 2.0 as an integer and the document
+    classes do not, so the conversion can still fail.
     """
     kind = documents.DocumentKind(value['kind'])
     fields = {name: item for name, item in value.items() if name != 'kind'}
@@ -220,7 +235,7 @@
 
 
 def _check_schema(
-    origin: Origin, address: str, value: validation.Json
+    origin: Origin, key: str, value: validation.Json
 ) -> list[problems.Problem]:
     kind = value.get('kind') if isinstance(value, dict) else None
     found = validation.find_problems(
@@ -228,7 +243,7 @@
     )
     return [
         attrs.evolve(
-            one, document=address, path=_join_paths(origin.path, one.path)
+            one, document=key, path=_join_paths(origin.path, one.path)
         )
         for one in found
     ]
@@ -236,7 +251,10 @@
 
 @functools.cache
 def _choose_schema(kind: str) -> dict[str, validation.Json]:
-    """Return the schema of one kind, so that its errors name the place."""
+    """Return the schema of one document kind.
+
+    Errors of the combined schema would not name the invalid member.
+    """
     definitions = schemas.read_schema(_SCHEMA)['$defs']
     if kind in [one.value for one in documents.DocumentKind]:
         return {'$ref': f'#/$defs/{kind}', '$defs': definitions}
@@ -249,12 +267,12 @@
 
 
 def _report_type(
-    origin: Origin, address: str, error: msgspec.ValidationError
+    origin: Origin, key: str, error: msgspec.ValidationError
 ) -> problems.Problem:
-    place = _PLACE.search(str(error))
+    match = _ERROR_PATH.search(str(error))
     return problems.Problem(
-        address,
-        _join_paths(origin.path, place['place'] if place else '$'),
+        key,
+        _join_paths(origin.path, match['path'] if match else '$'),
         'schema',
         f'Write a value of the right type ({error}).',
         origin.file,
@@ -262,13 +280,13 @@
 
 
 def _report_duplicate(
-    origin: Origin, address: str, first: Origin
+    origin: Origin, key: str, first: Origin
 ) -> problems.Problem:
     return problems.Problem(
-        address,
+        key,
         origin.path,
         'duplicate-document',
-        'Give it another name or remove it; the name is taken by '
+        'Give it another name or remove it; the name is already used by '
         f'{first.file} {first.path}.',
         origin.file,
     )
--- a/src/thornspool/domain/configuration/head.py
+++ b/src/thornspool/domain/configuration/head.py
@@ -1,4 +1,4 @@
-"""The head: the one value whose replacement accepts a publication."""
+"""The head, whose replacement by compare-and-swap accepts a publication."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from thornspool.domain.configuration import exceptions
 
 HEAD_KEY = 'configuration/head'
-FORMAT = 1
+FORMAT_VERSION = 1
 BUCKET_COUNT = 256
 HISTORY_LENGTH = 128
 RETIRED_LENGTH = 128
-NAMES_IN_RECORD = 8
+MAX_KEYS_PER_RECORD = 8
 
 
 @attrs.frozen
@@ -24,19 +24,21 @@
     Attributes
     ----------
     id : str
-        The publication's id, by which a lost answer is settled.
+        Id of the publication; shows whether a write of the head whose
+        response was lost took effect.
     version : int
-        Version of the head that accepted it.
+        Version of the head that contains it.
     author : str
-        Who published it.
+        Author of the publication.
     wall : int
-        Milliseconds since the Unix epoch at which it was planned.
+        Time of planning, in milliseconds since the Unix epoch.
     message : str
-        The author's note.
+        Message of the author.
     changed : tuple of str
-        The first ``NAMES_IN_RECORD`` changed documents, ``kind/name``.
+        Keys of the first ``MAX_KEYS_PER_RECORD`` changed documents, as
+        ``kind/name``.
     changed_count : int
-        How many documents it changed in all.
+        Number of all changed documents.
     """
 
     id: str
@@ -50,38 +52,38 @@
 
 @attrs.frozen
 class Head:
-    """One version of the configuration, by reference.
+    """One version of the configuration as digests of its buckets.
 
     Attributes
     ----------
     version : int
-        Grows by one with each accepted publication; 0 before the first.
+        Incremented by each accepted publication; 0 before the first.
     buckets : tuple of str
-        Digest of each bucket; empty text for an empty bucket.
+        Digest of each bucket; empty string for an empty bucket.
     history : tuple of Record
-        The last ``HISTORY_LENGTH`` publications, oldest first.
+        Records of the last ``HISTORY_LENGTH`` publications, oldest first.
     retired : tuple of str
-        Digests that former versions used, oldest first; what is pushed out
-        at the front is emptied in the platform.
+        Last ``RETIRED_LENGTH`` digests that previous versions used, oldest
+        first; the buckets of older digests are cleared in the platform.
     format : int
-        Layout of this value.
+        Format version of the encoded head.
     """
 
     version: int = 0
     buckets: tuple[str, ...] = ('',) * BUCKET_COUNT
     history: tuple[Record, ...] = ()
     retired: tuple[str, ...] = ()
-    format: int = FORMAT
+    format: int = FORMAT_VERSION
 
     @property
     def horizon(self) -> int:
-        """Version up to which the history no longer tells anything."""
+        """Latest version that the history does not cover."""
         if not self.history:
             return self.version
         return self.history[0].version - 1
 
     def find_record(self, publication_id: str) -> Record | None:
-        """Return the record of a publication, None if not in the history."""
+        """Return a publication's record, None if it is not in the history."""
         for record in reversed(self.history):
             if record.id == publication_id:
                 return record
@@ -94,12 +96,12 @@
 
 
 def decode_head(value: bytes) -> Head:
-    """Decode a head; no bytes stand for the head before any publication.
+    """Decode a head; empty bytes mean that nothing was published yet.
 
     Raises
     ------
     MalformedValue
-        If the bytes are damaged or of another format.
+        If the bytes cannot be decoded or have another format version.
     """
     if not value:
         return Head()
@@ -107,12 +109,12 @@
         head = msgspec.json.decode(zlib.decompress(value), type=Head)
     except (zlib.error, msgspec.DecodeError) as error:
         raise exceptions.MalformedValue(
-            f'The configuration head cannot be read: {error}.',
-            'Restore configuration/head in the platform.',
+            f'The configuration head cannot be decoded: {error}.',
+            'Restore the key configuration/head in the platform.',
         ) from error
-    if head.format != FORMAT:
+    if head.format != FORMAT_VERSION:
         raise exceptions.MalformedValue(
-            f'The configuration head has format {head.format}.',
-            f'This entry reads format {FORMAT}; upgrade it.',
+            f'The configuration head has format version {head.format}.',
+            f'This entry supports version {FORMAT_VERSION}; upgrade it.',
         )
     return head
--- a/src/thornspool/domain/configuration/messages.py
+++ b/src/thornspool/domain/configuration/messages.py
@@ -1,4 +1,4 @@
-"""Messages between entries about the configuration."""
+"""Messages with which entries pull the configuration from peers."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 @attrs.frozen
 class FetchHead:
-    """Ask a peer for the head that is in force there.
+    """Request for the head that is in force at a peer.
 
     Attributes
     ----------
     after_version : int
-        The head is sent only if it is past this version.
+        The reply contains the head only if its version is higher.
     """
 
     after_version: int
@@ -20,14 +20,15 @@
 
 @attrs.frozen
 class HeadReply:
-    """A peer's head.
+    """Reply to ``FetchHead``.
 
     Attributes
     ----------
     version : int
         Version in force at the peer.
     value : bytes
-        The encoded head; empty if it is not past the version asked for.
+        Encoded head; empty if its version is not higher than the requested
+        one.
     """
 
     version: int
@@ -36,7 +37,7 @@
 
 @attrs.frozen
 class FetchBucket:
-    """Ask a peer for a bucket.
+    """Request for a bucket.
 
     Attributes
     ----------
@@ -49,14 +50,14 @@
 
 @attrs.frozen
 class BucketReply:
-    """A peer's copy of a bucket.
+    """Reply to ``FetchBucket``.
 
     Attributes
     ----------
     digest : str
-        Digest that was asked for.
+        Requested digest.
     value : bytes
-        The encoded bucket; empty if the peer does not hold it.
+        Encoded bucket; empty if the peer does not have it.
     """
 
     digest: str
--- a/src/thornspool/domain/configuration/problems.py
+++ b/src/thornspool/domain/configuration/problems.py
@@ -1,4 +1,4 @@
-"""What is wrong in a file or a publication, where, and what to write."""
+"""Problems in files and publications, with location and remedy."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 @attrs.frozen
 class Problem:
-    """One broken rule.
+    """A violation of one rule.
 
     Attributes
     ----------
     document : str
-        ``kind/name`` of the document; empty if it has no such address, as
-        in a settings file.
+        ``kind/name`` key of the document; empty if it has none, as in a
+        settings file.
     path : str
-        JSONPath of the place within the document, ``$`` for the whole;
-        within the file, if there is one.
+        JSONPath of the violation, ``$`` for the whole value; relative to the
+        file if there is one, otherwise to the document.
     rule : str
         Name of the rule.
     remedy : str
-        What to write instead, as a sentence.
+        Instruction for correcting it, as a sentence.
     file : str
-        File that holds the document; empty if it came without one.
+        Path of the file; empty if the document has no file.
     """
 
     document: str
@@ -32,5 +32,5 @@
     file: str = ''
 
     def __str__(self) -> str:
-        place = self.file or self.document
-        return f'{place}: {self.path}: {self.rule}: {self.remedy}'
+        location = self.file or self.document
+        return f'{location}: {self.path}: {self.rule}: {self.remedy}'
--- a/src/thornspool/domain/configuration/publications.py
+++ b/src/thornspool/domain/configuration/publications.py
@@ -1,4 +1,4 @@
-"""Planning of a publication: conflicts, rules and the next head."""
+"""Planning of publications: conflict detection, rules and the next head."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import attrs
 
-from thornspool.domain.configuration import contents as whole
+from thornspool.domain.configuration import contents as contents_module
 from thornspool.domain.configuration import documents
 from thornspool.domain.configuration import head as heads
 from thornspool.domain.configuration import problems
@@ -20,23 +20,23 @@
 
 @attrs.frozen
 class Publication:
-    """Changes that are accepted together or not at all.
+    """A set of changes that is accepted atomically.
 
     Attributes
     ----------
     id : str
-        Made by the publisher; sending it again with the same id is safe.
+        Id chosen by the publisher; retrying with the same id is safe.
     author : str
-        Who publishes.
+        Author of the publication.
     base_version : int
-        Version that the author looked at. A document that changed since is
-        a conflict.
+        Version on which the author based the changes. A document that
+        changed after it is a conflict.
     additions : tuple of Document
         Documents to add or replace.
     removals : tuple of DocumentKey
-        Documents to remove.
+        Keys of the documents to remove.
     message : str
-        The author's note.
+        Message of the author.
     """
 
     id: str
@@ -49,16 +49,16 @@
 
 @attrs.frozen
 class Plan:
-    """The writes that accept a publication.
+    """The writes to the platform that accept a publication.
 
     Attributes
     ----------
     head : Head
-        The next head.
+        Head of the next version.
     values : dict of str to bytes
-        The buckets to write before it, by digest.
+        Encoded buckets by digest, to be written before the head.
     garbage : tuple of str
-        Digests that nothing refers to once the head is written.
+        Digests that are unreferenced once the head is written.
     """
 
     head: heads.Head
@@ -68,14 +68,14 @@
 
 @attrs.frozen
 class Conflict:
-    """Documents that others changed since the publication's base.
+    """Documents of a publication that changed after its base version.
 
     Attributes
     ----------
     names : tuple of str
-        The documents, ``kind/name``.
+        Keys of the documents as ``kind/name``.
     version : int
-        Version to look at before publishing again.
+        Version to use as the base of a new publication.
     """
 
     names: tuple[str, ...]
@@ -84,12 +84,12 @@
 
 @attrs.frozen
 class Invalid:
-    """The publication breaks rules.
+    """The publication violates rules.
 
     Attributes
     ----------
     problems : tuple of Problem
-        Every broken rule.
+        All violations.
     """
 
     problems: tuple[problems.Problem, ...]
@@ -97,12 +97,12 @@
 
 @attrs.frozen
 class Unchanged:
-    """All of it is in force already.
+    """All changes of the publication are already in force.
 
     Attributes
     ----------
     version : int
-        Version that holds it.
+        Version that contains them.
     """
 
     version: int
@@ -110,17 +110,18 @@
 
 Planned = Plan | Conflict | Invalid | Unchanged
 FindConflicts = typing.Callable[
-    [whole.Contents, Publication], 'tuple[documents.DocumentKey, ...]'
+    [contents_module.Contents, Publication],
+    'tuple[documents.DocumentKey, ...]',
 ]
 
 
 def find_conflicts(
-    contents: whole.Contents, publication: Publication
+    contents: contents_module.Contents, publication: Publication
 ) -> tuple[documents.DocumentKey, ...]:
-    """Return the documents of a publication that changed since its base.
+    """Return the documents of a publication that changed after its base.
 
-    Publications that touch different documents commute, so a publication
-    whose base is old is no conflict by itself.
+    Publications that change different documents commute, so an old base
+    version alone is no conflict.
     """
     return tuple(
         key
@@ -130,47 +131,52 @@
 
 
 def plan_publication(
-    contents: whole.Contents,
+    contents: contents_module.Contents,
     publication: Publication,
     wall: int,
     conflicts: FindConflicts = find_conflicts,
 ) -> Planned:
-    """Decide what a publication makes of a version of the configuration.
+    """Plan the next version that a publication leads to.
 
     Parameters
     ----------
     contents : Contents
-        The latest version, on which the changes are applied.
+        Latest version, to which the changes are applied.
     publication : Publication
-        The changes.
+        Changes to plan.
     wall : int
-        Milliseconds since the Unix epoch, for the history.
+        Milliseconds since the Unix epoch, stored in the history.
     conflicts : callable
-        The conflict relation.
+        Returns the documents of a publication that are in conflict.
+
+    Returns
+    -------
+    Plan, Conflict, Invalid or Unchanged
+        The writes to make, or why there are none.
     """
-    repeated = tuple(_check_repeats(contents, publication))
-    if repeated:
-        return Invalid(repeated)
-    names = conflicts(contents, publication)
-    if names:
+    found = tuple(_check_changes(contents, publication))
+    if found:
+        return Invalid(found)
+    conflicting = conflicts(contents, publication)
+    if conflicting:
         return Conflict(
-            tuple(str(key) for key in names), contents.head.version
+            tuple(str(key) for key in conflicting), contents.head.version
         )
     changes = _drop_unchanged(contents, publication)
     if not changes:
         return Unchanged(contents.head.version)
-    broken = _check_merged(contents, changes)
-    if broken:
-        return Invalid(broken)
+    violations = _check_merged_result(contents, changes)
+    if violations:
+        return Invalid(violations)
     plan = _build_plan(contents, publication, changes, wall)
     too_large = tuple(_check_sizes(plan))
     return Invalid(too_large) if too_large else plan
 
 
 def _check_sizes(plan: Plan) -> Iterator[problems.Problem]:
-    """Refuse what the platform would not store, and say so in time."""
+    """Report buckets over the size limit of the platform before any write."""
     for digest, value in plan.values.items():
-        if len(value) <= storage.VALUE_LIMIT:
+        if len(value) <= storage.VALUE_LIMIT_BYTES:
             continue
         bucket = storage.decode_bucket(digest, value)
         sizes = {key: len(repr(bucket[key].document)) for key in bucket}
@@ -179,8 +185,9 @@
             str(largest),
             '$',
             'too-large',
-            'Split this document; those stored with it come to '
-            f'{len(value)} bytes, and {storage.VALUE_LIMIT} are allowed.',
+            'Split this document; the documents in its bucket take '
+            f'{len(value)} bytes, and '
+            f'{storage.VALUE_LIMIT_BYTES} are allowed.',
         )
 
 
@@ -197,24 +204,24 @@
 
 
 def _is_in_conflict(
-    contents: whole.Contents,
+    contents: contents_module.Contents,
     publication: Publication,
     key: documents.DocumentKey,
     document: documents.Document | None,
 ) -> bool:
     stored = contents.find(key)
     if stored is None:
-        # Removals older than the history are forgotten, so the author of
-        # an older base may have seen a document that is gone. Taking it
-        # as new would undo the removal without a word.
+        # Tombstones older than the history are dropped, so a base before
+        # the history may contain a document that was removed since. Adding
+        # it as a new document would silently undo the removal.
         return publication.base_version < contents.head.horizon
     if stored.document == document:
         return False
     return stored.version > publication.base_version
 
 
-def _check_repeats(
-    contents: whole.Contents, publication: Publication
+def _check_changes(
+    contents: contents_module.Contents, publication: Publication
 ) -> Iterator[problems.Problem]:
     seen: set[documents.DocumentKey] = set()
     for key, _ in _list_changes(publication):
@@ -237,7 +244,7 @@
 
 
 def _drop_unchanged(
-    contents: whole.Contents, publication: Publication
+    contents: contents_module.Contents, publication: Publication
 ) -> _Changes:
     changes: _Changes = {}
     for key, document in _list_changes(publication):
@@ -247,44 +254,45 @@
     return changes
 
 
-def _check_merged(
-    contents: whole.Contents, changes: _Changes
+def _check_merged_result(
+    contents: contents_module.Contents, changes: _Changes
 ) -> tuple[problems.Problem, ...]:
-    """Check the rules on the merged result.
+    """Check the rules on the configuration with the changes applied.
 
-    Two publications can each be right and break a rule together, as when
-    one removes a target that the other begins to use. What was broken
-    before is not held against this publication, or a rule that a newer
-    program adds would block every repair but one that mends all at once.
+    Two publications can each be valid and violate a rule together, such as
+    when one removes a target that the other starts to use. Violations that
+    exist before the publication are ignored. Otherwise, a rule added by a
+    newer release would block every correction that does not resolve all of
+    its violations at once.
     """
-    by_kind = whole.copy_by_kind(contents.snapshot)
+    by_kind = contents_module.copy_by_kind(contents.snapshot)
     for key, document in changes.items():
         if document is None:
             by_kind[key.kind].pop(key.name, None)
         else:
             by_kind[key.kind][key.name] = document
-    merged = whole.build_snapshot(contents.head.version + 1, by_kind)
-    kept = [one for one in changes.values() if one is not None]
-    if len(kept) == len(changes) and not _has_target(kept):
-        return rules.check_documents(merged, kept)
-    broken = rules.check_snapshot(merged)
-    if not broken:
+    merged = contents_module.build_snapshot(contents.head.version + 1, by_kind)
+    additions = [one for one in changes.values() if one is not None]
+    if len(additions) == len(changes) and not _includes_target(additions):
+        return rules.check_documents(merged, additions)
+    violations = rules.check_snapshot(merged)
+    if not violations:
         return ()
     before = set(rules.check_snapshot(contents.snapshot))
-    return tuple(problem for problem in broken if problem not in before)
+    return tuple(problem for problem in violations if problem not in before)
 
 
-def _has_target(changed: Iterable[documents.Document]) -> bool:
-    """Tell whether documents that refer to these may break a rule now.
+def _includes_target(changed: Iterable[documents.Document]) -> bool:
+    """Return whether the documents include a target.
 
-    References go by name, so only a removal or a target of another kind can
-    break the rules of a document that was not published.
+    References are by name, so only a removal or a target whose kind changes
+    can make a document invalid that is not part of the publication.
     """
     return any(isinstance(one, documents.Target) for one in changed)
 
 
 def _build_plan(
-    contents: whole.Contents,
+    contents: contents_module.Contents,
     publication: Publication,
     changes: _Changes,
     wall: int,
@@ -294,7 +302,9 @@
         *contents.head.history,
         _build_record(publication, changes, version, wall),
     )[-heads.HISTORY_LENGTH :]
-    changed = _change_buckets(contents, changes, version, history[0].version)
+    changed = _build_changed_buckets(
+        contents, changes, version, history[0].version
+    )
     digests = list(contents.head.buckets)
     values: dict[str, bytes] = {}
     replaced: list[str] = []
@@ -314,37 +324,44 @@
     return Plan(head, values, retired[: -heads.RETIRED_LENGTH])
 
 
-def _change_buckets(
-    contents: whole.Contents, changes: _Changes, version: int, oldest: int
+def _build_changed_buckets(
+    contents: contents_module.Contents,
+    changes: _Changes,
+    version: int,
+    oldest_version: int,
 ) -> dict[int, storage.Bucket]:
     changed: dict[int, storage.Bucket] = {}
     for key, document in changes.items():
         index = storage.assign_bucket(key)
         if index not in changed:
-            changed[index] = _copy_bucket(contents.buckets[index], oldest)
+            changed[index] = _copy_without_old_removals(
+                contents.buckets[index], oldest_version
+            )
         changed[index][key] = storage.StoredDocument(version, document)
     return changed
 
 
-def _copy_bucket(bucket: storage.Bucket, oldest: int) -> storage.Bucket:
-    """Copy a bucket without the removals that the history has forgotten."""
+def _copy_without_old_removals(
+    bucket: storage.Bucket, oldest_version: int
+) -> storage.Bucket:
+    """Copy a bucket without tombstones that the history does not cover."""
     return {
         key: stored
         for key, stored in bucket.items()
-        if stored.document is not None or stored.version >= oldest
+        if stored.document is not None or stored.version >= oldest_version
     }
 
 
 def _build_record(
     publication: Publication, changes: _Changes, version: int, wall: int
 ) -> heads.Record:
-    names = sorted(str(key) for key in changes)
+    keys = sorted(str(key) for key in changes)
     return heads.Record(
         publication.id,
         version,
         publication.author,
         wall,
         publication.message,
-        tuple(names[: heads.NAMES_IN_RECORD]),
-        len(names),
+        tuple(keys[: heads.MAX_KEYS_PER_RECORD]),
+        len(keys),
     )
--- a/src/thornspool/domain/configuration/publishing.py
+++ b/src/thornspool/domain/configuration/publishing.py
@@ -1,22 +1,22 @@
-"""Decisions of one publication from its first read to its outcome.
+"""State machine of a publication, from the first read to the outcome.
 
-The head is read, a plan is made on it, its buckets are written and then the
-head by compare-and-swap. A write of the head whose answer was lost is settled
-by the history of a later head and by nothing else.
+The publisher reads the head, plans the next one, writes its buckets and then
+replaces the head by compare-and-swap. If the response to the write of the head
+is lost, only the history of a later head shows whether it took effect.
 """
 
 from __future__ import annotations
 
 import attrs
 
-from thornspool.domain.configuration import contents as whole
+from thornspool.domain.configuration import contents as contents_module
 from thornspool.domain.configuration import head as heads
 from thornspool.domain.configuration import publications
 
 
 @attrs.frozen
 class Attempt:
-    """A plan and the platform's version of the head that it replaces."""
+    """A plan and the platform version of the head that it replaces."""
 
     plan: publications.Plan
     expected_version: int
@@ -24,102 +24,103 @@
 
 @attrs.frozen
 class Progress:
-    """State of one publication.
+    """State of a publication.
 
     Attributes
     ----------
     publication : Publication
-        What is published.
+        Publication to be accepted.
     conflicts : callable
-        The conflict relation.
+        Returns the documents of a publication that are in conflict.
     attempt : Attempt or None
-        The plan under way; its fate is open from its first write on.
-    written : bool
-        Whether a write of the attempt's head has left.
+        Current attempt; its outcome is unknown once its head was sent.
+    head_sent : bool
+        Whether a write of the attempt's head was sent.
     garbage : tuple of str
-        Digests of buckets that nothing refers to, nor ever will.
+        Digests of buckets that no version refers to or will refer to.
     """
 
     publication: publications.Publication
     conflicts: publications.FindConflicts = publications.find_conflicts
     attempt: Attempt | None = None
-    written: bool = False
+    head_sent: bool = False
     garbage: tuple[str, ...] = ()
 
 
 @attrs.frozen
 class HeadRead:
-    """The head was read and its contents pulled.
+    """The head was read and its buckets were pulled.
 
     Attributes
     ----------
     contents : Contents
-        All that the head refers to.
+        Contents of the head's version.
     platform_version : int
-        The platform's version of the head's key, 0 before it exists.
+        Version that the platform assigns to the head's key; 0 if the key
+        does not exist.
     wall : int
-        Milliseconds since the Unix epoch.
+        Time of the read, in milliseconds since the Unix epoch.
     """
 
-    contents: whole.Contents
+    contents: contents_module.Contents
     platform_version: int
     wall: int
 
 
 @attrs.frozen
 class BucketsWritten:
-    """Every bucket of the attempt is in the platform."""
+    """The platform stores every bucket of the attempt."""
 
 
 @attrs.frozen
 class HeadWritten:
-    """The write of the head is known to have taken effect."""
+    """The platform confirmed the write of the head."""
 
 
 @attrs.frozen
-class HeadOpen:
-    """The write of the head was refused, or its answer was lost."""
+class HeadUnconfirmed:
+    """The write of the head was rejected, or its response was lost."""
 
 
 @attrs.frozen
 class StepFailed:
-    """The platform did not answer, or answered with an old head."""
+    """The platform did not respond, or returned an old head."""
 
 
-Event = HeadRead | BucketsWritten | HeadWritten | HeadOpen | StepFailed
+Event = HeadRead | BucketsWritten | HeadWritten | HeadUnconfirmed | StepFailed
 
 
 @attrs.frozen
 class ReadHead:
-    """Read the head; after a pause if the last step failed."""
+    """Read the head, after a delay if the previous step failed."""
 
-    pause: bool = False
+    delayed: bool = False
 
 
 @attrs.frozen
 class WriteBuckets:
-    """Write the attempt's buckets."""
+    """Write the buckets of the attempt."""
 
     values: dict[str, bytes]
 
 
 @attrs.frozen
 class WriteHead:
-    """Write the attempt's head by compare-and-swap.
+    """Replace the head by compare-and-swap.
 
     Attributes
     ----------
     value : bytes
         The encoded head.
     expected_version : int
-        The platform's version that it replaces.
-    pause : bool
-        Whether to wait first, since the same write was sent before.
+        Platform version of the head that is replaced.
+    delayed : bool
+        Whether to delay the write, because it is a retry.
     """
 
     value: bytes
     expected_version: int
-    pause: bool = False
+    delayed: bool = False
 
 
 @attrs.frozen
@@ -129,9 +130,9 @@
     Attributes
     ----------
     outcome : Confirmed, Conflict, Invalid or Undecided
-        What to tell the publisher.
+        Outcome to return to the publisher.
     garbage : tuple of str
-        Digests of buckets to empty.
+        Digests of buckets to clear in the platform.
     """
 
     outcome: Outcome
@@ -145,7 +146,7 @@
     Attributes
     ----------
     version : int
-        Version that holds it.
+        Version that contains it.
     """
 
     version: int
@@ -153,14 +154,15 @@
 
 @attrs.frozen
 class Undecided:
-    """Nobody can tell yet whether the publication is accepted.
+    """It is unknown whether the publication is or will be accepted.
 
     Attributes
     ----------
     written : bool
-        Whether a write may still land. If not, it is not accepted.
+        Whether a sent write may still take effect. If False, the publication
+        is not accepted.
     reason : str
-        What kept it from being settled.
+        Why the outcome is unknown.
     """
 
     written: bool
@@ -179,31 +181,36 @@
     progress : Progress
         State before the event.
     event : Event
-        What happened.
+        Result of the previous command.
+
+    Returns
+    -------
+    tuple of Progress and Command
+        Next state and the command to execute.
     """
     if isinstance(event, HeadRead):
-        return _decide_on_head(progress, event)
+        return _handle_head(progress, event)
     if isinstance(event, StepFailed):
-        return progress, ReadHead(pause=True)
-    if isinstance(event, HeadOpen):
+        return progress, ReadHead(delayed=True)
+    if isinstance(event, HeadUnconfirmed):
         return progress, ReadHead()
     if progress.attempt is None:
         return progress, ReadHead()
     plan = progress.attempt.plan
     if isinstance(event, BucketsWritten):
-        return attrs.evolve(progress, written=True), _write_head(
+        return attrs.evolve(progress, head_sent=True), _build_head_write(
             progress.attempt
         )
-    return progress, _confirm(progress, plan.head.version)
+    return progress, _finish_confirmed(progress, plan.head.version)
 
 
-def give_up(progress: Progress, reason: str) -> Undecided:
-    """Return the outcome of a publication whose time is up."""
-    return Undecided(progress.written, reason)
+def expire(progress: Progress, reason: str) -> Undecided:
+    """Return the outcome of a publication that timed out."""
+    return Undecided(progress.head_sent, reason)
 
 
-def _confirm(progress: Progress, version: int) -> Finish:
-    """Finish with what the accepted head no longer refers to as garbage."""
+def _finish_confirmed(progress: Progress, version: int) -> Finish:
+    """Finish; buckets without a reference in the accepted head are garbage."""
     garbage = progress.garbage
     attempt = progress.attempt
     if attempt is not None and attempt.plan.head.version == version:
@@ -211,49 +218,50 @@
     return Finish(Confirmed(version), garbage)
 
 
-def _write_head(attempt: Attempt) -> WriteHead:
+def _build_head_write(attempt: Attempt) -> WriteHead:
     return WriteHead(
         heads.encode_head(attempt.plan.head), attempt.expected_version
     )
 
 
-def _decide_on_head(
+def _handle_head(
     progress: Progress, event: HeadRead
 ) -> tuple[Progress, Command]:
     head = event.contents.head
     record = head.find_record(progress.publication.id)
     if record is not None:
-        return progress, _confirm(progress, record.version)
-    if progress.attempt is not None and progress.written:
-        return _decide_on_open_attempt(progress, progress.attempt, event)
-    return _plan(progress, event)
+        return progress, _finish_confirmed(progress, record.version)
+    if progress.attempt is not None and progress.head_sent:
+        return _handle_unconfirmed_attempt(progress, progress.attempt, event)
+    return _plan_attempt(progress, event)
 
 
-def _decide_on_open_attempt(
+def _handle_unconfirmed_attempt(
     progress: Progress, attempt: Attempt, event: HeadRead
 ) -> tuple[Progress, Command]:
-    """Settle a write whose fate is open by a head that lacks its record.
+    """Handle an unconfirmed write of a head that the history does not show.
 
-    An old head proves nothing: the write may still be on its way, and a new
-    plan beside it could be accepted as well, or be told to have failed while
-    the old one lands. So the same write is sent again, which at most one of
-    the two can win. A later head rules both out.
+    A head older than the attempt's is inconclusive: the write may still be in
+    transit. A second plan could then be accepted as well, or be reported as
+    failed while the first write takes effect. Therefore the same write is
+    retried; compare-and-swap lets at most one of the two succeed. A head of
+    the attempt's version or a later one means that neither can.
     """
     head = event.contents.head
     if head.version < attempt.plan.head.version:
-        return progress, attrs.evolve(_write_head(attempt), pause=True)
+        return progress, attrs.evolve(_build_head_write(attempt), delayed=True)
     if head.horizon >= attempt.plan.head.version:
-        reason = 'The history no longer reaches back to the attempt.'
+        reason = 'The history no longer covers the attempt.'
         return progress, Finish(Undecided(True, reason))
-    return _plan(progress, event)
+    return _plan_attempt(progress, event)
 
 
-def _drop_attempt(progress: Progress, head: heads.Head) -> Progress:
-    """Forget an attempt that cannot land and note its buckets as garbage.
+def _discard_attempt(progress: Progress, head: heads.Head) -> Progress:
+    """Discard an attempt that cannot take effect; its buckets are garbage.
 
-    A bucket holds the version that it was made for, so no other version
-    will ever refer to it. While the head is older, the next plan may come
-    to the same bytes again.
+    A bucket contains the version that it was built for, so no other version
+    will refer to it. While the head is older than the attempt's, its buckets
+    are no garbage, because the next plan may produce the same bytes.
     """
     orphans: tuple[str, ...] = ()
     attempt = progress.attempt
@@ -266,15 +274,17 @@
     return attrs.evolve(
         progress,
         attempt=None,
-        written=False,
+        head_sent=False,
         garbage=(*progress.garbage, *orphans),
     )
 
 
-def _plan(progress: Progress, event: HeadRead) -> tuple[Progress, Command]:
-    progress = _drop_attempt(progress, event.contents.head)
+def _plan_attempt(
+    progress: Progress, event: HeadRead
+) -> tuple[Progress, Command]:
+    progress = _discard_attempt(progress, event.contents.head)
     if event.contents.head.version < progress.publication.base_version:
-        return progress, ReadHead(pause=True)
+        return progress, ReadHead(delayed=True)
     planned = publications.plan_publication(
         event.contents,
         progress.publication,
@@ -288,6 +298,6 @@
         return progress, Finish(planned, progress.garbage)
     attempt = Attempt(planned, event.platform_version)
     return (
-        attrs.evolve(progress, attempt=attempt, written=False),
+        attrs.evolve(progress, attempt=attempt, head_sent=False),
         WriteBuckets(planned.values),
     )
--- a/src/thornspool/domain/configuration/rules.py
+++ b/src/thornspool/domain/configuration/rules.py
@@ -1,4 +1,4 @@
-"""Rules between documents, checked on a whole configuration."""
+"""Validation of references and consistency across documents."""
 
 from __future__ import annotations
 
@@ -16,32 +16,42 @@
 def check_snapshot(
     snapshot: documents.Snapshot,
 ) -> tuple[problems.Problem, ...]:
-    """Return every broken rule of a configuration, in a fixed order.
+    """Check all documents of a configuration.
 
     Parameters
     ----------
     snapshot : Snapshot
-        The configuration as it would be in force.
+        Configuration to check.
+
+    Returns
+    -------
+    tuple of Problem
+        All violations, in a fixed order.
     """
-    every: tuple[documents.Document, ...] = (
+    checked: tuple[documents.Document, ...] = (
         *snapshot.workspaces.values(),
         *snapshot.services.values(),
         *snapshot.models.values(),
     )
-    return check_documents(snapshot, every)
+    return check_documents(snapshot, checked)
 
 
 def check_documents(
     snapshot: documents.Snapshot, checked: Iterable[documents.Document]
 ) -> tuple[problems.Problem, ...]:
-    """Return the broken rules of some documents of a configuration.
+    """Check some documents of a configuration.
 
     Parameters
     ----------
     snapshot : Snapshot
-        The configuration that they refer to.
+        Configuration that the documents refer to.
     checked : iterable of Document
-        The documents to check; targets refer to nothing.
+        Documents to check; targets have no references to check.
+
+    Returns
+    -------
+    tuple of Problem
+        All violations of these documents.
     """
     found: list[problems.Problem] = []
     for document in checked:
@@ -58,21 +68,25 @@
 def _check_workspace(
     snapshot: documents.Snapshot, workspace: documents.Workspace
 ) -> Iterator[problems.Problem]:
-    place = f'workspace/{workspace.name}'
+    document_key = f'workspace/{workspace.name}'
     for index, name in enumerate(workspace.models):
         if name not in snapshot.models:
             yield _report_unknown(
-                place, f'$.models[{index}]', 'model', name, snapshot.models
+                document_key,
+                f'$.models[{index}]',
+                'model',
+                name,
+                snapshot.models,
             )
 
 
 def _check_service(
     snapshot: documents.Snapshot, service: documents.Service
 ) -> Iterator[problems.Problem]:
-    place = f'service/{service.name}'
+    document_key = f'service/{service.name}'
     if service.workspace not in snapshot.workspaces:
         yield _report_unknown(
-            place,
+            document_key,
             '$.workspace',
             'workspace',
             service.workspace,
@@ -97,18 +111,20 @@
 
 def _check_target(
     snapshot: documents.Snapshot,
-    place: str,
+    document_key: str,
     path: str,
     name: str,
     kind: documents.TargetKind,
 ) -> Iterator[problems.Problem]:
     target = snapshot.targets.get(name)
     if target is None:
-        yield _report_unknown(place, path, 'target', name, snapshot.targets)
+        yield _report_unknown(
+            document_key, path, 'target', name, snapshot.targets
+        )
         return
     if target.kind is not kind:
         yield problems.Problem(
-            place,
+            document_key,
             path,
             'target-kind',
             f'Name a target that serves "{kind.value}"; "{name}" serves '
@@ -119,13 +135,13 @@
 def _check_operations(
     service: documents.Service,
 ) -> Iterator[problems.Problem]:
-    place = f'service/{service.name}'
+    document_key = f'service/{service.name}'
     seen: set[str] = set()
     for index, operation in enumerate(service.operations):
         path = f'$.operations[{index}]'
         if operation.name in seen:
             yield problems.Problem(
-                place,
+                document_key,
                 f'{path}.name',
                 'duplicate-operation',
                 f'Give the second operation "{operation.name}" another '
@@ -134,24 +150,24 @@
         seen.add(operation.name)
         if operation.idempotent and operation.deduplicates:
             yield problems.Problem(
-                place,
+                document_key,
                 f'{path}.deduplicates',
                 'deduplicates-idempotent',
                 'Remove "deduplicates", or write "idempotent": false if '
-                'a call may not be repeated without its key.',
+                'a call may not be retried without its key.',
             )
 
 
 def _check_model(
     snapshot: documents.Snapshot, model: documents.Model
 ) -> Iterator[problems.Problem]:
-    place = f'model/{model.name}'
+    document_key = f'model/{model.name}'
     seen: set[documents.Stage] = set()
     for index, stage in enumerate(model.stages):
         path = f'$.stages[{index}]'
         yield from _check_target(
             snapshot,
-            place,
+            document_key,
             f'{path}.target',
             stage.target,
             documents.TargetKind.ENGINE,
@@ -159,20 +175,20 @@
         yield from _check_range(model, stage, path)
         if stage in seen:
             yield problems.Problem(
-                place,
+                document_key,
                 path,
                 'duplicate-stage',
-                'Remove this stage; an earlier line says the same.',
+                'Remove this stage; it duplicates an earlier one.',
             )
         seen.add(stage)
-    if not _has_chain(model):
+    if not _covers_all_layers(model):
         yield problems.Problem(
-            place,
+            document_key,
             '$.stages',
             'layer-gap',
-            'Add stages so that some of them, one after the other, hold '
-            f'layers 0 to {model.layers} without gap or overlap; those '
-            f'given reach layer {max(_reach_layers(model))}.',
+            'Add stages so that a chain of them covers layers 0 to '
+            f'{model.layers} without gap or overlap; the chains of the '
+            f'given stages reach layer {max(_find_reachable_layers(model))}.',
         )
 
 
@@ -190,37 +206,42 @@
     )
 
 
-def _reach_layers(model: documents.Model) -> set[int]:
-    """Return the layers at which a chain that starts at 0 can end."""
+def _find_reachable_layers(model: documents.Model) -> set[int]:
+    """Return the end layers of all chains of stages that start at layer 0."""
     reached = {0}
     for stage in sorted(model.stages, key=lambda one: one.first_layer):
-        forwards = stage.first_layer < stage.end_layer
-        if forwards and stage.first_layer in reached:
+        is_nonempty = stage.first_layer < stage.end_layer
+        if is_nonempty and stage.first_layer in reached:
             reached.add(stage.end_layer)
     return reached
 
 
-def _has_chain(model: documents.Model) -> bool:
-    return model.layers in _reach_layers(model)
+def _covers_all_layers(model: documents.Model) -> bool:
+    return model.layers in _find_reachable_layers(model)
 
 
 def _report_unknown(
-    place: str, path: str, kind: str, name: str, known: Collection[str]
+    document_key: str, path: str, kind: str, name: str, names: Collection[str]
 ) -> problems.Problem:
-    close = _suggest(name, known)
-    instead = f'such as "{close}"' if close else 'or publish it as well'
+    suggestion = _find_similar(name, names)
+    alternative = (
+        f'such as "{suggestion}"' if suggestion else 'or publish it as well'
+    )
     return problems.Problem(
-        place,
+        document_key,
         path,
         f'unknown-{kind}',
-        f'Name a {kind} that exists, {instead}; "{name}" does not.',
+        f'Name a {kind} that exists, {alternative}; "{name}" does not.',
     )
 
 
-def _suggest(name: str, known: Collection[str]) -> str:
-    """Return a known name that begins like this one, or nothing."""
+def _find_similar(name: str, names: Collection[str]) -> str:
+    """Return the name with the longest common prefix, or an empty string.
+
+    Names whose common prefix is shorter than two characters do not count.
+    """
     for length in range(len(name), 1, -1):
-        for candidate in known:
+        for candidate in names:
             if candidate.startswith(name[:length]):
                 return candidate
     return ''
--- a/src/thornspool/domain/configuration/storage.py
+++ b/src/thornspool/domain/configuration/storage.py
@@ -1,4 +1,4 @@
-"""Buckets: groups of documents stored under the digest of their bytes."""
+"""Encoding of buckets, which group documents under a content digest."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Mapping
 
-VALUE_LIMIT = 1_000_000
+VALUE_LIMIT_BYTES = 1_000_000
 _DIGEST_BYTES = 16
 _KEY_PREFIX = 'configuration/bucket/'
 
 
 @attrs.frozen
 class StoredDocument:
-    """A document as a bucket holds it.
+    """A document in a bucket.
 
     Attributes
     ----------
     version : int
-        Version of the head that last changed it.
+        Version of the configuration that last changed it.
     document : Document or None
-        None for one that was removed. It stays until the history no longer
-        covers the removal: without it, a publication based on an older
-        version would bring the document back unnoticed.
+        None marks a removed document. The tombstone is kept until the
+        history no longer covers the removal: without it, a publication based
+        on an older version would restore the document without a conflict.
     """
 
     version: int
@@ -50,8 +50,8 @@
 
 
 @attrs.frozen
-class _Line:
-    """One document in a bucket's bytes."""
+class _EncodedDocument:
+    """Encoded form of a document in a bucket."""
 
     kind: documents.DocumentKind
     name: str
@@ -60,83 +60,92 @@
 
 
 def assign_bucket(key: documents.DocumentKey) -> int:
-    """Return the index of the bucket that holds a document."""
+    """Return the index of a document's bucket."""
     return xxhash.xxh64_intdigest(str(key).encode()) % heads.BUCKET_COUNT
 
 
 def format_bucket_key(digest: str) -> str:
-    """Return the platform's key of a bucket."""
+    """Return the key under which the platform stores a bucket."""
     return f'{_KEY_PREFIX}{digest}'
 
 
 def compute_digest(value: bytes) -> str:
-    """Return the digest of a bucket's bytes, 32 hexadecimal digits."""
+    """Return the digest of an encoded bucket as 32 hexadecimal digits."""
     return hashlib.blake2b(value, digest_size=_DIGEST_BYTES).hexdigest()
 
 
 def encode_bucket(
     bucket: Mapping[documents.DocumentKey, StoredDocument],
 ) -> bytes:
-    """Encode a bucket as compressed JSON, in the order of its names.
+    """Encode a bucket as compressed JSON, sorted by document key.
 
     Returns
     -------
     bytes
-        Empty when the bucket is empty.
+        The encoded bucket; empty if the bucket has no documents.
     """
     if not bucket:
         return b''
-    lines = [_encode_line(key, bucket[key]) for key in sorted(bucket, key=str)]
-    return zlib.compress(msgspec.json.encode(lines))
+    items = [
+        _encode_document(key, bucket[key]) for key in sorted(bucket, key=str)
+    ]
+    return zlib.compress(msgspec.json.encode(items))
 
 
 def decode_bucket(digest: str, value: bytes) -> Bucket:
-    """Check a bucket's bytes against its digest and decode them.
+    """Verify the digest of an encoded bucket and decode it.
 
     Parameters
     ----------
     digest : str
-        Digest in the head; empty for an empty bucket.
+        Digest from the head; empty for an empty bucket.
     value : bytes
-        What the platform or a peer answered.
+        Bytes from the platform or a peer.
+
+    Returns
+    -------
+    Bucket
+        Stored documents by key.
 
     Raises
     ------
     DigestMismatch
-        If the bytes are not those that the digest names, as happens when
-        the bucket was retired and emptied meanwhile or a peer is broken.
+        If the bytes do not match the digest, because the bucket was retired
+        and cleared in the meantime or a peer is faulty.
     MalformedValue
-        If the bytes match and still cannot be read.
+        If the bytes match the digest but cannot be decoded.
     """
     if not digest:
         return {}
     if compute_digest(value) != digest:
         raise exceptions.DigestMismatch(
-            f'The bytes of bucket {digest} are not those it names.',
-            'Read the head again, then ask another source.',
+            f'The bytes of bucket {digest} do not match the digest.',
+            'Read the head again, then use another source.',
         )
     try:
-        lines = msgspec.json.decode(
-            zlib.decompress(value), type=tuple[_Line, ...]
+        items = msgspec.json.decode(
+            zlib.decompress(value), type=tuple[_EncodedDocument, ...]
         )
-        return dict(_decode_line(line) for line in lines)
+        return dict(_decode_document(item) for item in items)
     except (zlib.error, msgspec.DecodeError) as error:
         raise exceptions.MalformedValue(
-            f'Bucket {digest} cannot be read: {error}.',
-            'This entry may be older than the documents; upgrade it.',
+            f'Bucket {digest} cannot be decoded: {error}.',
+            'This entry may be too old for these documents; upgrade it.',
         ) from error
 
 
-def _encode_line(key: documents.DocumentKey, stored: StoredDocument) -> _Line:
+def _encode_document(
+    key: documents.DocumentKey, stored: StoredDocument
+) -> _EncodedDocument:
     document = msgspec.Raw(msgspec.json.encode(stored.document))
-    return _Line(key.kind, key.name, stored.version, document)
+    return _EncodedDocument(key.kind, key.name, stored.version, document)
 
 
-def _decode_line(
-    line: _Line,
+def _decode_document(
+    encoded: _EncodedDocument,
 ) -> tuple[documents.DocumentKey, StoredDocument]:
-    key = documents.DocumentKey(line.kind, line.name)
+    key = documents.DocumentKey(encoded.kind, encoded.name)
     document = msgspec.json.decode(
-        line.document, type=_OPTIONAL_TYPES[line.kind]
+        encoded.document, type=_OPTIONAL_TYPES[encoded.kind]
     )
-    return key, StoredDocument(line.version, document)
+    return key, StoredDocument(encoded.version, document)
--- a/tests/application/configuration_builders.py
+++ b/tests/application/configuration_builders.py
@@ -1,4 +1,4 @@
-"""Entries, a platform and links with faults, on a loop of virtual time."""
+"""Simulated entries, platform and links with faults, in virtual time."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from thornspool.domain.configuration import documents
 from thornspool.domain.configuration import publications
 
-GOSSIP_MS = 250
-LATE_MS = 3_000
-SLOW_MS = 1_500
+GOSSIP_INTERVAL_MS = 250
+LATE_WRITE_DELAY_MS = 3_000
+SLOW_CALL_DELAY_MS = 1_500
 UNREACHABLE_MS = 500
 
 
 class _VirtualSelector(selectors.SelectSelector):
-    """A selector that moves virtual time on instead of waiting."""
+    """A selector that advances virtual time instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -33,13 +33,15 @@
 
     def select(self, timeout: float | None = None) -> list[typing.Any]:
         if timeout is None:
-            raise AssertionError('The loop would wait for ever.')
+            raise AssertionError(
+                'The loop has no timer and would wait forever.'
+            )
         self.time += max(timeout, 0.0)
         return super().select(0)
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop whose waits take no time."""
+    """An event loop that runs in virtual time."""
 
     def __init__(self) -> None:
         self._virtual = _VirtualSelector()
@@ -50,7 +52,7 @@
 
 
 class LoopClock(clock.Clock):
-    """A clock that shows the virtual time of a loop."""
+    """A clock that returns the virtual time of a loop."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
@@ -64,7 +66,7 @@
 
 @attrs.define
 class Faults:
-    """What goes wrong between one entry and the rest."""
+    """Faults between one entry and the platform or its peers."""
 
     platform_up: bool = True
     slow: bool = False
@@ -74,21 +76,21 @@
     write_prefix: str = ''
     peers_up: bool = True
     corrupt: bool = False
-    thawed: asyncio.Event = attrs.field(factory=asyncio.Event)
+    running: asyncio.Event = attrs.field(factory=asyncio.Event)
 
     def __attrs_post_init__(self) -> None:
-        self.thawed.set()
+        self.running.set()
 
 
 class SharedPlatform:
-    """Every value that each key ever had; the last one counts."""
+    """All versions of each key's value; the last one is current."""
 
     def __init__(self) -> None:
         self.values: dict[str, list[ports.Versioned]] = {}
 
-    def read(self, key: str, back: int = 0) -> ports.Versioned:
-        known = [ports.Versioned(b'', 0), *self.values.get(key, [])]
-        return known[max(len(known) - 1 - back, 0)]
+    def read(self, key: str, versions_back: int = 0) -> ports.Versioned:
+        versions = [ports.Versioned(b'', 0), *self.values.get(key, [])]
+        return versions[max(len(versions) - 1 - versions_back, 0)]
 
     def write(
         self, key: str, value: bytes, expected: int
@@ -101,7 +103,7 @@
 
 
 class PlatformClient:
-    """The platform as one entry sees it."""
+    """Client of the platform for one entry, with its faults."""
 
     def __init__(
         self, shared: SharedPlatform, faults: Faults, seed: str
@@ -114,42 +116,42 @@
 
     async def get(self, key: str) -> ports.Versioned:
         self.reads.append(key)
-        await self._cross()
-        answer = self._shared.read(key, self._faults.stale)
-        await self._faults.thawed.wait()
-        return answer
+        await self._simulate_call()
+        stored = self._shared.read(key, self._faults.stale)
+        await self._faults.running.wait()
+        return stored
 
     async def put(
         self, key: str, value: bytes, expected_version: int
     ) -> ports.WriteResult:
         self.writes.append(key)
-        await self._cross()
-        fate = self._faults.write
+        await self._simulate_call()
+        write_fault = self._faults.write
         if not key.startswith(self._faults.write_prefix):
-            fate = 'done'
-        if fate == 'late':
+            write_fault = 'done'
+        if write_fault == 'late':
             asyncio.get_running_loop().call_later(
-                LATE_MS / 1000,
+                LATE_WRITE_DELAY_MS / 1000,
                 self._shared.write,
                 key,
                 value,
                 expected_version,
             )
-        if fate in ('late', 'never'):
+        if write_fault in ('late', 'never'):
             return ports.WriteUnknown()
         result = self._shared.write(key, value, expected_version)
-        await self._faults.thawed.wait()
-        return ports.WriteUnknown() if fate == 'lost' else result
+        await self._faults.running.wait()
+        return ports.WriteUnknown() if write_fault == 'lost' else result
 
     async def watch(
         self, key: str, after_version: int, timeout_ms: int
     ) -> ports.Versioned | None:
         for _ in range(timeout_ms // 100):
-            await self._cross()
-            answer = self._shared.read(key, self._faults.stale)
-            await self._faults.thawed.wait()
-            if answer.version > after_version:
-                return answer
+            await self._simulate_call()
+            stored = self._shared.read(key, self._faults.stale)
+            await self._faults.running.wait()
+            if stored.version > after_version:
+                return stored
             await asyncio.sleep(0.1)
         return None
 
@@ -159,45 +161,47 @@
     async def list_hosts(self) -> tuple[ports.Host, ...]:
         return ()
 
-    async def _cross(self) -> None:
-        """Let the call reach the platform, or fail as the faults say."""
-        await self._faults.thawed.wait()
+    async def _simulate_call(self) -> None:
+        """Delay the call or fail it, according to the faults."""
+        await self._faults.running.wait()
         jitter = self._rng.uniform(0, self._faults.jitter_s)
         await asyncio.sleep(0.002 + jitter)
         if self._faults.slow:
-            await asyncio.sleep(SLOW_MS / 1000)
+            await asyncio.sleep(SLOW_CALL_DELAY_MS / 1000)
         if not self._faults.platform_up:
-            raise exceptions.PlatformError('No answer.')
+            raise exceptions.PlatformError('No response.')
 
 
 class PeerLinks:
-    """Messages between entries, as one entry sees them."""
+    """Messages from one entry to others, with its faults."""
 
     def __init__(self, cluster: Cluster, faults: Faults) -> None:
         self._cluster = cluster
         self._faults = faults
         self.handlers: dict[type, ports.Handler] = {}
-        self.asked: list[typing.Any] = []
+        self.requests: list[typing.Any] = []
 
     async def ask(
         self, peer_address: str, message: typing.Any, timeout_ms: int
     ) -> typing.Any:
-        self.asked.append(message)
+        self.requests.append(message)
         await asyncio.sleep(0.001)
-        await self._faults.thawed.wait()
+        await self._faults.running.wait()
         peer = self._cluster.entries.get(peer_address)
-        if peer is None or not (self.is_up() and peer.links.is_up()):
+        if peer is None or not (
+            self.is_connected() and peer.links.is_connected()
+        ):
             await asyncio.sleep(timeout_ms / 1000)
             raise exceptions.PeerUnreachable('No reply.')
         reply = await peer.links.handlers[type(message)]('sender', message)
         if not getattr(reply, 'digest', ''):
             return reply
-        crossed, self._cluster.last_bucket = (
+        previous_bucket, self._cluster.last_bucket = (
             self._cluster.last_bucket,
             reply.value,
         )
         if peer.faults.corrupt:
-            return attrs.evolve(reply, value=crossed)
+            return attrs.evolve(reply, value=previous_bucket)
         return reply
 
     def tell(self, peer_address: str, message: typing.Any) -> None:
@@ -206,12 +210,12 @@
     def handle(self, message_type: type, handler: ports.Handler) -> None:
         self.handlers[message_type] = handler
 
-    def is_up(self) -> bool:
-        return self._faults.peers_up and self._faults.thawed.is_set()
+    def is_connected(self) -> bool:
+        return self._faults.peers_up and self._faults.running.is_set()
 
 
 class View:
-    """The members as one entry has heard of them."""
+    """The members that were reported to one entry."""
 
     def __init__(self) -> None:
         self.members: dict[str, ports.Member] = {}
@@ -224,7 +228,7 @@
 
 
 class Entry:
-    """One entry with its faults and what it ever had in force."""
+    """An entry with its faults and all snapshots it put in force."""
 
     def __init__(
         self, cluster: Cluster, name: str, **options: typing.Any
@@ -252,7 +256,7 @@
 
 
 class Cluster:
-    """Entries that share a platform and gossip their versions."""
+    """Entries that share a platform and exchange versions by gossip."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.clock = LoopClock(loop)
@@ -273,20 +277,24 @@
 
     async def stop(self) -> None:
         for entry in self.entries.values():
-            entry.faults.thawed.set()
+            entry.faults.running.set()
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def _gossip(self) -> None:
         while True:
-            await asyncio.sleep(GOSSIP_MS / 1000)
-            up = [one for one in self.entries.values() if one.links.is_up()]
-            for sender in up:
-                for receiver in up:
-                    self._tell_version(sender, receiver)
-
-    def _tell_version(self, sender: Entry, receiver: Entry) -> None:
+            await asyncio.sleep(GOSSIP_INTERVAL_MS / 1000)
+            connected = [
+                one
+                for one in self.entries.values()
+                if one.links.is_connected()
+            ]
+            for sender in connected:
+                for receiver in connected:
+                    self._gossip_version(sender, receiver)
+
+    def _gossip_version(self, sender: Entry, receiver: Entry) -> None:
         version = sender.service.version()
         receiver.service.hear_version(sender.address, version)
         receiver.view.members[sender.member.incarnation] = attrs.evolve(
@@ -294,10 +302,10 @@
         )
 
 
-def build_workspace(name: str, mark: float = 1.0) -> documents.Workspace:
-    """Build a workspace whose limit tells one publication from another."""
+def build_workspace(name: str, limit: float = 1.0) -> documents.Workspace:
+    """Build a workspace whose limit identifies its publication."""
     return documents.Workspace(
-        name, limits=documents.Limits(requests_per_s=mark)
+        name, limits=documents.Limits(requests_per_s=limit)
     )
 
 
@@ -313,7 +321,7 @@
 def run_virtual(
     scenario: typing.Callable[[Cluster], typing.Awaitable[None]],
 ) -> None:
-    """Run a scenario on a cluster of its own, in virtual time."""
+    """Run a scenario on a new cluster in virtual time."""
     with (
         testing.capture_logs(),
         asyncio.Runner(loop_factory=VirtualLoop) as runner,
--- a/tests/application/configuration_racing.py
+++ b/tests/application/configuration_racing.py
@@ -1,9 +1,9 @@
-"""Measurement of operators who race on different documents.
+"""Benchmark of concurrent operators who change different documents.
 
 Run it with ``python -m tests.application.configuration_racing``. Time is
-virtual: a call to the platform takes 2 to 6 ms and a message to a peer 1 ms,
-so the figures tell how often operators wait for each other, not how fast a
-machine is.
+virtual: a call to the platform takes 2 to 6 ms and a message to a peer 1 ms.
+The figures show how often operators wait for each other and do not depend on
+the speed of the machine.
 """
 
 from __future__ import annotations
@@ -22,61 +22,61 @@
 from thornspool.application.configuration import (
     results as configuration_results,
 )
-from thornspool.domain.configuration import contents as whole
+from thornspool.domain.configuration import contents as contents_module
 from thornspool.domain.configuration import documents
 from thornspool.domain.configuration import publications
 
 DURATION_S = 4
 OPERATORS = (1, 2, 4, 8)
 JITTER_S = 0.004
-TIMING = configuration_following.Timing(in_force=0)
+TIMING = configuration_following.Timing(in_force_timeout_ms=0)
 
 
 @attrs.define
-class Count:
-    """What the operators saw; times in seconds."""
+class Results:
+    """Results of the operators."""
 
     accepted: int = 0
-    refused: int = 0
-    times: list[float] = attrs.field(factory=list)
+    rejected: int = 0
+    durations_s: list[float] = attrs.field(factory=list)
 
 
 def find_any_change(
-    contents: whole.Contents, publication: publications.Publication
+    contents: contents_module.Contents, publication: publications.Publication
 ) -> tuple[documents.DocumentKey, ...]:
-    """Take every publication for a conflict whose base is not the head."""
+    """Treat each publication whose base is not the head as a conflict."""
     if contents.head.version == publication.base_version:
         return ()
     return tuple(map(documents.identify, publication.additions))
 
 
-async def _publish_often(entry: make.Entry, count: Count) -> None:
-    """Publish one after the other, again at once after a refusal."""
+async def _publish_often(entry: make.Entry, results: Results) -> None:
+    """Publish in sequence, and retry immediately after a rejection."""
     loop = asyncio.get_running_loop()
     name = entry.member.incarnation
-    mark = 0
+    limit = 0
     while True:
-        mark += 1
-        began = loop.time()
-        workspace = make.build_workspace(name, mark)
+        limit += 1
+        started_at = loop.time()
+        workspace = make.build_workspace(name, limit)
         result: typing.Any = None
         while not isinstance(result, configuration_results.Accepted):
-            count.refused += result is not None
+            results.rejected += result is not None
             base = entry.service.version()
             if isinstance(result, publications.Conflict):
                 base = result.version
             result = await entry.service.publish(
-                make.build_publication(f'{name}-{mark}', base, workspace)
+                make.build_publication(f'{name}-{limit}', base, workspace)
             )
-        count.accepted += 1
-        count.times.append(loop.time() - began)
+        results.accepted += 1
+        results.durations_s.append(loop.time() - started_at)
 
 
 def measure(
     operators: int, conflicts: publications.FindConflicts
-) -> tuple[Count, int]:
-    """Return what the operators saw and the calls to the platform."""
-    count = Count()
+) -> tuple[Results, int]:
+    """Return the operators' results and the number of platform calls."""
+    results = Results()
     calls = 0
 
     async def scenario(cluster: make.Cluster) -> None:
@@ -90,7 +90,8 @@
         for entry in entries:
             entry.faults.jitter_s = JITTER_S
         tasks = [
-            asyncio.create_task(_publish_often(one, count)) for one in entries
+            asyncio.create_task(_publish_often(one, results))
+            for one in entries
         ]
         await asyncio.sleep(DURATION_S)
         for task in tasks:
@@ -101,25 +102,27 @@
         )
 
     make.run_virtual(scenario)
-    return count, calls
+    return results, calls
 
 
 def main() -> None:
-    """Print one line for each number of operators and relation."""
+    """Print one line per number of operators and conflict relation."""
     relations = {
         'by document': publications.find_conflicts,
         'any change': find_any_change,
     }
     for operators in OPERATORS:
         for name, relation in relations.items():
-            count, calls = measure(operators, relation)
+            results, calls = measure(operators, relation)
             sys.stdout.write(
                 f'{operators} operators, {name}: '
-                f'{count.accepted / DURATION_S:.1f} accepted/s, '
-                f'{count.refused / max(count.accepted, 1):.2f} refusals and '
-                f'{calls / max(count.accepted, 1):.1f} calls each, '
-                f'median {statistics.median(count.times) * 1000:.0f} ms, '
-                f'slowest {max(count.times) * 1000:.0f} ms\n'
+                f'{results.accepted / DURATION_S:.1f} accepted/s, '
+                f'{results.rejected / max(results.accepted, 1):.2f} '
+                'rejections and '
+                f'{calls / max(results.accepted, 1):.1f} calls each, '
+                'median '
+                f'{statistics.median(results.durations_s) * 1000:.0f} ms, '
+                f'slowest {max(results.durations_s) * 1000:.0f} ms\n'
             )
 
 
--- a/tests/application/test_configuration.py
+++ b/tests/application/test_configuration.py
@@ -1,4 +1,4 @@
-"""Publishing and applying of configuration by several entries."""
+"""Tests of publishing and replication across several entries."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def _list_absent(cluster: make.Cluster) -> list[str]:
-    """Return the buckets that the head refers to and nobody can read."""
+    """Return the buckets that the head refers to and the platform lacks."""
     head = heads.decode_head(cluster.platform.read(heads.HEAD_KEY).value)
     return [
         digest
@@ -40,7 +40,7 @@
 def _hide_buckets(
     cluster: make.Cluster,
 ) -> dict[str, list[ports.Versioned]]:
-    """Take the buckets away from the platform; returns them."""
+    """Remove the buckets from the platform and return them."""
     values = cluster.platform.values
     return {
         key: values.pop(key)
@@ -50,11 +50,11 @@
 
 
 async def _publish(
-    entry: make.Entry, name: str, mark: float, base: int = 0
+    entry: make.Entry, name: str, limit: float, base: int = 0
 ) -> configuration_results.PublishResult:
     return await entry.service.publish(
         make.build_publication(
-            f'{name}-{mark}', base, make.build_workspace(name, mark)
+            f'{name}-{limit}', base, make.build_workspace(name, limit)
         )
     )
 
@@ -75,17 +75,18 @@
 
         make.run_virtual(scenario)
 
-    def test_publisher_is_told_where_it_is_not_in_force(self) -> None:
-        """An entry is cut off while an operator publishes.
+    def test_result_lists_entry_where_version_is_not_in_force(self) -> None:
+        """An entry is disconnected while an operator publishes.
 
-        The operator must see its name, or would believe that a limit holds
-        where it does not.
+        The result must list it, because a new limit has no effect there.
         """
 
         async def scenario(cluster: make.Cluster) -> None:
             first = cluster.add_entry('one')
-            cut = cluster.add_entry('two')
-            cut.faults.platform_up = cut.faults.peers_up = False
+            disconnected = cluster.add_entry('two')
+            disconnected.faults.platform_up = disconnected.faults.peers_up = (
+                False
+            )
             result = await _publish(first, 'alpha', 7)
             straggler = configuration_results.Straggler('two', 'two', 0)
             self.assertEqual(
@@ -93,34 +94,36 @@
                 result,
             )
             await asyncio.sleep(6)
-            self.assertTrue(cut.service.is_isolated(cluster.clock.now()))
+            self.assertTrue(
+                disconnected.service.is_isolated(cluster.clock.now())
+            )
             self.assertFalse(first.service.is_isolated(cluster.clock.now()))
 
         make.run_virtual(scenario)
 
-    def test_write_faults_give_one_honest_outcome(self) -> None:
-        """The platform loses answers or writes, delays them, or is down.
+    def test_outcome_matches_platform_despite_write_faults(self) -> None:
+        """The platform loses responses or writes, delays them, or is down.
 
-        The operator must not be told that nothing was accepted while a
-        write may still land, nor see a publication accepted twice.
+        The outcome must not deny acceptance while a write can still take
+        effect, and no publication may be accepted twice.
         """
         accepted, undecided = (
             configuration_results.Accepted,
             publishing.Undecided,
         )
-        lost_for_ever: dict[str, typing.Any] = {'write': 'never'}
+        always_lost: dict[str, typing.Any] = {'write': 'never'}
         down = {'platform_up': False}
         cases: dict[str, tuple[typing.Any, ...]] = {
-            'answer lost': ({'write': 'lost'}, {}, accepted, 1),
-            'write lost once': (lost_for_ever, {'write': 'done'}, accepted, 1),
-            'write lands late': ({'write': 'late'}, {}, accepted, 1),
+            'response lost': ({'write': 'lost'}, {}, accepted, 1),
+            'write lost once': (always_lost, {'write': 'done'}, accepted, 1),
+            'write delayed': ({'write': 'late'}, {}, accepted, 1),
             'buckets lost once': (
                 {'write': 'never', 'write_prefix': BUCKET_PREFIX},
                 {'write': 'done'},
                 accepted,
                 1,
             ),
-            'write lost for ever': (lost_for_ever, {}, undecided, 0),
+            'write always lost': (always_lost, {}, undecided, 0),
             'head lost, then down': (
                 {'write': 'late', 'write_prefix': heads.HEAD_KEY},
                 down,
@@ -160,15 +163,15 @@
 
         return scenario
 
-    def test_second_of_two_operators_gets_the_names(self) -> None:
-        """Two operators publish at the same moment through two entries."""
+    def test_second_of_two_concurrent_publications_is_a_conflict(self) -> None:
+        """Two operators publish concurrently through two entries."""
 
         async def scenario(cluster: make.Cluster) -> None:
             entries = [cluster.add_entry(name) for name in ('one', 'two')]
             results = await asyncio.gather(
                 *(
-                    _publish(one, 'alpha', mark)
-                    for mark, one in enumerate(entries, 1)
+                    _publish(one, 'alpha', limit)
+                    for limit, one in enumerate(entries, 1)
                 )
             )
             conflict = publications.Conflict(('workspace/alpha',), 1)
@@ -186,43 +189,43 @@
 
         make.run_virtual(scenario)
 
-    def test_garbage_is_emptied(self) -> None:
-        """Answers to writes get lost, and old buckets must still go."""
-        for fate in ('done', 'lost'):
-            with self.subTest(fate):
-                make.run_virtual(self._build_garbage_scenario(fate))
+    def test_garbage_buckets_are_cleared(self) -> None:
+        """Old buckets are cleared even if responses to writes are lost."""
+        for write_fault in ('done', 'lost'):
+            with self.subTest(write_fault):
+                make.run_virtual(self._build_garbage_scenario(write_fault))
 
     def _build_garbage_scenario(
-        self, fate: str
+        self, write_fault: str
     ) -> typing.Callable[[make.Cluster], typing.Awaitable[None]]:
         async def scenario(cluster: make.Cluster) -> None:
             entry = cluster.add_entry('one')
-            for mark in range(heads.RETIRED_LENGTH + 5):
-                entry.faults.write = fate
-                await _publish(entry, 'alpha', mark, mark)
+            for limit in range(heads.RETIRED_LENGTH + 5):
+                entry.faults.write = write_fault
+                await _publish(entry, 'alpha', limit, limit)
             entry.faults.write = 'done'
             await asyncio.sleep(1)
-            sizes = [
+            has_value = [
                 bool(cluster.platform.read(key).value)
                 for key in cluster.platform.values
                 if key.startswith(BUCKET_PREFIX)
             ]
-            self.assertEqual(4, sizes.count(False))
+            self.assertEqual(4, has_value.count(False))
 
         return scenario
 
 
 class ApplyTest(unittest.TestCase):
-    def test_faults_do_not_keep_an_entry_on_an_old_version(self) -> None:
-        """One entry is cut from the platform, from its peers, or misled.
+    def test_entry_applies_new_version_despite_faults(self) -> None:
+        """One entry loses the platform or its peers, or reads old versions.
 
-        A change must be in force there within seconds all the same.
+        A change must still be in force there within seconds.
         """
         cases: dict[str, dict[str, typing.Any]] = {
-            'platform cut': {'platform_up': False},
+            'platform unreachable': {'platform_up': False},
             'platform slow': {'slow': True},
-            'peers cut': {'peers_up': False},
-            'platform answers are old': {'stale': 1},
+            'peers unreachable': {'peers_up': False},
+            'platform responses are old': {'stale': 1},
         }
         for name, faults in cases.items():
             with self.subTest(name):
@@ -242,8 +245,8 @@
 
         return scenario
 
-    def test_heard_version_is_pulled_at_once(self) -> None:
-        """The platform is gone for one entry, and a peer says it is ahead."""
+    def test_version_reported_by_peer_is_pulled_immediately(self) -> None:
+        """One entry loses the platform, and a peer reports a later version."""
 
         async def scenario(cluster: make.Cluster) -> None:
             first = cluster.add_entry('one')
@@ -257,10 +260,12 @@
 
         make.run_virtual(scenario)
 
-    def test_entry_that_joins_in_an_outage_learns_from_peers(self) -> None:
-        """The platform is down when a host is replaced.
+    def test_entry_joining_during_platform_outage_pulls_from_peers(
+        self,
+    ) -> None:
+        """A host is replaced during a platform outage.
 
-        Without the configuration the new entry could serve nobody.
+        Without the configuration, the new entry could not serve requests.
         """
 
         async def scenario(cluster: make.Cluster) -> None:
@@ -278,61 +283,63 @@
 
         make.run_virtual(scenario)
 
-    def test_woken_entry_takes_no_work_before_it_has_caught_up(self) -> None:
-        """A host stops while operators publish, and wakes.
+    def test_resumed_entry_is_isolated_until_it_applied_latest_version(
+        self,
+    ) -> None:
+        """An entry was isolated while operators published, then reconnects.
 
-        It hears of the version at once but can not pull it yet. If the
-        answer alone ended its isolation, it would run requests under what
-        operators had replaced.
+        It receives the latest version number but cannot pull its buckets
+        yet. If the response alone ended its isolation, it would serve
+        requests under a replaced configuration.
         """
 
         async def scenario(cluster: make.Cluster) -> None:
             first = cluster.add_entry('one')
-            woken = cluster.add_entry('two')
+            resumed = cluster.add_entry('two')
             await _publish(first, 'alpha', 0)
-            woken.faults.platform_up = woken.faults.peers_up = False
+            resumed.faults.platform_up = resumed.faults.peers_up = False
             await _publish(first, 'alpha', 1, 1)
             await asyncio.sleep(6)
-            self.assertTrue(woken.service.is_isolated(cluster.clock.now()))
+            self.assertTrue(resumed.service.is_isolated(cluster.clock.now()))
             hidden = _hide_buckets(cluster)
-            woken.faults.platform_up = True
+            resumed.faults.platform_up = True
             await asyncio.sleep(3)
-            self.assertEqual(1, woken.service.version())
-            self.assertTrue(woken.service.is_isolated(cluster.clock.now()))
+            self.assertEqual(1, resumed.service.version())
+            self.assertTrue(resumed.service.is_isolated(cluster.clock.now()))
             cluster.platform.values.update(hidden)
-            woken.faults.peers_up = True
+            resumed.faults.peers_up = True
             await asyncio.sleep(IN_FORCE_S)
-            self.assertEqual(2, woken.service.version())
-            self.assertFalse(woken.service.is_isolated(cluster.clock.now()))
+            self.assertEqual(2, resumed.service.version())
+            self.assertFalse(resumed.service.is_isolated(cluster.clock.now()))
 
         make.run_virtual(scenario)
 
-    def test_frozen_entry_wakes_to_the_latest_version(self) -> None:
-        """A host stops for a while and several versions pass.
+    def test_suspended_entry_resumes_with_latest_version(self) -> None:
+        """A host is suspended while several versions are published.
 
-        What it had begun to read is old when it goes on, and must not
-        replace what it learns from then on.
+        Reads that it started before are outdated when it resumes, and must
+        not replace later versions.
         """
 
         async def scenario(cluster: make.Cluster) -> None:
             first = cluster.add_entry('one')
-            frozen = cluster.add_entry('two')
+            suspended = cluster.add_entry('two')
             await _publish(first, 'alpha', 0)
-            frozen.faults.thawed.clear()
+            suspended.faults.running.clear()
             for version in range(1, 4):
                 await _publish(first, 'alpha', version, version)
-            frozen.faults.thawed.set()
+            suspended.faults.running.set()
             await asyncio.sleep(IN_FORCE_S)
-            versions = [one.version for one in frozen.applied]
+            versions = [one.version for one in suspended.applied]
             self.assertEqual(sorted(versions), versions)
             self.assertEqual(4, versions[-1])
 
         make.run_virtual(scenario)
 
-    def test_wrong_bytes_of_a_peer_are_not_put_in_force(self) -> None:
-        """A peer answers with another bucket than the one asked for.
+    def test_wrong_bytes_from_a_peer_are_not_applied(self) -> None:
+        """A peer returns a bucket other than the requested one.
 
-        Documents that nobody accepted in this version would be in force.
+        Documents that are not part of the version would be in force.
         """
 
         async def scenario(cluster: make.Cluster) -> None:
@@ -349,7 +356,7 @@
 
         make.run_virtual(scenario)
 
-    def test_buckets_come_from_peers_first(self) -> None:
+    def test_buckets_are_pulled_from_peers_first(self) -> None:
         async def scenario(cluster: make.Cluster) -> None:
             first = cluster.add_entry('one')
             await _publish(first, 'alpha', 1)
@@ -363,16 +370,16 @@
 
         make.run_virtual(scenario)
 
-    def test_failing_subscriber_stops_nobody_else(self) -> None:
-        """One part's callback has a fault; the others still must hear."""
+    def test_failing_subscriber_does_not_affect_others(self) -> None:
+        """One callback raises an error; the others must still be called."""
 
         async def scenario(cluster: make.Cluster) -> None:
             entry = cluster.add_entry('one')
-            heard: list[int] = []
-            entry.service.subscribe(lambda _: heard[1])
-            entry.service.subscribe(lambda one: heard.append(one.version))
+            notified: list[int] = []
+            entry.service.subscribe(lambda _: notified[1])
+            entry.service.subscribe(lambda one: notified.append(one.version))
             await _publish(entry, 'alpha', 1)
-            self.assertEqual([1], heard)
+            self.assertEqual([1], notified)
 
         make.run_virtual(scenario)
 
--- a/tests/application/test_configuration_following.py
+++ b/tests/application/test_configuration_following.py
@@ -1,4 +1,4 @@
-"""Tests of the loops that follow the latest version."""
+"""Tests of the loops that replicate the latest version."""
 
 from __future__ import annotations
 
@@ -15,29 +15,29 @@
 STEP_S = 0.005
 STEPS = 400
 TIMING = configuration_following.Timing(
-    backoff=1, hint_delay=40, probe_interval=10_000
+    backoff_ms=1, pull_delay_ms=40, contact_check_interval_ms=10_000
 )
 
 
 class FakePuller:
-    """Notes which peers are asked."""
+    """Records which peers are polled."""
 
     last_contact = 0
 
     def __init__(self) -> None:
-        self.asked = []
+        self.polled = []
         self.errors = []
 
-    async def ask_peer(self, address):
-        self.asked.append(address)
+    async def sync_with_peer(self, address):
+        self.polled.append(address)
         if self.errors:
             raise self.errors.pop()
 
-    def note_contact(self) -> None:
+    def record_response(self) -> None:
         pass
 
 
-async def _wait_for_ever(*arguments):
+async def _wait_forever(*arguments):
     await asyncio.Event().wait()
 
 
@@ -46,7 +46,7 @@
         self.puller = FakePuller()
         self.follower = configuration_following.Follower(
             builders.FakeClock(),
-            types.SimpleNamespace(watch=_wait_for_ever),
+            types.SimpleNamespace(watch=_wait_forever),
             self.puller,
             types.SimpleNamespace(version=1),
             random.Random(5),
@@ -55,40 +55,39 @@
         self.task = asyncio.create_task(self.follower.run())
         self.addCleanup(self.task.cancel)
 
-    async def wait_until_asked(self, times):
+    async def wait_for_polls(self, times):
         for _ in range(STEPS):
-            if len(self.puller.asked) >= times:
+            if len(self.puller.polled) >= times:
                 return
             await asyncio.sleep(STEP_S)
-        self.fail(f'asked {self.puller.asked}, {times} times expected')
+        self.fail(f'polled {self.puller.polled}, {times} times expected')
 
-    async def test_a_hint_during_the_pause_does_not_end_the_loop(self):
-        """Two peers tell of a new version one shortly after the other.
+    async def test_version_reported_during_pull_delay_does_not_end_loop(self):
+        """Two peers report a new version shortly after one another.
 
-        The second hint came during the pause before the first was followed.
-        It woke the loop with nothing left to follow, which ended it: the
-        entry served its old version for good, and publications named it as
-        a straggler.
+        The second report arrived during the delay before the first pull. It
+        woke the loop with no version left to pull, and the resulting error
+        ended the loop: the entry kept its old version permanently, and
+        publications listed it as a straggler.
         """
-        self.follower.hear_version('tcp://a:1', 2)
+        self.follower.record_reported_version('tcp://a:1', 2)
         await asyncio.sleep(STEP_S)
-        self.follower.hear_version('tcp://b:1', 2)
-        await self.wait_until_asked(1)
+        self.follower.record_reported_version('tcp://b:1', 2)
+        await self.wait_for_polls(1)
         await asyncio.sleep(10 * STEP_S)
         self.assertFalse(self.task.done())
-        self.follower.hear_version('tcp://c:1', 3)
-        await self.wait_until_asked(2)
-        self.assertEqual('tcp://c:1', self.puller.asked[-1])
+        self.follower.record_reported_version('tcp://c:1', 3)
+        await self.wait_for_polls(2)
+        self.assertEqual('tcp://c:1', self.puller.polled[-1])
 
-    async def test_an_error_that_nobody_expected_does_not_end_a_loop(self):
-        """A fault of this program raises while a peer's answer is read.
+    async def test_unexpected_error_does_not_end_loop(self):
+        """A bug raises an error while the response of a peer is handled.
 
-        Without the loop the entry would stay on its version until it is
-        restarted.
+        Without the loop, the entry would keep its version until a restart.
         """
-        self.puller.errors = [ValueError('a fault')]
-        self.follower.hear_version('tcp://a:1', 2)
-        await self.wait_until_asked(1)
-        self.follower.hear_version('tcp://b:1', 2)
-        await self.wait_until_asked(2)
+        self.puller.errors = [ValueError('unexpected error')]
+        self.follower.record_reported_version('tcp://a:1', 2)
+        await self.wait_for_polls(1)
+        self.follower.record_reported_version('tcp://b:1', 2)
+        await self.wait_for_polls(2)
         self.assertFalse(self.task.done())
--- a/tests/application/test_configuration_fuzzing.py
+++ b/tests/application/test_configuration_fuzzing.py
@@ -1,7 +1,7 @@
-"""Stateful fuzzing of publishing and applying against a simple oracle.
+"""Stateful fuzzing of publishing and replication against an oracle.
 
-The oracle folds the publications over the heads that the platform accepted,
-one after the other, and so knows what each version must hold.
+The oracle applies the publications in the order of the heads that the platform
+accepted, and thereby computes the expected content of each version.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 @attrs.define
 class Call:
-    """A publication as one entry was asked for it."""
+    """A publication that was sent to an entry."""
 
     publication: publications.Publication
     task: asyncio.Task[configuration_results.PublishResult]
@@ -59,7 +59,7 @@
 
 
 class ConfigurationMachine(stateful.RuleBasedStateMachine):
-    """Entries, operators and faults in any order."""
+    """State machine of entries, operators and faults."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -69,7 +69,7 @@
         self.cluster = make.Cluster(self.runner.get_loop())
         self.calls: list[Call] = []
         self.reported: list[tuple[str, int]] = []
-        self.truth: list[Content] = [{}]
+        self.expected_contents: list[Content] = [{}]
 
     @property
     def entries(self) -> list[make.Entry]:
@@ -94,16 +94,16 @@
     @stateful.rule(
         at=strategies.integers(0, 9),
         names=strategies.sets(strategies.sampled_from(NAMES), min_size=1),
-        mark=strategies.integers(1, 4),
+        limit=strategies.integers(1, 4),
         uses_model=strategies.booleans(),
         lag=strategies.sampled_from((0, 0, 0, 1, 2)),
     )
     def change_workspaces(
-        self, at: int, names: set[str], mark: int, uses_model: bool, lag: int
+        self, at: int, names: set[str], limit: int, uses_model: bool, lag: int
     ) -> None:
         models = ('draft',) if uses_model else ()
         additions = tuple(
-            attrs.evolve(make.build_workspace(name, mark), models=models)
+            attrs.evolve(make.build_workspace(name, limit), models=models)
             for name in sorted(names)
         )
         self.publish(at, lag, additions, ())
@@ -112,15 +112,15 @@
         first=strategies.integers(0, 9),
         second=strategies.integers(0, 9),
         name=strategies.sampled_from(NAMES),
-        fate=strategies.sampled_from(FAULTS['write']),
+        write_fault=strategies.sampled_from(FAULTS['write']),
         prefix=strategies.sampled_from(FAULTS['write_prefix']),
     )
     def race(
-        self, first: int, second: int, name: str, fate: str, prefix: str
+        self, first: int, second: int, name: str, write_fault: str, prefix: str
     ) -> None:
-        """Two operators change one document, and an answer may get lost."""
+        """Two operators change one document; a write may fail."""
         faults = self.entries[first % len(self.entries)].faults
-        faults.write, faults.write_prefix = fate, prefix
+        faults.write, faults.write_prefix = write_fault, prefix
         self.publish(first, 0, (make.build_workspace(name, 5),), ())
         self.publish(second, 0, (make.build_workspace(name, 6),), ())
 
@@ -140,7 +140,7 @@
 
     @stateful.precondition(lambda self: self.calls)
     @stateful.rule(at=strategies.integers(0, 9), which=strategies.integers(0))
-    def send_again(self, at: int, which: int) -> None:
+    def retry(self, at: int, which: int) -> None:
         call = self.calls[which % len(self.calls)]
         self.send(at, call.publication)
 
@@ -160,12 +160,12 @@
             entry.faults.platform_up = up
 
     @stateful.rule(at=strategies.integers(0, 9))
-    def freeze_or_thaw(self, at: int) -> None:
-        thawed = self.entries[at % len(self.entries)].faults.thawed
-        if thawed.is_set():
-            thawed.clear()
+    def suspend_or_resume(self, at: int) -> None:
+        running = self.entries[at % len(self.entries)].faults.running
+        if running.is_set():
+            running.clear()
         else:
-            thawed.set()
+            running.set()
 
     @stateful.rule(seconds=strategies.sampled_from((0.003, 0.05, 0.5, 5, 20)))
     def wait(self, seconds: float) -> None:
@@ -210,26 +210,30 @@
             for one in self.entries
         }
         for incarnation in result.in_force:
-            assert versions[incarnation] >= result.version, 'false in force'
+            assert versions[incarnation] >= result.version, (
+                'reported as in force too early'
+            )
         named = {*result.in_force}
         named.update(one.incarnation for one in result.stragglers)
         late = {name for name in versions if versions[name] < result.version}
-        assert late <= named, f'{late - named} not told'
+        assert late <= named, f'{late - named} not listed'
 
     @stateful.invariant()
     def check_accepted(self) -> None:
-        """Fold what the platform accepted, and check each step."""
+        """Apply each accepted publication to the oracle, and check it."""
         accepted = self.cluster.platform.values.get(heads.HEAD_KEY, [])
-        for value in accepted[len(self.truth) - 1 :]:
+        for value in accepted[len(self.expected_contents) - 1 :]:
             head = heads.decode_head(value.value)
-            assert head.version == len(self.truth)
+            assert head.version == len(self.expected_contents)
             ids = [record.id for record in head.history]
             assert len(ids) == len(set(ids)), 'accepted twice'
             publication = self._find_publication(ids[-1])
             self._check_conflict(publication)
             self._check_buckets(head)
-            self.truth.append(_fold(self.truth[-1], publication))
-            _check_references(self.truth[-1])
+            self.expected_contents.append(
+                _apply_publication(self.expected_contents[-1], publication)
+            )
+            _check_references(self.expected_contents[-1])
 
     def _find_publication(self, name: str) -> publications.Publication:
         return next(
@@ -242,19 +246,22 @@
         for digest in filter(None, head.buckets):
             key = storage.format_bucket_key(digest)
             value = self.cluster.platform.read(key).value
-            assert value or self._is_past(head), 'bucket missing'
+            assert value or self._has_later_head(head), 'bucket missing'
 
-    def _is_past(self, head: heads.Head) -> bool:
+    def _has_later_head(self, head: heads.Head) -> bool:
         value = self.cluster.platform.read(heads.HEAD_KEY).value
         return heads.decode_head(value).version > head.version
 
     def _check_conflict(self, publication: publications.Publication) -> None:
-        """Refuse a change since the base to anything but the same content."""
+        """Check that no document changed after the base version.
+
+        Documents that already have the published content are exempt.
+        """
         for name, document in _list_changes(publication):
-            held = [one.get(name) for one in self.truth]
-            if held[-1] == document:
+            contents = [one.get(name) for one in self.expected_contents]
+            if contents[-1] == document:
                 continue
-            since = held[publication.base_version :]
+            since = contents[publication.base_version :]
             assert all(one == since[0] for one in since), f'{name} was lost'
 
     @stateful.invariant()
@@ -263,7 +270,7 @@
             versions = [one.version for one in entry.applied]
             assert versions == sorted(set(versions)), f'reverted: {versions}'
             for snapshot in entry.applied[-2:]:
-                expected = self.truth[snapshot.version]
+                expected = self.expected_contents[snapshot.version]
                 assert _list_content(snapshot) == expected, 'other content'
 
     def teardown(self) -> None:
@@ -278,33 +285,37 @@
         for entry in self.entries:
             for fault, values in FAULTS.items():
                 setattr(entry.faults, fault, values[0])
-            entry.faults.thawed.set()
+            entry.faults.running.set()
         self.advance(SETTLE_S)
         self.check_accepted()
         self.check_applied()
         for entry in self.entries:
-            assert entry.service.version() == len(self.truth) - 1, 'diverged'
+            assert (
+                entry.service.version() == len(self.expected_contents) - 1
+            ), 'diverged'
             assert not entry.service.is_isolated(self.cluster.clock.now())
         self._check_answers()
 
     def _check_answers(self) -> None:
         value = self.cluster.platform.read(heads.HEAD_KEY).value
         records = {one.id: one for one in heads.decode_head(value).history}
-        refused: dict[str, bool] = {}
+        rejected: dict[str, bool] = {}
         for call in self.calls:
             name = call.publication.id
             result = call.task.result()
-            refused[name] = refused.get(name, True) and _is_refused(result)
+            rejected[name] = rejected.get(name, True) and _is_rejected(result)
             if (
                 isinstance(result, configuration_results.Accepted)
                 and name in records
             ):
                 assert result.version >= records[name].version
-        wrong = [name for name in refused if refused[name] and name in records]
-        assert not wrong, f'{wrong} refused and in force'
+        wrong = [
+            name for name in rejected if rejected[name] and name in records
+        ]
+        assert not wrong, f'{wrong} rejected and in force'
 
 
-def _is_refused(result: configuration_results.PublishResult) -> bool:
+def _is_rejected(result: configuration_results.PublishResult) -> bool:
     if isinstance(result, publishing.Undecided):
         return not result.written
     return not isinstance(result, configuration_results.Accepted)
@@ -319,7 +330,9 @@
         yield str(key), None
 
 
-def _fold(before: Content, publication: publications.Publication) -> Content:
+def _apply_publication(
+    before: Content, publication: publications.Publication
+) -> Content:
     after = dict(before)
     for name, document in _list_changes(publication):
         after.pop(name, None)
@@ -342,19 +355,19 @@
         snapshot.models,
         snapshot.targets,
     )
-    every = [one for kind in kinds for one in kind.values()]
-    return {str(documents.identify(one)): one for one in every}
+    found = [one for kind in kinds for one in kind.values()]
+    return {str(documents.identify(one)): one for one in found}
 
 
 class ConfigurationFuzzing(unittest.TestCase):
     def test_accepted_configuration_never_reverts(self) -> None:
-        """Operators race while platform, links and entries fail.
+        """Operators publish while platform, links and entries fail.
 
-        A user would notice a limit that comes back after it was changed, a
-        change that is lost, or entries that disagree for ever.
+        The test guards against changes that revert or get lost, and against
+        entries that permanently disagree.
         """
-        # Shrinking a failure of this many steps takes many minutes; the
-        # first failure is printed as it was found.
+        # Shrinking is disabled, because it takes many minutes for a failure
+        # of this many steps; the first failure is printed unshrunk.
         phases = (hypothesis.Phase.explicit, hypothesis.Phase.generate)
         stateful.run_state_machine_as_test(
             ConfigurationMachine,
--- a/tests/domain/configuration/__init__.py
+++ b/tests/domain/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package domain configuration."""
+"""Tests of the domain rules of the configuration."""
--- a/tests/domain/configuration/test_files.py
+++ b/tests/domain/configuration/test_files.py
@@ -1,4 +1,4 @@
-"""Service files: every error is told at once, with place and remedy."""
+"""Tests of service files: all errors are reported with path and remedy."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class CollectTest(unittest.TestCase):
-    def test_target_keeps_its_own_kind_under_serves(self) -> None:
+    def test_target_kind_is_read_from_serves(self) -> None:
         collection = _collect(
             {
                 'kind': 'target',
@@ -47,14 +47,16 @@
         )
         self.assertEqual((target,), collection.documents)
 
-    def test_broken_document_is_placed(self) -> None:
-        """A developer writes a service file with a mistake in it.
+    def test_problem_of_invalid_document_names_file_path_and_remedy(
+        self,
+    ) -> None:
+        """A service file contains an error.
 
-        Without file, place and remedy the developer would have to guess.
+        Without file, path and remedy its author could not locate the error.
         """
         operation = {'name': 'hold'}
         cases = {
-            'idempotent left out': (
+            'idempotent missing': (
                 {**SERVICE, 'operations': [operation]},
                 '$.operations[0]',
                 "'idempotent' is a required property",
@@ -90,11 +92,11 @@
                 )
                 self.assertIn(remedy, problem.remedy)
 
-    def test_every_problem_of_every_file_is_told(self) -> None:
-        """Three files are wrong, and one publishing attempt tells all."""
+    def test_all_problems_of_all_files_are_reported(self) -> None:
+        """Three files are invalid, and one attempt reports all problems."""
         broken = {'kind': 'service', 'name': 'x', 'operations': []}
         collection = _collect([SERVICE, broken], SERVICE, {'kind': 'shop'})
-        places = [(one.file, one.path) for one in collection.problems]
+        locations = [(one.file, one.path) for one in collection.problems]
         self.assertEqual(
             [('0.json', '$[1]')] * 2
             + [
@@ -102,14 +104,15 @@
                 ('1.json', '$'),
                 ('2.json', '$.kind'),
             ],
-            places,
+            locations,
         )
         self.assertEqual(1, len(collection.documents))
 
-    def test_unreadable_text_is_told(self) -> None:
-        """A name that stands twice would silently hide the first value.
+    def test_unparsable_text_is_reported(self) -> None:
+        """Repeated members and NaN are rejected.
 
-        NaN would pass every bound, as a limit that never limits.
+        The second value of a repeated member would silently replace the
+        first. NaN passes every bound check, so such a limit has no effect.
         """
         cases = (
             ('json', '{'),
--- a/tests/domain/configuration/test_rules.py
+++ b/tests/domain/configuration/test_rules.py
@@ -1,4 +1,4 @@
-"""Rules between documents, broken one at a time."""
+"""Tests of the rules between documents, each violated separately."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     return [(one.document, one.path, one.rule) for one in found]
 
 
-def _hold(*stages: tuple[int, int]) -> documents.Model:
+def _build_model(*stages: tuple[int, int]) -> documents.Model:
     return attrs.evolve(
         MODEL,
         stages=tuple(documents.Stage('engine', *one) for one in stages),
@@ -43,15 +43,15 @@
 
 
 class RulesTest(unittest.TestCase):
-    def test_right_documents_break_no_rule(self) -> None:
-        overlapping = _hold((0, 4), (2, 8), (4, 8), (0, 8))
+    def test_valid_documents_have_no_problems(self) -> None:
+        overlapping = _build_model((0, 4), (2, 8), (4, 8), (0, 8))
         self.assertEqual([], _check())
         self.assertEqual([], _check(overlapping))
 
-    def test_each_rule_names_document_place_and_itself(self) -> None:
-        """Each mistake would send requests nowhere, or to a wrong target."""
-        twice = attrs.evolve(SERVICE, operations=(HOLD, HOLD))
-        pointless = documents.Operation('read', True, deduplicates=True)
+    def test_each_problem_names_document_path_and_rule(self) -> None:
+        """Each error would route requests to no target or a wrong one."""
+        duplicate_operation = attrs.evolve(SERVICE, operations=(HOLD, HOLD))
+        contradictory = documents.Operation('read', True, deduplicates=True)
         service, model = 'service/slots', 'model/draft'
         cases = (
             (
@@ -71,11 +71,11 @@
                 (service, '$.targets[0]', 'target-kind'),
             ),
             (
-                twice,
+                duplicate_operation,
                 (service, '$.operations[1].name', 'duplicate-operation'),
             ),
             (
-                attrs.evolve(SERVICE, operations=(pointless,)),
+                attrs.evolve(SERVICE, operations=(contradictory,)),
                 (
                     service,
                     '$.operations[0].deduplicates',
@@ -88,12 +88,21 @@
                 ),
                 (model, '$.stages[0].target', 'target-kind'),
             ),
-            (_hold((0, 8), (0, 8)), (model, '$.stages[1]', 'duplicate-stage')),
-            (_hold((0, 8), (4, 9)), (model, '$.stages[1]', 'layer-range')),
-            (_hold((0, 8), (4, 4)), (model, '$.stages[1]', 'layer-range')),
-            (_hold((0, 4), (5, 8)), (model, '$.stages', 'layer-gap')),
-            (_hold((0, 4), (3, 8)), (model, '$.stages', 'layer-gap')),
-            (_hold((1, 8)), (model, '$.stages', 'layer-gap')),
+            (
+                _build_model((0, 8), (0, 8)),
+                (model, '$.stages[1]', 'duplicate-stage'),
+            ),
+            (
+                _build_model((0, 8), (4, 9)),
+                (model, '$.stages[1]', 'layer-range'),
+            ),
+            (
+                _build_model((0, 8), (4, 4)),
+                (model, '$.stages[1]', 'layer-range'),
+            ),
+            (_build_model((0, 4), (5, 8)), (model, '$.stages', 'layer-gap')),
+            (_build_model((0, 4), (3, 8)), (model, '$.stages', 'layer-gap')),
+            (_build_model((1, 8)), (model, '$.stages', 'layer-gap')),
         )
         for document, expected in cases:
             with self.subTest(expected=expected, document=document):
--- a/tests/domain/configuration/test_storage.py
+++ b/tests/domain/configuration/test_storage.py
@@ -1,4 +1,4 @@
-"""Buckets and heads as bytes, and their sizes."""
+"""Tests of the encoding of buckets and heads, and of their sizes."""
 
 from __future__ import annotations
 
@@ -6,41 +6,43 @@
 import unittest
 
 from tests.application import configuration_builders as make
-from thornspool.domain.configuration import contents as whole
+from thornspool.domain.configuration import contents as contents_module
 from thornspool.domain.configuration import documents
 from thornspool.domain.configuration import exceptions
 from thornspool.domain.configuration import head as heads
 from thornspool.domain.configuration import publications
 from thornspool.domain.configuration import storage
 
-DESIGN_WORKSPACES = 14_000
+DESIGN_WORKSPACE_COUNT = 14_000
 SEED = 7
 
 
 def _build_incompressible(rng: random.Random) -> documents.Workspace:
-    """Build a workspace whose text hardly compresses."""
+    """Build a workspace of random text, which hardly compresses."""
     models = tuple(f'{rng.getrandbits(240):060x}' for _ in range(12))
     limits = documents.Limits(rng.random(), rng.random(), 100)
     return documents.Workspace(f'{rng.getrandbits(240):060x}', models, limits)
 
 
 class BucketTest(unittest.TestCase):
-    def test_bucket_keeps_documents_and_removals(self) -> None:
+    def test_bucket_round_trip_keeps_documents_and_removals(self) -> None:
         workspace = make.build_workspace('alpha', 2)
-        gone = documents.DocumentKey(documents.DocumentKind.TARGET, 'gone')
+        removed_key = documents.DocumentKey(
+            documents.DocumentKind.TARGET, 'gone'
+        )
         bucket = {
             documents.identify(workspace): storage.StoredDocument(
                 4, workspace
             ),
-            gone: storage.StoredDocument(3, None),
+            removed_key: storage.StoredDocument(3, None),
         }
         value = storage.encode_bucket(bucket)
         digest = storage.compute_digest(value)
         self.assertEqual(bucket, storage.decode_bucket(digest, value))
 
-    def test_other_bytes_are_refused(self) -> None:
-        """A bucket was emptied, or a peer answers with another one."""
-        right, wrong = (
+    def test_bytes_that_do_not_match_digest_are_rejected(self) -> None:
+        """A bucket was cleared, or a peer returns another bucket."""
+        expected, other = (
             storage.encode_bucket(
                 {
                     documents.identify(one): storage.StoredDocument(1, one),
@@ -48,17 +50,17 @@
             )
             for one in map(make.build_workspace, ('alpha', 'beta'))
         )
-        digest = storage.compute_digest(right)
-        for name, value in {'empty': b'', 'another': wrong}.items():
+        digest = storage.compute_digest(expected)
+        for name, value in {'empty': b'', 'another': other}.items():
             with (
                 self.subTest(name),
                 self.assertRaises(exceptions.DigestMismatch),
             ):
                 storage.decode_bucket(digest, value)
 
-    def test_damaged_values_are_refused(self) -> None:
-        """Someone else wrote to the key, or a newer program did."""
-        newer = heads.encode_head(heads.Head(format=heads.FORMAT + 1))
+    def test_malformed_values_are_rejected(self) -> None:
+        """The key was overwritten, or a newer release wrote the value."""
+        newer = heads.encode_head(heads.Head(format=heads.FORMAT_VERSION + 1))
         for value in (b'?', newer):
             with (
                 self.subTest(value=value),
@@ -69,13 +71,13 @@
         with self.assertRaises(exceptions.MalformedValue):
             storage.decode_bucket(digest, b'?')
 
-    def test_design_size_fits_the_platform(self) -> None:
-        """Names are random, so that compression cannot flatter the sizes."""
+    def test_buckets_at_design_size_fit_platform_limit(self) -> None:
+        """Random names keep compression from reducing the sizes."""
         rng = random.Random(SEED)
         workspaces = tuple(
-            _build_incompressible(rng) for _ in range(DESIGN_WORKSPACES)
+            _build_incompressible(rng) for _ in range(DESIGN_WORKSPACE_COUNT)
         )
-        by_kind = whole.copy_by_kind(documents.Snapshot())
+        by_kind = contents_module.copy_by_kind(documents.Snapshot())
         by_kind[documents.DocumentKind.MODEL].update(
             {
                 name: documents.Model(name, '1', 1, ())
@@ -83,18 +85,18 @@
                 for name in one.models
             }
         )
-        known = whole.build_snapshot(0, by_kind)
+        snapshot = contents_module.build_snapshot(0, by_kind)
         plan = publications.plan_publication(
-            whole.Contents(snapshot=known),
+            contents_module.Contents(snapshot=snapshot),
             make.build_publication('all', 0, *workspaces),
             0,
         )
         assert isinstance(plan, publications.Plan)
         sizes = [len(value) for value in plan.values.values()]
         self.assertEqual(heads.BUCKET_COUNT, len(sizes))
-        self.assertLess(max(sizes) * 4, storage.VALUE_LIMIT)
+        self.assertLess(max(sizes) * 4, storage.VALUE_LIMIT_BYTES)
 
-    def test_fullest_head_fits_the_platform(self) -> None:
+    def test_largest_head_fits_platform_limit(self) -> None:
         rng = random.Random(SEED)
         names = tuple(f'service/{rng.getrandbits(240):060x}' for _ in range(8))
         record = heads.Record('i' * 100, 1, 'a' * 100, 1, 'm' * 500, names, 8)
@@ -109,5 +111,5 @@
         )
         self.assertEqual(head, heads.decode_head(heads.encode_head(head)))
         self.assertLess(
-            len(heads.msgspec.json.encode(head)), storage.VALUE_LIMIT
+            len(heads.msgspec.json.encode(head)), storage.VALUE_LIMIT_BYTES
         )
