--- a/src/thornspool/application/actions/requests.py
+++ b/src/thornspool/application/actions/requests.py
@@ -1,4 +1,4 @@
-"""What callers ask of actions, and the bounds of running them."""
+"""Requests to run actions, and the limits of running them."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 @attrs.frozen
 class ActionRequest:
-    """A caller's wish to run an action.
+    """A caller's request to run an action.
 
     Attributes
     ----------
     workspace : str
         Workspace of the caller.
     service, operation : str
-        What to call.
+        Names of the service and the operation to call.
     key : str
         The caller's ``Idempotency-Key``.
     body : bytes
@@ -37,11 +37,12 @@
     deduplicates : bool
         Whether the service itself runs a key at most once.
     timeout_ms : int
-        Longest time for the target's whole answer.
+        Maximum time in milliseconds for the target's complete answer.
     resent : bool
-        Whether the caller says that it sent the key before.
+        Whether the caller declared that it sent the key before.
     fingerprint : str
-        Names what is asked, whatever the key; empty when it is not known.
+        Identifies the content of the request regardless of its key; empty
+        when it is not known.
     """
 
     workspace: str
@@ -59,26 +60,26 @@
 
 @attrs.frozen
 class ActionSettings:
-    """Bounds of the service.
+    """Limits of the action service.
 
     Attributes
     ----------
     layout : keys.Layout
-        Shape of the ledger; the same on every entry.
+        Dimensions of the ledger; equal on all entries.
     pace : writer.Pace
-        How fast a ledger page may be written.
+        Limits on the writes of a ledger page.
     attempts : runner.RunnerSettings
-        Bounds of attempts in memory.
+        Limits of attempts in memory.
     router : ledger_router.RouterSettings
-        Bounds of asking other entries to write.
-    join_ms : int
-        Longest wait for another entry's attempt in one question.
-    fresh_ms : int
-        Age of a key past which a call is taken for a resend.
-    settle_ms : int
-        Longest wait for the ledger to take an outcome or a release.
-    settle_backoff_ms, max_settle_backoff_ms : int
-        First and longest pause before it is tried again.
+        Time limits of proposals to other entries.
+    join_timeout_ms : int
+        Maximum time that one query waits for another entry's attempt.
+    max_new_key_age_ms : int
+        Age of a key above which a call is treated as resent.
+    settle_timeout_ms : int
+        Maximum time for the ledger to record an outcome or a release.
+    initial_settle_backoff_ms, max_settle_backoff_ms : int
+        Initial and maximum delay before that is retried.
     """
 
     layout: keys.Layout = attrs.field(factory=keys.Layout)
@@ -89,15 +90,15 @@
     router: ledger_router.RouterSettings = attrs.field(
         factory=ledger_router.RouterSettings
     )
-    join_ms: int = 2_000
-    fresh_ms: int = 500
-    settle_ms: int = 5_000
-    settle_backoff_ms: int = 200
+    join_timeout_ms: int = 2_000
+    max_new_key_age_ms: int = 500
+    settle_timeout_ms: int = 5_000
+    initial_settle_backoff_ms: int = 200
     max_settle_backoff_ms: int = 5_000
 
 
 def digest_request(request: ActionRequest) -> str:
-    """Return a digest of what the key stands for."""
+    """Return a digest of the service, the operation and the body."""
     parts = (request.service, request.operation)
     head = '\0'.join(parts).encode() + b'\0'
     return hashlib.blake2b(head + request.body, digest_size=16).hexdigest()
--- a/src/thornspool/application/actions/runs.py
+++ b/src/thornspool/application/actions/runs.py
@@ -1,4 +1,4 @@
-"""Attempts of this entry, carried out on ledger, peers and targets."""
+"""Execution of this entry's attempts on ledger, peers and targets."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 
 
 @attrs.define
-class _Call:
-    """What the edges need to know of an attempt."""
+class _AttemptContext:
+    """Data for the execution of an attempt's commands."""
 
     request: action_requests.ActionRequest
     event: events.ActionRequested
@@ -34,17 +34,17 @@
 
 
 @attrs.frozen
-class Flight:
-    """An attempt that a caller waits for.
+class InFlightAttempt:
+    """An attempt whose result a caller awaits.
 
     Attributes
     ----------
     attempt : str
-        The attempt.
+        Identifier of the attempt.
     answered : asyncio.Future
-        Gets the result.
+        Receives the result.
     joined : bool
-        Whether the attempt was made for another call.
+        Whether the attempt was started for another call.
     """
 
     attempt: str
@@ -53,22 +53,22 @@
 
 
 class ActionRuns:
-    """The runner of this entry and the edges that it commands.
+    """Executes the commands of this entry's runner and feeds it events.
 
     Parameters
     ----------
     clock : clock.Clock
         Source of time.
     peers : ports.Peers
-        Messages to other entries; a handler is registered with it.
+        Transport of messages to other entries; a handler is registered.
     services : ports.Services
-        Calls to plain services.
+        Client for calls to services.
     member : ports.Member
         This entry.
     router : ledger_router.LedgerRouter
-        Writers of ledger pages.
+        Router to the writers of ledger pages.
     settings : action_requests.ActionSettings
-        Bounds.
+        Limits.
     """
 
     def __init__(
@@ -86,7 +86,7 @@
         self._member = member
         self._router = router
         self._settings = settings
-        self._calls: dict[str, _Call] = {}
+        self._contexts: dict[str, _AttemptContext] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self.runner = runner.Runner(settings.attempts)
         peers.handle(messages.AttemptQuery, self._answer_query)
@@ -95,25 +95,29 @@
         self,
         request: action_requests.ActionRequest,
         event: events.ActionRequested,
-    ) -> Flight:
-        """Start an attempt, or join the one that is under way."""
+    ) -> InFlightAttempt:
+        """Start an attempt, or join the running attempt of the same key."""
         answered: asyncio.Future[results.ActionResult] = (
             asyncio.get_running_loop().create_future()
         )
         commands = self.runner.request(event, self._clock.now())
         if isinstance(commands[0], events.Join):
             running = commands[0].running
-            return Flight(running, self._calls[running].answered, True)
-        self._calls[event.attempt] = _Call(request, event, answered)
-        self._carry_out(event.attempt, commands)
-        return Flight(event.attempt, answered, False)
+            return InFlightAttempt(
+                running, self._contexts[running].answered, True
+            )
+        self._contexts[event.attempt] = _AttemptContext(
+            request, event, answered
+        )
+        self._execute(event.attempt, commands)
+        return InFlightAttempt(event.attempt, answered, False)
 
-    def pass_deadline(self, attempt: str) -> None:
-        """Take in that a caller's time is up."""
-        self._feed(events.DeadlinePassed(attempt))
+    def handle_deadline(self, attempt: str) -> None:
+        """Notify the runner that a caller's deadline has passed."""
+        self._handle(events.DeadlinePassed(attempt))
 
     async def wait_for_progress(self, timeout_ms: int) -> None:
-        """Wait until some work in flight has ended."""
+        """Wait until any task in flight ends or the timeout passes."""
         if not self._tasks:
             await asyncio.sleep(timeout_ms / 1000)
             return
@@ -123,47 +127,47 @@
             return_when=asyncio.FIRST_COMPLETED,
         )
 
-    def _feed(self, event: events.RunnerEvent) -> None:
+    def _handle(self, event: events.RunnerEvent) -> None:
         commands = self.runner.handle(event, self._clock.now())
-        self._carry_out(event.attempt, commands)
+        self._execute(event.attempt, commands)
 
-    def _carry_out(
+    def _execute(
         self, attempt: str, commands: list[events.RunnerCommand]
     ) -> None:
-        call = self._calls[attempt] if commands else None
+        context = self._contexts[attempt] if commands else None
         for command in commands:
-            assert call is not None
-            self._carry_out_one(call, command)
-        if not self.runner.knows(attempt):
-            self._calls.pop(attempt, None)
+            assert context is not None
+            self._execute_one(context, command)
+        if not self.runner.has_attempt(attempt):
+            self._contexts.pop(attempt, None)
 
-    def _carry_out_one(
-        self, call: _Call, command: events.RunnerCommand
+    def _execute_one(
+        self, context: _AttemptContext, command: events.RunnerCommand
     ) -> None:
         if isinstance(command, events.Answer):
-            if not call.answered.done():
-                call.answered.set_result(command.result)
+            if not context.answered.done():
+                context.answered.set_result(command.result)
         elif isinstance(command, events.RequestGrant):
-            self._start(self._request_grant(call, command))
-        elif isinstance(command, events.AskHolder):
-            self._start(self._ask_holder(call, command))
+            self._start_task(self._request_grant(context, command))
+        elif isinstance(command, events.QueryHolder):
+            self._start_task(self._query_holder(context, command))
         elif isinstance(command, events.Dispatch):
-            self._start(self._dispatch(call, command))
+            self._start_task(self._dispatch(context, command))
         elif isinstance(command, events.Settle):
-            self._start(self._settle(command.proposal))
+            self._start_task(self._settle(command.proposal))
 
-    def _start(
-        self, work: typing.Coroutine[typing.Any, typing.Any, None]
+    def _start_task(
+        self, coroutine: typing.Coroutine[typing.Any, typing.Any, None]
     ) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _request_grant(
-        self, call: _Call, command: events.RequestGrant
+        self, context: _AttemptContext, command: events.RequestGrant
     ) -> None:
-        event = call.event
-        left = max(event.deadline - self._clock.now(), 1)
+        event = context.event
+        remaining_ms = max(event.deadline - self._clock.now(), 1)
         request = messages.GrantRequest(
             event.address.bucket,
             event.address.slot,
@@ -172,36 +176,38 @@
             self._member.incarnation,
             self._member.peer_address,
             event.digest,
-            self._clock.wall() + left,
+            self._clock.wall() + remaining_ms,
             command.displaces,
             command.uncertain,
         )
-        verdict = await self._router.propose(request, left)
+        verdict = await self._router.propose(request, remaining_ms)
         if verdict is None:
-            self._feed(events.LedgerSilent(event.attempt))
+            self._handle(events.LedgerTimedOut(event.attempt))
         else:
-            self._feed(events.LedgerAnswered(event.attempt, verdict))
+            self._handle(events.VerdictReceived(event.attempt, verdict))
 
-    async def _ask_holder(
-        self, call: _Call, command: events.AskHolder
+    async def _query_holder(
+        self, context: _AttemptContext, command: events.QueryHolder
     ) -> None:
-        left = max(call.event.deadline - self._clock.now(), 0)
+        remaining_ms = max(context.event.deadline - self._clock.now(), 0)
         report = await self.query(
             command.holder,
             command.runner,
             command.runner_address,
-            min(left, self._settings.join_ms) if command.wait else 0,
+            min(remaining_ms, self._settings.join_timeout_ms)
+            if command.wait
+            else 0,
         )
-        self._feed(events.HolderAnswered(command.attempt, report))
+        self._handle(events.HolderReported(command.attempt, report))
 
     async def query(
-        self, attempt: str, runner_name: str, address: str, wait_ms: int
+        self, attempt: str, incarnation: str, address: str, wait_ms: int
     ) -> messages.AttemptReport:
-        """Ask an attempt's runner how far it is; GONE when it is silent."""
-        query = messages.AttemptQuery(attempt, runner_name, wait_ms)
-        if runner_name == self._member.incarnation:
-            return await self._answer_query(runner_name, query)
-        timeout = wait_ms + self._settings.router.ask_ms
+        """Query the state of an attempt, GONE if its runner is unreachable."""
+        query = messages.AttemptQuery(attempt, incarnation, wait_ms)
+        if incarnation == self._member.incarnation:
+            return await self._answer_query(incarnation, query)
+        timeout = wait_ms + self._settings.router.reply_timeout_ms
         try:
             report: messages.AttemptReport = await self._peers.ask(
                 address, query, timeout
@@ -214,18 +220,22 @@
         self, sender: str, query: messages.AttemptQuery
     ) -> messages.AttemptReport:
         if query.runner != self._member.incarnation:
-            # This process took over the address of the one that is asked;
-            # it knows nothing of its attempts, and must not say "void".
+            # This process reuses the address of the queried runner and has
+            # none of its attempts in memory, so it must not report "void".
             return messages.AttemptReport(
                 query.attempt, messages.AttemptState.GONE
             )
-        call = self._calls.get(query.attempt)
-        if call is not None and query.wait_ms:
-            await asyncio.wait({call.answered}, timeout=query.wait_ms / 1000)
+        context = self._contexts.get(query.attempt)
+        if context is not None and query.wait_ms:
+            await asyncio.wait(
+                {context.answered}, timeout=query.wait_ms / 1000
+            )
         return self.runner.report(query.attempt)
 
-    async def _dispatch(self, call: _Call, command: events.Dispatch) -> None:
-        request = call.request
+    async def _dispatch(
+        self, context: _AttemptContext, command: events.Dispatch
+    ) -> None:
+        request = context.request
         target = request.targets[command.target]
         service_call = ports.ServiceCall(
             url=target.url,
@@ -243,26 +253,29 @@
         try:
             answer = await self._services.call(service_call)
         except exceptions.TargetNotReached:
-            self._feed(events.TargetUnreached(attempt))
+            self._handle(events.TargetNotReached(attempt))
         except exceptions.TargetAnswerLost:
-            self._feed(events.TargetLost(attempt))
+            self._handle(events.TargetAnswerLost(attempt))
         except Exception:
-            # Nothing is known of how far the call came, and an attempt
-            # without an end would hold its key for good.
+            # The call may or may not have been sent, and an attempt that
+            # never ends would hold its key forever.
             logger.exception('action_call_failed', attempt=attempt)
-            self._feed(events.TargetLost(attempt))
+            self._handle(events.TargetAnswerLost(attempt))
         else:
             outcome = records.Outcome(
                 answer.status, answer.content_type, answer.body
             )
-            self._feed(events.TargetAnswered(attempt, outcome))
+            self._handle(events.TargetAnswered(attempt, outcome))
 
     async def _settle(self, proposal: messages.Proposal) -> None:
-        """Propose until the ledger has taken it; bounded by the runner."""
-        backoff = self._settings.settle_backoff_ms
+        """Propose until the ledger confirms.
+
+        The runner limits the number of open proposals.
+        """
+        backoff = self._settings.initial_settle_backoff_ms
         while True:
             verdict = await self._router.propose(
-                proposal, self._settings.settle_ms
+                proposal, self._settings.settle_timeout_ms
             )
             if verdict is not None and not isinstance(
                 verdict, messages.LedgerUnavailable
@@ -270,4 +283,4 @@
                 break
             await asyncio.sleep(backoff / 1000)
             backoff = min(backoff * 2, self._settings.max_settle_backoff_ms)
-        self._feed(events.RecordConfirmed(proposal.attempt))
+        self._handle(events.RecordConfirmed(proposal.attempt))
--- a/src/thornspool/application/actions/service.py
+++ b/src/thornspool/application/actions/service.py
@@ -27,7 +27,7 @@
     from thornspool.application import ports
 
 _TIMER_SLACK_MS = 1
-"""A timer may fire a fraction of a millisecond before the clock's time."""
+"""A timer may fire a fraction of a millisecond early."""
 
 ActionRequest = action_requests.ActionRequest
 ActionSettings = action_requests.ActionSettings
@@ -39,7 +39,7 @@
 
 
 class ActionService:
-    """Runs actions on this entry and answers other entries about them.
+    """Runs actions on this entry and reports them to other entries.
 
     Parameters
     ----------
@@ -48,17 +48,17 @@
     platform : ports.Platform
         The platform's key-value service.
     peers : ports.Peers
-        Messages to other entries; handlers are registered with it.
+        Transport of messages to other entries; handlers are registered.
     services : ports.Services
-        Calls to plain services.
+        Client for calls to services.
     members : ports.MemberView
-        Entries as seen from here.
+        This entry's view of the members.
     member : ports.Member
         This entry.
     random_source : random.Random
         Source of attempt identifiers.
     settings : ActionSettings, optional
-        Bounds.
+        Limits.
     """
 
     def __init__(
@@ -94,11 +94,11 @@
 
     @property
     def open_count(self) -> int:
-        """Number of attempts and records that are not settled."""
+        """Number of open attempts and of unconfirmed releases."""
         return self._runs.runner.open_count
 
     def note_platform_back(self) -> None:
-        """Take in that an outage of the platform is over."""
+        """Admit ledger proposals again after an outage of the platform."""
         self._ledger.note_platform_back()
 
     async def run(self, request: ActionRequest) -> results.ActionResult:
@@ -107,12 +107,12 @@
         Parameters
         ----------
         request : ActionRequest
-            What to run.
+            The request.
 
         Returns
         -------
         results.ActionResult
-            What the caller is to be told; errors are results too.
+            The result for the caller; errors are results too.
         """
         try:
             key = keys.parse_key(
@@ -121,16 +121,16 @@
         except actions_exceptions.KeyRefused as error:
             return results.ActionRefused(str(error))
         if key.incarnation not in ('', self._member.incarnation):
-            return self._point_elsewhere(key)
+            return self._answer_foreign_key(key)
         self._runs.runner.move_horizon(self._clock.wall())
-        flight = self._runs.begin(request, self._describe(request, key))
-        result = await self._wait(flight, request.deadline)
-        if flight.joined and isinstance(result, results.ActionDone):
+        in_flight = self._runs.begin(request, self._build_event(request, key))
+        result = await self._wait(in_flight, request.deadline)
+        if in_flight.joined and isinstance(result, results.ActionDone):
             return attrs.evolve(result, replayed=True)
         return result
 
     async def look_up(self, workspace: str, key: str) -> results.ActionResult:
-        """Tell what is on record of a key, without running anything.
+        """Return the recorded result of a key without running anything.
 
         Parameters
         ----------
@@ -142,7 +142,7 @@
         Returns
         -------
         results.ActionResult
-            Never ``ActionNotRun``: a call may still be on its way.
+            Never ``ActionNotRun``: a call with the key may still arrive.
         """
         try:
             parsed = keys.parse_key(workspace, key, self._clock.wall())
@@ -154,19 +154,19 @@
         try:
             page = await self._ledger.read(address)
         except exceptions.PlatformError:
-            return self._say_unknown(results.UNKNOWN_UNCHECKED)
+            return self._build_unknown(results.UNKNOWN_UNCHECKED)
         if page.slot > address.slot:
-            return self._say_unknown(results.UNKNOWN_DROPPED)
+            return self._build_unknown(results.UNKNOWN_DROPPED)
         if page.slot < address.slot:
-            return self._say_unknown(results.UNKNOWN_NO_RECORD)
+            return self._build_unknown(results.UNKNOWN_NO_RECORD)
         return await self._look_up_record(page.records.get(parsed.name))
 
     def mint_key(self) -> str:
-        """Make a key that only this process may ever run.
+        """Create a key that only this process may run.
 
-        For callers during an outage of the platform: such a key needs no
-        agreement. It has to be sent to this entry, and when this process
-        ends, what became of the key can not be told.
+        Such a key needs no ledger, so callers can use it during an outage of
+        the platform. It must be sent to this entry, and its outcome is lost
+        when this process ends.
 
         Returns
         -------
@@ -179,32 +179,32 @@
         return keys.format_bound_key(identifier, self._member.incarnation)
 
     async def drain(self, timeout_ms: int) -> bool:
-        """Wait for attempts in flight and records that are not settled.
+        """Wait for open attempts and unconfirmed releases.
 
         Parameters
         ----------
         timeout_ms : int
-            Longest wait.
+            Maximum time to wait.
 
         Returns
         -------
         bool
-            Whether everything is settled.
+            Whether none is left.
         """
         end = self._clock.now() + timeout_ms
         while self.open_count and self._clock.now() < end:
             await self._runs.wait_for_progress(end - self._clock.now())
         return not self.open_count
 
-    def _point_elsewhere(self, key: keys.ActionKey) -> results.ActionResult:
-        """Answer for a key that is bound to another process."""
+    def _answer_foreign_key(self, key: keys.ActionKey) -> results.ActionResult:
+        """Return the result of a key that is bound to another process."""
         owner = self._members.find(key.incarnation)
         if owner is None:
-            return self._say_unknown(results.UNKNOWN_RUNNER_GONE)
+            return self._build_unknown(results.UNKNOWN_RUNNER_GONE)
         reason = f'{results.REFUSED_ELSEWHERE} It is at {owner.caller_url}.'
         return results.ActionRefused(reason)
 
-    def _describe(
+    def _build_event(
         self, request: ActionRequest, key: keys.ActionKey
     ) -> events.ActionRequested:
         attempt = identifiers.make_uuid7(
@@ -218,45 +218,47 @@
             deadline=request.deadline,
             targets=len(request.targets),
             deduplicates=request.deduplicates,
-            resent=request.resent or self._is_aged(key),
+            resent=request.resent or self._may_be_resent(key),
             bound_time=key.time if key.incarnation else 0,
         )
 
-    def _is_aged(self, key: keys.ActionKey) -> bool:
-        """Return whether a key looks as if it had been sent before.
+    def _may_be_resent(self, key: keys.ActionKey) -> bool:
+        """Return whether a key is old enough to have been sent before.
 
-        A caller whose first call may have run sends its key again while the
-        ledger can't be read. "Not run" would then be false; it is kept for
-        keys so young that no earlier call can have come far.
+        A caller may resend a key whose first call has run while the ledger
+        can not be read. "Not run" would then be wrong; it is only returned
+        for keys so new that no earlier call can have made progress.
         """
-        return self._clock.wall() - key.time > self._settings.fresh_ms
+        return (
+            self._clock.wall() - key.time > self._settings.max_new_key_age_ms
+        )
 
     async def _wait(
-        self, flight: action_runs.Flight, deadline: int
+        self, in_flight: action_runs.InFlightAttempt, deadline: int
     ) -> results.ActionResult:
-        answered = flight.answered
-        left = max(deadline - self._clock.now(), 0) + _TIMER_SLACK_MS
-        await asyncio.wait({answered}, timeout=left / 1000)
+        answered = in_flight.answered
+        remaining_ms = max(deadline - self._clock.now(), 0) + _TIMER_SLACK_MS
+        await asyncio.wait({answered}, timeout=remaining_ms / 1000)
         if not answered.done():
-            self._runs.pass_deadline(flight.attempt)
+            self._runs.handle_deadline(in_flight.attempt)
         if answered.done():
             return answered.result()
-        return self._say_unknown(results.UNKNOWN_RUNNING)
+        return self._build_unknown(results.UNKNOWN_RUNNING)
 
-    def _say_unknown(self, reason: str) -> results.ActionUnknown:
+    def _build_unknown(self, reason: str) -> results.ActionUnknown:
         wait = self._settings.attempts.retry_after_ms
         return results.ActionUnknown(reason, wait)
 
     def _look_up_bound(self, key: keys.ActionKey) -> results.ActionResult:
         if key.incarnation != self._member.incarnation:
-            return self._point_elsewhere(key)
+            return self._answer_foreign_key(key)
         return self._runs.runner.look_up_bound(key.name)
 
     async def _look_up_record(
         self, record: records.Record | None
     ) -> results.ActionResult:
         if record is None or record.state is records.RecordState.VOIDED:
-            return self._say_unknown(results.UNKNOWN_NO_RECORD)
+            return self._build_unknown(results.UNKNOWN_NO_RECORD)
         outcome = record.outcome
         if outcome is None:
             report = await self._runs.query(
@@ -264,11 +266,11 @@
             )
             outcome = report.outcome
             if report.state is messages.AttemptState.VOID:
-                return self._say_unknown(results.UNKNOWN_NO_RECORD)
+                return self._build_unknown(results.UNKNOWN_NO_RECORD)
             if report.state is messages.AttemptState.GONE:
-                return self._say_unknown(results.UNKNOWN_RUNNER_GONE)
+                return self._build_unknown(results.UNKNOWN_RUNNER_GONE)
         if outcome is None:
-            return self._say_unknown(results.UNKNOWN_RUNNING)
+            return self._build_unknown(results.UNKNOWN_RUNNING)
         if not outcome.known:
-            return self._say_unknown(results.UNKNOWN_ANSWER_LOST)
+            return self._build_unknown(results.UNKNOWN_ANSWER_LOST)
         return results.replay(outcome)
--- a/src/thornspool/application/ledger/__init__.py
+++ b/src/thornspool/application/ledger/__init__.py
@@ -1,1 +1,1 @@
-"""The ledger of actions: who writes its pages, and how."""
+"""The ledger of actions: routing of proposals and writing of pages."""
--- a/src/thornspool/application/ledger/router.py
+++ b/src/thornspool/application/ledger/router.py
@@ -1,4 +1,4 @@
-"""Which entry writes a ledger page, and what to do when it is silent."""
+"""Selection of the entry that writes a ledger page, and failover."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from thornspool.application import exceptions
 from thornspool.application import ports
-from thornspool.application.ledger import asking as ledger_asking
+from thornspool.application.ledger import remote_writers
 from thornspool.domain.actions import messages
 
 if typing.TYPE_CHECKING:
@@ -18,35 +18,49 @@
     from thornspool.application.ledger import writing as ledger
 
 
-_WRITERS_ASKED = 2
+_MAX_REMOTE_WRITERS = 2
 
 
 @attrs.frozen
 class RouterSettings:
-    """Bounds of a router.
+    """Time limits of a router.
 
     Attributes
     ----------
-    ask_ms : int
-        Longest wait for a reply that needs no work.
+    reply_timeout_ms : int
+        Maximum time to wait for a reply that needs no platform call.
     avoid_ms : int
-        How long a silent writer is passed over.
+        How long an unresponsive writer is not chosen.
+    remote : remote_writers.RemoteWriterSettings
+        Time limits of proposals to other entries.
     """
 
-    ask_ms: int = 300
+    reply_timeout_ms: int = 300
     avoid_ms: int = 5_000
-    asking: ledger_asking.AskingSettings = attrs.field(
-        factory=ledger_asking.AskingSettings
+    remote: remote_writers.RemoteWriterSettings = attrs.field(
+        factory=remote_writers.RemoteWriterSettings
     )
 
 
 def choose_writer(
     members: typing.Iterable[ports.Member], bucket: int, slot: int
 ) -> ports.Member | None:
-    """Return the entry that is asked first to write a page.
+    """Return the preferred writer of a page by rendezvous hashing.
 
-    Rendezvous hashing: entries whose views agree choose the same writer,
-    so that grants share writes. Differing views cost a conflict, no more.
+    Entries with equal membership views choose the same writer, so that
+    grants share writes. Different views only cause a write conflict.
+
+    Parameters
+    ----------
+    members : iterable of ports.Member
+        Entries to choose from.
+    bucket, slot : int
+        Address of the page.
+
+    Returns
+    -------
+    ports.Member or None
+        None when there are no members.
     """
     page = f'{bucket}/{slot}'
     return max(
@@ -59,22 +73,22 @@
 
 
 class LedgerRouter:
-    """Sends proposals to the writers of their pages.
+    """Routes proposals to the writers of their pages.
 
     Parameters
     ----------
     clock : clock.Clock
         Source of time.
     peers : ports.Peers
-        Messages to other entries.
+        Transport of messages to other entries.
     members : ports.MemberView
-        Entries as seen from here.
+        This entry's view of the members.
     member : ports.Member
         This entry.
     local : ledger.Ledger
         Page writers of this entry.
     settings : RouterSettings
-        Bounds.
+        Time limits.
     """
 
     def __init__(
@@ -92,74 +106,77 @@
         self._local = local
         self._settings = settings
         self._avoided: dict[str, int] = {}
-        self._asking = ledger_asking.LedgerAsking(
-            clock, peers, local, settings.asking
+        self._remote = remote_writers.RemoteWriters(
+            clock, peers, local, settings.remote
         )
 
     async def propose(
         self, proposal: messages.Proposal, timeout_ms: int
     ) -> messages.Verdict | None:
-        """Have a proposal decided by some writer.
+        """Have a proposal decided by another writer or by this entry.
 
         Parameters
         ----------
         proposal : messages.Proposal
-            What is wanted; deciding it twice is the same as once.
+            The proposed change; deciding it again has no further effect.
         timeout_ms : int
-            Longest wait in all.
+            Maximum time to wait in all.
 
         Returns
         -------
         messages.Verdict or None
-            None when nobody answered in time; the proposal may still be
-            written then.
+            None when no writer answered in time; the proposal may still be
+            written.
         """
         end = self._clock.now() + timeout_ms
-        verdict, asked = await self._ask_writers(proposal, timeout_ms)
+        verdict, was_sent = await self._propose_remotely(proposal, timeout_ms)
         if verdict is not None:
             return verdict
-        left = max(end - self._clock.now(), 1)
+        remaining_ms = max(end - self._clock.now(), 1)
         try:
             verdict = await asyncio.wait_for(
-                self._local.propose(proposal), left / 1000
+                self._local.propose(proposal), remaining_ms / 1000
             )
         except TimeoutError:
             return None
-        return _widen(verdict, asked)
+        return _mark_maybe_written(verdict, was_sent)
 
-    async def _ask_writers(
+    async def _propose_remotely(
         self, proposal: messages.Proposal, timeout_ms: int
     ) -> tuple[messages.Verdict | None, bool]:
-        """Ask the preferred writer and, if time is left, the one after it.
+        """Send a proposal to the preferred writer, then to the next one.
 
-        When a writer dies, everybody who asked it learns so at once. If
-        each then wrote the page itself, all but one would be refused by
-        version, round after round; the next writer takes them together.
+        When a writer fails, all entries with proposals there detect it at the
+        same time. If each then wrote the page itself, all but one write would
+        fail by version, repeatedly; the next preferred writer commits their
+        proposals together.
 
         Returns
         -------
         tuple
-            The verdict, None if there is none, and whether anybody was
-            asked.
+            The verdict, None if there is none, and whether the proposal was
+            sent to any writer.
         """
         end = self._clock.now() + timeout_ms
-        asked = False
-        for _ in range(_WRITERS_ASKED):
-            left = end - self._clock.now()
-            preferred = self._choose(proposal)
-            if preferred is None or left <= 0:
+        was_sent = False
+        for _ in range(_MAX_REMOTE_WRITERS):
+            remaining_ms = end - self._clock.now()
+            preferred = self._choose_remote_writer(proposal)
+            if preferred is None or remaining_ms <= 0:
                 break
-            asked = True
-            verdict = await self._ask(preferred, proposal, left)
+            was_sent = True
+            verdict = await self._propose_to(preferred, proposal, remaining_ms)
             if verdict is None:
                 continue
             if _is_unavailable(verdict):
                 break
-            return verdict, asked
-        return None, asked
+            return verdict, was_sent
+        return None, was_sent
 
-    def _choose(self, proposal: messages.Proposal) -> ports.Member | None:
-        """Return the preferred writer, None for this entry itself."""
+    def _choose_remote_writer(
+        self, proposal: messages.Proposal
+    ) -> ports.Member | None:
+        """Return the preferred writer, None if it is this entry."""
         now = self._clock.now()
         self._avoided = {
             name: until for name, until in self._avoided.items() if until > now
@@ -175,18 +192,19 @@
             return None
         return chosen
 
-    async def _ask(
+    async def _propose_to(
         self,
         preferred: ports.Member,
         proposal: messages.Proposal,
         timeout_ms: int,
     ) -> messages.Verdict | None:
         try:
-            return await self._asking.ask(
+            return await self._remote.propose(
                 preferred.peer_address, proposal, timeout_ms
             )
         except exceptions.PeerUnreachable:
-            # A paused entry would cost each of its pages' actions a wait.
+            # Otherwise each action on the pages of a suspended entry would
+            # wait for it.
             until = self._clock.now() + self._settings.avoid_ms
             self._avoided[preferred.incarnation] = until
             return None
@@ -196,8 +214,10 @@
     return isinstance(verdict, messages.LedgerUnavailable)
 
 
-def _widen(verdict: messages.Verdict, asked: bool) -> messages.Verdict:
-    """Say that a write is possible when another writer was asked before."""
-    if asked and isinstance(verdict, messages.LedgerUnavailable):
+def _mark_maybe_written(
+    verdict: messages.Verdict, was_sent: bool
+) -> messages.Verdict:
+    """Mark a failure as possibly written if the proposal was sent before."""
+    if was_sent and isinstance(verdict, messages.LedgerUnavailable):
         return attrs.evolve(verdict, maybe_written=True)
     return verdict
--- a/src/thornspool/application/ledger/writing.py
+++ b/src/thornspool/application/ledger/writing.py
@@ -1,4 +1,4 @@
-"""The ledger pages that this entry writes, carried out on the platform."""
+"""The writers of ledger pages on this entry, with platform calls."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 
 
 @attrs.define
-class _Desk:
-    """A page writer and the proposals that wait for its replies."""
+class _OpenPage:
+    """A page writer with the futures of its open proposals."""
 
     address: keys.PageAddress
     writer: writer.PageWriter
@@ -42,7 +42,7 @@
 
 
 class Ledger:
-    """Writers of ledger pages on this entry, with a bound on their number.
+    """Writers of the ledger pages on this entry, with a limit on idle ones.
 
     Parameters
     ----------
@@ -51,13 +51,13 @@
     platform : ports.Platform
         The platform's key-value service.
     layout : keys.Layout
-        Shape of the ring of pages.
+        Dimensions of the ring of pages.
     pace : writer.Pace
-        How fast a page may be written.
+        Limits on the writes of each page.
     max_pages : int
-        Most pages kept in memory while nothing waits for them.
+        Number of pages in memory above which idle ones are dropped.
     max_page_bytes : int
-        Size of a page past which no grant is accepted.
+        Page size in bytes above which no grant is accepted.
     """
 
     def __init__(
@@ -78,155 +78,172 @@
         self._breaker = breaker.Breaker()
         self._numbers = itertools.count()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._desks: collections.OrderedDict[keys.PageAddress, _Desk] = (
-            collections.OrderedDict()
-        )
+        self._open_pages: collections.OrderedDict[
+            keys.PageAddress, _OpenPage
+        ] = collections.OrderedDict()
 
     async def propose(self, proposal: messages.Proposal) -> messages.Verdict:
-        """Have a proposal decided by its page.
+        """Have a proposal decided on its page.
 
         Returns
         -------
         messages.Verdict
-            ``LedgerUnavailable`` at once while the platform is down.
+            ``LedgerUnavailable`` immediately while the platform is down.
         """
         now = self._clock.now()
         if not self._breaker.admit(now):
-            wait = self._breaker.read_wait(now)
-            return messages.LedgerUnavailable(proposal.attempt, wait, False)
+            wait_ms = self._breaker.compute_wait(now)
+            return messages.LedgerUnavailable(proposal.attempt, wait_ms, False)
         address = keys.PageAddress(proposal.bucket, proposal.slot)
-        desk = self._open(address)
+        open_page = self._get_open_page(address)
         number = next(self._numbers)
         reply: asyncio.Future[messages.Verdict] = (
             asyncio.get_running_loop().create_future()
         )
-        desk.replies[number] = reply
-        self._feed(desk, writer.ProposalReceived(number, proposal))
+        open_page.replies[number] = reply
+        self._handle(open_page, writer.ProposalReceived(number, proposal))
         try:
             return await reply
         finally:
             self._breaker.end_probe()
 
     def note_platform_back(self) -> None:
-        """Let proposals through again: the platform answered somebody."""
+        """Admit proposals again after the platform has recovered."""
         self._breaker.record_success()
 
     async def read(self, address: keys.PageAddress) -> records.Page:
-        """Read a page as the platform has it now.
+        """Read the current version of a page from the platform.
+
+        Parameters
+        ----------
+        address : keys.PageAddress
+            Address of the page.
+
+        Returns
+        -------
+        records.Page
+            The page.
 
         Raises
         ------
         PlatformError
-            When the platform did not answer, or not with a page.
+            When the platform did not answer or the value is not a page.
         """
-        page, _ = await self._read(address)
+        page, _ = await self._fetch(address)
         return page
 
-    def _open(self, address: keys.PageAddress) -> _Desk:
-        desk = self._desks.get(address)
-        if desk is None:
-            desk = _Desk(
+    def _get_open_page(self, address: keys.PageAddress) -> _OpenPage:
+        open_page = self._open_pages.get(address)
+        if open_page is None:
+            open_page = _OpenPage(
                 address,
                 writer.PageWriter(
                     address.slot, self._pace, self._max_page_bytes
                 ),
             )
-            self._desks[address] = desk
-        self._desks.move_to_end(address)
+            self._open_pages[address] = open_page
+        self._open_pages.move_to_end(address)
         self._close_idle()
-        return desk
+        return open_page
 
     def _close_idle(self) -> None:
-        """Forget the pages used longest ago; they can be read again."""
-        spare = len(self._desks) - self._max_pages
-        if spare <= 0:
+        """Drop the least recently used idle pages; they can be read again."""
+        excess = len(self._open_pages) - self._max_pages
+        if excess <= 0:
             return
-        oldest = list(self._desks.items())[:spare]
-        for address, desk in oldest:
-            if desk.writer.idle and not desk.replies:
-                del self._desks[address]
+        oldest = list(self._open_pages.items())[:excess]
+        for address, open_page in oldest:
+            if open_page.writer.idle and not open_page.replies:
+                del self._open_pages[address]
 
-    def _feed(self, desk: _Desk, event: writer.WriterEvent) -> None:
-        for command in desk.writer.handle(event, self._clock.now()):
-            self._carry_out(desk, command)
+    def _handle(self, open_page: _OpenPage, event: writer.WriterEvent) -> None:
+        for command in open_page.writer.handle(event, self._clock.now()):
+            self._execute(open_page, command)
 
-    def _carry_out(self, desk: _Desk, command: writer.WriterCommand) -> None:
+    def _execute(
+        self, open_page: _OpenPage, command: writer.WriterCommand
+    ) -> None:
         if isinstance(command, writer.Reply):
-            reply = desk.replies.pop(command.number)
+            reply = open_page.replies.pop(command.number)
             if not reply.done():
                 reply.set_result(command.verdict)
         elif isinstance(command, writer.ReadPage):
-            self._start(self._carry_out_read(desk))
+            self._start_task(self._read_page(open_page))
         elif isinstance(command, writer.WritePage):
-            self._start(self._carry_out_write(desk, command))
+            self._start_task(self._write_page(open_page, command))
         else:
             delay = max(command.at - self._clock.now(), 0) / 1000
             loop = asyncio.get_running_loop()
-            loop.call_later(delay, self._feed, desk, writer.TimePassed())
+            loop.call_later(
+                delay, self._handle, open_page, writer.TimerExpired()
+            )
 
-    def _start(self, work: Coroutine[typing.Any, typing.Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _start_task(
+        self, coroutine: Coroutine[typing.Any, typing.Any, None]
+    ) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _read(
+    async def _fetch(
         self, address: keys.PageAddress
     ) -> tuple[records.Page, int]:
         key = keys.format_page_key(address, self._layout)
-        found = await self._platform.get(key)
+        versioned = await self._platform.get(key)
         try:
-            return records.decode_page(found.value), found.version
+            return records.decode_page(versioned.value), versioned.version
         except actions_exceptions.PageMalformed as error:
             raise exceptions.LedgerMalformed(
                 f'The value of {key} is not a ledger page.', str(error)
             ) from error
 
-    async def _carry_out_read(self, desk: _Desk) -> None:
+    async def _read_page(self, open_page: _OpenPage) -> None:
         try:
-            page, version = await self._read(desk.address)
+            page, version = await self._fetch(open_page.address)
         except exceptions.LedgerMalformed as error:
-            # One bad value must not stop the actions of all other pages.
+            # One malformed value must not affect the actions of other pages.
             logger.error('ledger_page_malformed', reason=str(error))
-            self._feed(desk, writer.ReadFailed(_MALFORMED_WAIT_MS))
+            self._handle(open_page, writer.ReadFailed(_MALFORMED_WAIT_MS))
         except exceptions.PlatformHeldBack as error:
             now = self._clock.now()
-            self._breaker.record_held_back(now, error.retry_after_ms)
-            wait = self._breaker.read_wait(now)
-            self._feed(desk, writer.ReadFailed(wait))
+            self._breaker.record_not_sent(now, error.retry_after_ms)
+            wait_ms = self._breaker.compute_wait(now)
+            self._handle(open_page, writer.ReadFailed(wait_ms))
         except Exception as error:
-            # Also of errors that nobody expected: a read without an end
-            # would hold every later action of the page for good.
+            # Unexpected errors are handled too: a read that never completes
+            # would block all later actions of the page.
             now = self._clock.now()
             self._breaker.record_failure(now)
             logger.warning('ledger_read_failed', reason=str(error))
-            wait = self._breaker.read_wait(now)
-            self._feed(desk, writer.ReadFailed(wait))
+            wait_ms = self._breaker.compute_wait(now)
+            self._handle(open_page, writer.ReadFailed(wait_ms))
         else:
             self._breaker.record_success()
-            self._feed(desk, writer.PageRead(page, version))
+            self._handle(open_page, writer.PageRead(page, version))
 
-    async def _carry_out_write(
-        self, desk: _Desk, command: writer.WritePage
+    async def _write_page(
+        self, open_page: _OpenPage, command: writer.WritePage
     ) -> None:
-        key = keys.format_page_key(desk.address, self._layout)
+        key = keys.format_page_key(open_page.address, self._layout)
         value = records.encode_page(command.page)
         try:
-            written = await self._platform.put(
+            result = await self._platform.put(
                 key, value, command.expected_version
             )
         except Exception as error:
-            # As with a read, and the write may have been sent before.
+            # Unexpected errors are handled as for a read; the write may have
+            # been sent.
             logger.warning('ledger_write_failed', reason=str(error))
-            written = ports.WriteUnknown()
-        if not isinstance(written, ports.WriteUnknown):
+            result = ports.WriteUnknown()
+        if not isinstance(result, ports.WriteUnknown):
             self._breaker.record_success()
-        self._feed(desk, _name_event(written))
+        self._handle(open_page, _build_event(result))
 
 
-def _name_event(written: ports.WriteResult) -> writer.WriterEvent:
-    if isinstance(written, ports.WriteDone):
-        return writer.WriteAccepted(written.version)
-    if isinstance(written, ports.WriteConflict):
-        return writer.WriteRefused()
+def _build_event(result: ports.WriteResult) -> writer.WriterEvent:
+    if isinstance(result, ports.WriteDone):
+        return writer.WriteAccepted(result.version)
+    if isinstance(result, ports.WriteConflict):
+        return writer.WriteConflicted()
     logger.warning('ledger_write_unanswered')
     return writer.WriteUnanswered()
--- a/src/thornspool/domain/actions/__init__.py
+++ b/src/thornspool/domain/actions/__init__.py
@@ -1,1 +1,1 @@
-"""Non-idempotent actions that run at most once."""
+"""Rules that run non-idempotent actions at most once."""
--- a/src/thornspool/domain/actions/batches.py
+++ b/src/thornspool/domain/actions/batches.py
@@ -1,4 +1,4 @@
-"""What one write of a ledger page holds, and what needs no write."""
+"""Batches of proposals that are decided on one version of a ledger page."""
 
 from __future__ import annotations
 
@@ -10,106 +10,111 @@
 
 
 @attrs.define
-class Waiting:
+class PendingProposal:
     """A proposal that has no verdict yet.
 
     Attributes
     ----------
     number : int
-        Names the proposal to whoever waits for it.
+        Identifies the proposal in the reply to its sender.
     proposal : messages.Proposal
-        What is wanted.
-    since : int
-        When it came, in monotonic milliseconds.
-    written : bool
-        Whether a write held it that may have taken effect.
-    read : bool
-        Whether the page was read after it came.
+        The proposed change.
+    received_at : int
+        When it was received, in monotonic milliseconds.
+    maybe_written : bool
+        Whether a write with this proposal may have taken effect.
+    page_read : bool
+        Whether the page was read after the proposal was received.
     """
 
     number: int
     proposal: messages.Proposal
-    since: int
-    written: bool = False
-    read: bool = False
+    received_at: int
+    maybe_written: bool = False
+    page_read: bool = False
 
 
 @attrs.frozen
-class Verdict:
+class DecidedProposal:
     """A proposal with its verdict."""
 
-    waiting: Waiting
+    pending: PendingProposal
     verdict: messages.Verdict
 
 
 @attrs.frozen
 class Batch:
-    """Proposals of a queue, decided on one page.
+    """Proposals of a queue, decided on one version of a page.
 
     Attributes
     ----------
     page : records.Page
         The page with all changes.
-    written : list of Verdict
-        Those whose verdict is true once the page is written.
-    settled : list of Verdict
-        Those that need no write.
-    stale : list of Waiting
-        Those that need a page which is read after they came.
+    written : list of DecidedProposal
+        Proposals whose verdict holds once the page is written.
+    settled : list of DecidedProposal
+        Proposals that need no write.
+    needs_read : list of PendingProposal
+        Proposals that need a page read after they were received.
     """
 
     page: records.Page
-    written: list[Verdict]
-    settled: list[Verdict]
-    stale: list[Waiting]
+    written: list[DecidedProposal]
+    settled: list[DecidedProposal]
+    needs_read: list[PendingProposal]
 
 
 def decide(
-    queue: list[Waiting], page: records.Page, slot: int, max_bytes: int
+    queue: list[PendingProposal], page: records.Page, slot: int, max_bytes: int
 ) -> Batch:
     """Decide each proposal of a queue, in order.
 
     Parameters
     ----------
-    queue : list of Waiting
+    queue : list of PendingProposal
         Proposals without a verdict.
     page : records.Page
         The page as last read or written.
     slot : int
         Slot that the page is written for.
     max_bytes : int
-        Size past which no grant is accepted.
+        Page size in bytes above which no grant is accepted.
+
+    Returns
+    -------
+    Batch
+        The changed page, and the proposals by what they need next.
     """
     draft = pages.Draft(page, slot, max_bytes)
-    written: list[Verdict] = []
-    settled: list[Verdict] = []
-    stale: list[Waiting] = []
+    written: list[DecidedProposal] = []
+    settled: list[DecidedProposal] = []
+    needs_read: list[PendingProposal] = []
     drafted: set[str] = set()
-    for waiting in queue:
-        name = waiting.proposal.name
-        decision = draft.apply(waiting.proposal)
-        decided = Verdict(waiting, decision.verdict)
-        # The verdict on a second request for a key of the same batch is
-        # true only once the batch is written.
+    for pending in queue:
+        name = pending.proposal.name
+        decision = draft.apply(pending.proposal)
+        decided = DecidedProposal(pending, decision.verdict)
+        # A later verdict on a key that this batch changes holds only once
+        # the batch is written, so it is confirmed with the batch.
         if decision.changed or name in drafted:
             drafted.add(name)
             written.append(decided)
-        elif not (waiting.read or _is_final(decision.verdict)):
-            stale.append(waiting)
+        elif not (pending.page_read or _is_final(decision.verdict)):
+            needs_read.append(pending)
         else:
             settled.append(decided)
-    return Batch(draft.build_page(), written, settled, stale)
+    return Batch(draft.build_page(), written, settled, needs_read)
 
 
 def _is_final(verdict: messages.Verdict) -> bool:
-    """Return whether a verdict holds on every later page, too.
-
-    The page in memory may be older than what other entries wrote. An
-    outcome whose grant is missing there would be confirmed, be forgotten by
-    its runner and be nowhere: the next sender would be told "never ran" and
-    run it again. A grant that is long released would still be found there,
-    and its key be held for good. So every verdict that no write proves and
-    that may change needs a page that was read after its proposal came.
+    """Return whether a verdict also holds on every later version.
+
+    The page in memory may be older than what other entries wrote. If it
+    lacks a grant, the outcome of that grant would be confirmed without being
+    stored: its runner would drop it, and the next call with the key would
+    run the action again. If it still has a released grant, the key would be
+    held forever. A verdict that is not confirmed by a write and may change
+    therefore needs a page that was read after its proposal was received.
     """
     if isinstance(verdict, messages.RecordFound):
         return verdict.record.state is records.RecordState.DONE
--- a/src/thornspool/domain/actions/events.py
+++ b/src/thornspool/domain/actions/events.py
@@ -1,4 +1,4 @@
-"""Events and commands of the runner of attempts."""
+"""Events that the runner of attempts handles and commands it returns."""
 
 from __future__ import annotations
 
@@ -15,7 +15,17 @@
 
 
 class Phase(enum.Enum):
-    """How far an attempt in memory is."""
+    """Progress of an attempt in memory.
+
+    ASKING
+        A grant was requested from the ledger.
+    JOINING
+        Another attempt holds the key; its runner is queried.
+    DISPATCHED
+        A target was called.
+    DONE
+        The outcome is not yet recorded in the ledger.
+    """
 
     ASKING = 'asking'
     JOINING = 'joining'
@@ -25,12 +35,12 @@
 
 @attrs.frozen
 class ActionRequested:
-    """A caller wants an action.
+    """A caller requested an action.
 
     Attributes
     ----------
     attempt : str
-        Fresh identifier of the attempt.
+        New identifier for the attempt.
     address : keys.PageAddress
         Page of the key's record.
     name : str
@@ -42,12 +52,12 @@
     targets : int
         Number of targets that may be tried, in order.
     deduplicates : bool
-        Whether the operation runs a key at most once by itself.
+        Whether the service itself runs a key at most once.
     resent : bool
-        Whether the caller says that it sent the key before.
+        Whether the key may have been sent before.
     bound_time : int
-        Time inside a key that is bound to this process, in milliseconds
-        since the Unix epoch; 0 for a key that the ledger decides on.
+        Timestamp of a key that is bound to this process, in milliseconds
+        since the Unix epoch; 0 for a key that the ledger grants.
     """
 
     attempt: str
@@ -62,23 +72,23 @@
 
 
 @attrs.frozen
-class LedgerAnswered:
-    """The ledger's verdict on a grant."""
+class VerdictReceived:
+    """The ledger returned its verdict on a grant request."""
 
     attempt: str
     verdict: messages.Verdict
 
 
 @attrs.frozen
-class LedgerSilent:
-    """No writer answered in time; a grant may yet be written."""
+class LedgerTimedOut:
+    """No writer answered in time; the grant may still be written."""
 
     attempt: str
 
 
 @attrs.frozen
-class HolderAnswered:
-    """The word of the runner that holds the key."""
+class HolderReported:
+    """The runner of the attempt that holds the key reported its state."""
 
     attempt: str
     report: messages.AttemptReport
@@ -86,47 +96,47 @@
 
 @attrs.frozen
 class TargetAnswered:
-    """A target answered whole."""
+    """A target returned a complete answer."""
 
     attempt: str
     outcome: records.Outcome
 
 
 @attrs.frozen
-class TargetUnreached:
-    """Not one byte was written to the target."""
+class TargetNotReached:
+    """No byte of the call was sent to the target."""
 
     attempt: str
 
 
 @attrs.frozen
-class TargetLost:
-    """The call was sent, in part or whole, and no whole answer came."""
+class TargetAnswerLost:
+    """The call was sent at least in part; its answer is incomplete."""
 
     attempt: str
 
 
 @attrs.frozen
 class DeadlinePassed:
-    """A caller's time is up."""
+    """The deadline of a caller passed."""
 
     attempt: str
 
 
 @attrs.frozen
 class RecordConfirmed:
-    """The ledger has settled an outcome or a release."""
+    """The ledger confirmed an outcome or a release."""
 
     attempt: str
 
 
 RunnerEvent = (
-    LedgerAnswered
-    | LedgerSilent
-    | HolderAnswered
+    VerdictReceived
+    | LedgerTimedOut
+    | HolderReported
     | TargetAnswered
-    | TargetUnreached
-    | TargetLost
+    | TargetNotReached
+    | TargetAnswerLost
     | DeadlinePassed
     | RecordConfirmed
 )
@@ -134,7 +144,17 @@
 
 @attrs.frozen
 class RequestGrant:
-    """Ask the ledger for the key."""
+    """Request a grant of the key from the ledger.
+
+    Attributes
+    ----------
+    attempt : str
+        The attempt.
+    displaces : str
+        Attempt whose record may be replaced, empty for none.
+    uncertain : bool
+        Whether the displaced attempt may have run.
+    """
 
     attempt: str
     displaces: str = ''
@@ -142,11 +162,25 @@
 
 
 @attrs.frozen
-class AskHolder:
-    """Ask the runner of another attempt how far that is.
+class QueryHolder:
+    """Query the state of the attempt that holds the key from its runner.
+
+    The first query does not wait for the end of that attempt, so that a
+    missing runner is detected long before the caller's deadline.
 
-    The first question does not wait for the attempt's end, so that a runner
-    that is gone is noticed long before the caller's deadline.
+    Attributes
+    ----------
+    attempt : str
+        Attempt that waits for the key.
+    holder : str
+        Attempt that holds the key.
+    runner : str
+        Incarnation of the entry that runs the holder.
+    runner_address : str
+        Peer address of that entry.
+    wait : bool
+        Whether the runner replies only when the holder has ended or the
+        wait has timed out.
     """
 
     attempt: str
@@ -158,7 +192,7 @@
 
 @attrs.frozen
 class Dispatch:
-    """Call a target, now."""
+    """Call a target immediately."""
 
     attempt: str
     target: int
@@ -167,7 +201,7 @@
 
 @attrs.frozen
 class Settle:
-    """Propose an outcome or a release until the ledger has settled it."""
+    """Propose an outcome or a release until the ledger confirms it."""
 
     attempt: str
     proposal: messages.OutcomeRecord | messages.GrantRelease
@@ -175,7 +209,7 @@
 
 @attrs.frozen
 class Answer:
-    """Tell every caller of an attempt its result."""
+    """Return the result of an attempt to all of its callers."""
 
     attempt: str
     result: results.ActionResult
@@ -183,10 +217,10 @@
 
 @attrs.frozen
 class Join:
-    """Have a caller wait for an attempt that is under way."""
+    """Let a caller wait for the result of a running attempt."""
 
     attempt: str
     running: str
 
 
-RunnerCommand = RequestGrant | AskHolder | Dispatch | Settle | Answer | Join
+RunnerCommand = RequestGrant | QueryHolder | Dispatch | Settle | Answer | Join
--- a/src/thornspool/domain/actions/exceptions.py
+++ b/src/thornspool/domain/actions/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the rules about non-idempotent actions."""
+"""Errors of the rules for non-idempotent actions."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class ActionsError(exceptions.ThornspoolError):
-    """Base of the errors of this package."""
+    """Base class of the errors of this package."""
 
 
 class KeyRefused(ActionsError):
-    """An idempotency key that can't be used; nothing was run with it."""
+    """An idempotency key is not acceptable; nothing was run with it."""
 
 
 class PageMalformed(ActionsError):
-    """A ledger page in the platform that can't be decoded."""
+    """A ledger page read from the platform can not be decoded."""
--- a/src/thornspool/domain/actions/keys.py
+++ b/src/thornspool/domain/actions/keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys and the ledger page that each of them belongs to."""
+"""Idempotency keys and the addresses of their ledger pages."""
 
 from __future__ import annotations
 
@@ -11,20 +11,22 @@
 from thornspool.domain.actions import exceptions
 
 MAX_AHEAD_MS = 60_000
-_BOUND_MARK = '@'
-_MINT_HINT = 'Send a UUID version 7 made when the action was first wanted.'
+_BOUND_SEPARATOR = '@'
+_NEW_KEY_HINT = (
+    'Send a UUID version 7 created when the action was first requested.'
+)
 
 
 @attrs.frozen
 class Layout:
-    """Shape of the ring of ledger pages; the same on every entry.
+    """Dimensions of the ring of ledger pages; equal on all entries.
 
     Attributes
     ----------
     buckets : int
-        Pages that share the keys of one slot.
+        Number of pages among which the keys of one slot are distributed.
     slots : int
-        Slots of the ring before it starts again.
+        Number of slots after which the ring reuses its pages.
     slot_ms : int
         Length of a slot in milliseconds.
     """
@@ -43,11 +45,11 @@
     workspace : str
         Workspace that the key belongs to.
     text : str
-        The UUID in its canonical form, with what it is bound to.
+        The UUID in its canonical form, with the incarnation it is bound to.
     time : int
-        Milliseconds since the Unix epoch, read from the key.
+        Timestamp in the key, in milliseconds since the Unix epoch.
     incarnation : str
-        Only process that may run the key; empty for an ordinary key.
+        The only process that may run the key; empty for an ordinary key.
     """
 
     workspace: str
@@ -63,14 +65,14 @@
 
 @attrs.frozen
 class PageAddress:
-    """Where a key's record is kept.
+    """Address of the ledger page with a key's record.
 
     Attributes
     ----------
     bucket : int
-        Which of the pages of a slot.
+        Index of the page among those of its slot.
     slot : int
-        Key time divided by the length of a slot; never reused.
+        Timestamp of the key divided by the length of a slot; never reused.
     """
 
     bucket: int
@@ -79,7 +81,7 @@
 
 def format_bound_key(identifier: uuid.UUID, incarnation: str) -> str:
     """Return the text of a key that only one process may run."""
-    return f'{identifier}{_BOUND_MARK}{incarnation}'
+    return f'{identifier}{_BOUND_SEPARATOR}{incarnation}'
 
 
 def split_bound_key(text: str) -> tuple[str, str]:
@@ -90,12 +92,12 @@
     tuple of str
         The second part is empty for an ordinary key.
     """
-    identifier, _, incarnation = text.partition(_BOUND_MARK)
+    identifier, _, incarnation = text.partition(_BOUND_SEPARATOR)
     return identifier, incarnation
 
 
 def parse_key(workspace: str, text: str, wall: int) -> ActionKey:
-    """Check a caller's key.
+    """Validate a caller's key.
 
     Parameters
     ----------
@@ -104,7 +106,7 @@
     text : str
         Value of the caller's ``Idempotency-Key``.
     wall : int
-        Milliseconds since the Unix epoch, now.
+        Current time in milliseconds since the Unix epoch.
 
     Returns
     -------
@@ -114,22 +116,23 @@
     Raises
     ------
     KeyRefused
-        When it is no UUID version 7 or lies too far in the future.
+        When the key is not a UUID version 7 or its timestamp is too far in
+        the future.
     """
     plain, incarnation = split_bound_key(text)
     try:
         identifier = uuid.UUID(plain)
     except ValueError:
         raise exceptions.KeyRefused(
-            'The idempotency key is not a UUID.', _MINT_HINT
+            'The idempotency key is not a UUID.', _NEW_KEY_HINT
         ) from None
     time = identifiers.read_uuid7_time(identifier)
     if time is None:
         raise exceptions.KeyRefused(
-            'The idempotency key is not a UUID version 7.', _MINT_HINT
+            'The idempotency key is not a UUID version 7.', _NEW_KEY_HINT
         )
-    # A key from the future would recycle a ledger page early, and records
-    # of other keys would be dropped before their day has passed.
+    # A key with a future timestamp would recycle a ledger page early and
+    # drop the records of other keys before their 24 h have passed.
     if time > wall + MAX_AHEAD_MS:
         raise exceptions.KeyRefused(
             'The idempotency key lies more than 60 s in the future.',
@@ -148,5 +151,5 @@
 
 
 def format_page_key(address: PageAddress, layout: Layout) -> str:
-    """Return the platform's key of a page."""
+    """Return the key under which the platform stores a page."""
     return f'ledger/{address.bucket}/{address.slot % layout.slots}'
--- a/src/thornspool/domain/actions/messages.py
+++ b/src/thornspool/domain/actions/messages.py
@@ -1,7 +1,7 @@
-"""Typed messages about actions, between entries and within one.
+"""Messages about actions, between entries and within one entry.
 
-Every class that may cross the network has fields that msgspec encodes
-natively; ``MESSAGE_TYPES`` lists them for the codec's registry.
+All message classes have fields that msgspec encodes natively;
+``MESSAGE_TYPES`` lists the classes for the codec's registry.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 
 import attrs
 
-# msgspec reads the annotations when it builds a codec.
+# msgspec evaluates the annotations at run time to build a codec.
 from thornspool.domain.actions import records  # noqa: TC001
 
 
 @attrs.frozen
 class GrantRequest:
-    """Asks that an attempt be the one that holds a key.
+    """Requests that the ledger grant a key to an attempt.
 
     Attributes
     ----------
@@ -25,9 +25,9 @@
     name : str
         Name of the key's record.
     attempt : str
-        Identifier of the attempt; asking twice is the same as once.
+        Identifier of the attempt; repeating the request has no effect.
     runner : str
-        Incarnation of the entry that will dispatch the attempt.
+        Incarnation of the entry that dispatches the attempt.
     runner_address : str
         Peer address of that entry.
     digest : str
@@ -54,7 +54,7 @@
 
 @attrs.frozen
 class OutcomeRecord:
-    """Asks that the outcome of a granted attempt be recorded."""
+    """Requests that the outcome of a granted attempt be recorded."""
 
     bucket: int
     slot: int
@@ -65,7 +65,7 @@
 
 @attrs.frozen
 class GrantRelease:
-    """Asks that a voided attempt no longer holds its key."""
+    """Requests that the key of a voided attempt be released."""
 
     bucket: int
     slot: int
@@ -78,14 +78,14 @@
 
 @attrs.frozen
 class GrantGiven:
-    """The attempt holds its key.
+    """The key is granted to the attempt.
 
     Attributes
     ----------
     attempt : str
         The attempt.
     fencing_token : int
-        Token to send with the call.
+        Token that is sent with the call to the target.
     uncertain : bool
         Whether an earlier attempt with this key may have run.
     """
@@ -97,7 +97,7 @@
 
 @attrs.frozen
 class RecordFound:
-    """Another attempt holds the key, or one has run."""
+    """Another attempt holds the key, or has run with it."""
 
     attempt: str
     record: records.Record
@@ -105,44 +105,45 @@
 
 @attrs.frozen
 class KeyReused:
-    """The key is on record with another request digest."""
+    """The key is recorded with the digest of another request."""
 
     attempt: str
 
 
 @attrs.frozen
 class RecordDropped:
-    """The key's slot was recycled; nobody can tell whether it ran."""
+    """The slot of the key was recycled, so it is unknown whether it ran."""
 
     attempt: str
 
 
 @attrs.frozen
 class PageFull:
-    """The page takes no further grant."""
+    """The page has no capacity for another grant."""
 
     attempt: str
 
 
 @attrs.frozen
 class ChangeRecorded:
-    """An outcome or a release is settled and need not be sent again."""
+    """An outcome or a release is settled; the sender stops retrying."""
 
     attempt: str
 
 
 @attrs.frozen
 class LedgerUnavailable:
-    """The page can be neither read nor written now.
+    """The page can currently be neither read nor written.
 
     Attributes
     ----------
     attempt : str
         The attempt.
     retry_after_ms : int
-        When it makes sense to ask again.
+        Milliseconds after which to retry.
     maybe_written : bool
-        Whether a write with this proposal may have or may yet take effect.
+        Whether a write with this proposal may have taken effect, or still
+        may.
     """
 
     attempt: str
@@ -163,17 +164,18 @@
 
 @attrs.frozen
 class AttemptQuery:
-    """Asks a runner about one of its attempts.
+    """Queries the state of an attempt from its runner.
 
     Attributes
     ----------
     attempt : str
         The attempt.
     runner : str
-        Incarnation that the ledger names; another process at the same
+        Incarnation in the ledger's record; a later process at the same
         address must not answer for it.
     wait_ms : int
-        How long the reply may wait for the attempt to end.
+        Maximum time in milliseconds that the reply waits for the attempt's
+        end.
     """
 
     attempt: str
@@ -183,22 +185,22 @@
 
 @attrs.frozen
 class ProposalQuery:
-    """Asks a writer whether it works on a proposal of an attempt."""
+    """Queries whether a writer has an open proposal of an attempt."""
 
     attempt: str
 
 
 @attrs.frozen
 class ProposalReport:
-    """A writer's word on a proposal.
+    """The state of a proposal at a writer.
 
     Attributes
     ----------
     attempt : str
         The attempt.
     is_open : bool
-        Whether the proposal waits there for its verdict. False when it never
-        came, or was decided.
+        Whether the proposal awaits its verdict there. False when it was not
+        received or is already decided.
     """
 
     attempt: str
@@ -206,7 +208,7 @@
 
 
 class AttemptState(enum.Enum):
-    """What a runner says of an attempt."""
+    """State of an attempt as its runner reports it."""
 
     RUNNING = 'running'
     DONE = 'done'
@@ -216,17 +218,17 @@
 
 @attrs.frozen
 class AttemptReport:
-    """A runner's word on an attempt.
+    """The state of an attempt at its runner.
 
     Attributes
     ----------
     attempt : str
         The attempt.
     state : AttemptState
-        VOID: no byte was written and none will be. GONE: the process that
-        could tell is not there.
+        VOID: the attempt never ran and never will. GONE: the process of the
+        runner can not be reached or has ended.
     outcome : records.Outcome or None
-        How it ended, when DONE.
+        How the attempt ended, if DONE.
     """
 
     attempt: str
--- a/src/thornspool/domain/actions/pages.py
+++ b/src/thornspool/domain/actions/pages.py
@@ -1,4 +1,4 @@
-"""Rules of a ledger page: what each proposal does to its records."""
+"""Rules of a ledger page: the effect of each proposal on its records."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 @attrs.frozen
 class Decision:
-    """What a proposal comes to.
+    """Result of applying a proposal to a draft.
 
     Attributes
     ----------
     verdict : messages.Verdict
-        The answer; holds only once ``changed`` drafts are written.
+        The verdict; if ``changed``, it holds only once the draft is written.
     changed : bool
-        Whether the draft differs from the page because of it.
+        Whether the proposal changed the draft.
     """
 
     verdict: messages.Verdict
@@ -27,16 +27,16 @@
 
 
 class Draft:
-    """A page's next version while a batch of proposals is applied.
+    """The next version of a page while a batch of proposals is applied.
 
     Parameters
     ----------
     page : records.Page
-        Version that was read; it is not changed.
+        The version that was read; it is not modified.
     slot : int
         Slot that the proposals are for.
     max_bytes : int
-        Estimated size past which no further grant is accepted.
+        Estimated size in bytes above which no further grant is accepted.
     """
 
     def __init__(
@@ -47,9 +47,9 @@
     ) -> None:
         self.slot = slot
         self.fencing_token = page.fencing_token
-        # A page whose slot is higher has dropped the records of this slot:
-        # accepting a grant would run a key again that has run before. The
-        # slot only grows, so this holds whatever any clock says.
+        # A page with a higher slot has dropped the records of this slot:
+        # a grant could run a key for the second time. The slot of a page
+        # only grows, so the rule does not depend on any clock.
         self.recycled = page.slot > slot
         self.records: dict[str, records.Record] = {}
         if page.slot == slot:
@@ -65,19 +65,19 @@
         return records.Page(self.slot, self.fencing_token, self.records)
 
     def apply(self, proposal: messages.Proposal) -> Decision:
-        """Apply one proposal."""
+        """Apply one proposal and return its verdict."""
         if self.recycled:
-            return _keep(messages.RecordDropped(proposal.attempt))
+            return _leave_unchanged(messages.RecordDropped(proposal.attempt))
         if isinstance(proposal, messages.GrantRequest):
             return self._grant(proposal)
         if isinstance(proposal, messages.OutcomeRecord):
-            return self._record(proposal)
+            return self._record_outcome(proposal)
         return self._release(proposal)
 
     def _grant(self, request: messages.GrantRequest) -> Decision:
-        held = self.records.get(request.name)
-        if held is not None and not _yields(held, request):
-            return _keep(_report_holder(held, request))
+        current = self.records.get(request.name)
+        if current is not None and not _is_replaceable(current, request):
+            return _leave_unchanged(_describe_holder(current, request))
         record = records.Record(
             records.RecordState.GRANTED,
             request.attempt,
@@ -89,48 +89,48 @@
             request.uncertain,
         )
         if not self._fits(request.name, record):
-            return _keep(messages.PageFull(request.attempt))
+            return _leave_unchanged(messages.PageFull(request.attempt))
         self.fencing_token += 1
-        self._put(request.name, record)
+        self._set_record(request.name, record)
         given = messages.GrantGiven(
             request.attempt, record.fencing_token, request.uncertain
         )
         return Decision(given, True)
 
-    def _record(self, proposal: messages.OutcomeRecord) -> Decision:
+    def _record_outcome(self, proposal: messages.OutcomeRecord) -> Decision:
         confirmed = messages.ChangeRecorded(proposal.attempt)
-        held = self.records.get(proposal.name)
-        if not _is_granted_to(held, proposal.attempt):
-            return _keep(confirmed)
-        assert held is not None
+        current = self.records.get(proposal.name)
+        if not _is_granted_to(current, proposal.attempt):
+            return _leave_unchanged(confirmed)
+        assert current is not None
         outcome = records.trim_outcome(proposal.outcome)
         done = attrs.evolve(
-            held, state=records.RecordState.DONE, outcome=outcome
+            current, state=records.RecordState.DONE, outcome=outcome
         )
-        self._put(proposal.name, done)
+        self._set_record(proposal.name, done)
         return Decision(confirmed, True)
 
     def _release(self, proposal: messages.GrantRelease) -> Decision:
         confirmed = messages.ChangeRecorded(proposal.attempt)
-        held = self.records.get(proposal.name)
-        if held is None:
-            # The release has overtaken its grant. Without a trace of it the
-            # grant would be accepted afterwards and hold the key for an
-            # attempt that is dead; callers would get "outcome unknown" for
-            # good once its runner is gone.
+        current = self.records.get(proposal.name)
+        if current is None:
+            # The release arrived before its grant. Without a record of it
+            # the grant would be accepted later and hold the key for a
+            # voided attempt; once its runner is gone, callers would always
+            # get "outcome unknown".
             voided = records.Record(
                 records.RecordState.VOIDED, proposal.attempt
             )
             if self._fits(proposal.name, voided):
-                self._put(proposal.name, voided)
+                self._set_record(proposal.name, voided)
                 return Decision(confirmed, True)
-            return _keep(confirmed)
-        if not _is_granted_to(held, proposal.attempt):
-            return _keep(confirmed)
-        self._put(proposal.name, _void(held))
+            return _leave_unchanged(confirmed)
+        if not _is_granted_to(current, proposal.attempt):
+            return _leave_unchanged(confirmed)
+        self._set_record(proposal.name, _build_voided(current))
         return Decision(confirmed, True)
 
-    def _put(self, name: str, record: records.Record) -> None:
+    def _set_record(self, name: str, record: records.Record) -> None:
         old = self.records.get(name)
         if old is not None:
             self._size -= records.estimate_size(name, old)
@@ -145,14 +145,17 @@
         return self._size + size <= self._max_bytes
 
     def _drop_voided(self) -> None:
-        """Make room; a voided record only saves a question to a runner."""
+        """Drop voided records to free capacity.
+
+        A voided record only saves a query to the runner of its attempt.
+        """
         for name, record in list(self.records.items()):
             if record.state is records.RecordState.VOIDED:
                 self._size -= records.estimate_size(name, record)
                 del self.records[name]
 
 
-def _keep(verdict: messages.Verdict) -> Decision:
+def _leave_unchanged(verdict: messages.Verdict) -> Decision:
     return Decision(verdict, False)
 
 
@@ -162,44 +165,50 @@
     return record.state is records.RecordState.GRANTED
 
 
-def _yields(held: records.Record, request: messages.GrantRequest) -> bool:
-    """Return whether a record makes way for a new grant."""
-    if held.attempt == request.attempt:
+def _is_replaceable(
+    current: records.Record, request: messages.GrantRequest
+) -> bool:
+    """Return whether a new grant may replace a record."""
+    if current.attempt == request.attempt:
         return False
-    if held.state is records.RecordState.VOIDED:
+    if current.state is records.RecordState.VOIDED:
         return True
-    if held.digest != request.digest or held.attempt != request.displaces:
+    if (
+        current.digest != request.digest
+        or current.attempt != request.displaces
+    ):
         return False
-    # The operation may have lost its declaration that it deduplicates
-    # since; then a key that may have run must not run again.
-    if held.uncertain and not request.uncertain:
+    # The operation may no longer be declared as deduplicating; a key that
+    # may have run must then not run again.
+    if current.uncertain and not request.uncertain:
         return False
-    if held.state is records.RecordState.GRANTED:
+    if current.state is records.RecordState.GRANTED:
         return True
-    # A known outcome stays; an unknown one makes way only for a sender that
-    # says so, which the runner does for operations that deduplicate.
-    assert held.outcome is not None
-    return request.uncertain and not held.outcome.known
+    # A known outcome is never replaced. An unknown one is replaced only by
+    # an uncertain request, which the runner sends only for operations that
+    # deduplicate.
+    assert current.outcome is not None
+    return request.uncertain and not current.outcome.known
 
 
-def _report_holder(
-    held: records.Record, request: messages.GrantRequest
+def _describe_holder(
+    current: records.Record, request: messages.GrantRequest
 ) -> messages.Verdict:
-    if _is_granted_to(held, request.attempt):
+    if _is_granted_to(current, request.attempt):
         return messages.GrantGiven(
-            request.attempt, held.fencing_token, held.uncertain
+            request.attempt, current.fencing_token, current.uncertain
         )
-    voided = held.state is records.RecordState.VOIDED
-    if not voided and held.digest != request.digest:
+    voided = current.state is records.RecordState.VOIDED
+    if not voided and current.digest != request.digest:
         return messages.KeyReused(request.attempt)
-    return messages.RecordFound(request.attempt, held)
+    return messages.RecordFound(request.attempt, current)
 
 
-def _void(held: records.Record) -> records.Record:
-    """Return what is left of a grant that was given up."""
-    if held.uncertain:
-        # An attempt before it may have run, so the key is not free.
+def _build_voided(current: records.Record) -> records.Record:
+    """Return the record that replaces a released grant."""
+    if current.uncertain:
+        # An earlier attempt may have run, so the key must not become free.
         return attrs.evolve(
-            held, state=records.RecordState.DONE, outcome=records.LOST
+            current, state=records.RecordState.DONE, outcome=records.LOST
         )
-    return records.Record(records.RecordState.VOIDED, held.attempt)
+    return records.Record(records.RecordState.VOIDED, current.attempt)
--- a/src/thornspool/domain/actions/records.py
+++ b/src/thornspool/domain/actions/records.py
@@ -1,4 +1,4 @@
-"""Ledger pages and their records, as they are kept in the platform."""
+"""Ledger pages and their records as the platform stores them."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from thornspool.domain.actions import exceptions
 
 MAX_OUTCOME_BYTES = 2_048
-_RECORD_BYTES = 320
-"""Upper estimate of a record without its outcome's body and its names."""
+_RECORD_OVERHEAD_BYTES = 320
+"""Upper estimate of a record's size without its body and its names."""
 
 
 class RecordState(enum.Enum):
-    """How far an attempt is, as far as the ledger knows."""
+    """State of an attempt in the ledger."""
 
     GRANTED = 'granted'
     DONE = 'done'
@@ -29,14 +29,14 @@
     Attributes
     ----------
     status : int
-        HTTP status of the target's answer; 0 when the answer was lost and
-        nobody can tell whether the action ran.
+        HTTP status of the target's answer; 0 when the answer was lost, so
+        that the action may or may not have run.
     content_type : str
         Media type of the body.
     body : bytes
-        The body, whole or empty.
+        The complete body, or empty.
     whole : bool
-        False when the body was too long to be kept.
+        False when the body was too long to be stored.
     """
 
     status: int
@@ -54,7 +54,7 @@
 
 
 def trim_outcome(outcome: Outcome) -> Outcome:
-    """Leave out a body that is too long for a ledger page."""
+    """Remove a body that is longer than ``MAX_OUTCOME_BYTES``."""
     if len(outcome.body) <= MAX_OUTCOME_BYTES:
         return outcome
     return attrs.evolve(outcome, body=b'', whole=False)
@@ -62,12 +62,12 @@
 
 @attrs.frozen
 class Record:
-    """What the ledger knows of one key.
+    """The ledger's record of one key.
 
     Attributes
     ----------
     state : RecordState
-        How far the attempt is.
+        State of the attempt.
     attempt : str
         Identifier of the attempt that holds or held the key.
     runner : str
@@ -77,15 +77,15 @@
     digest : str
         Digest of the request.
     fencing_token : int
-        Grows with each grant of a page.
+        Increases with each grant of the page.
     deadline : int
-        Milliseconds since the Unix epoch after which the runner gives the
-        grant up; a hint for readers, nothing is decided by it.
+        Milliseconds since the Unix epoch after which the runner abandons
+        the grant; informational, no decision depends on it.
     uncertain : bool
-        Whether an earlier attempt with this key may have run. Only a key
-        of an operation that deduplicates can come to this.
+        Whether an earlier attempt with this key may have run. True only for
+        keys of operations that deduplicate.
     outcome : Outcome or None
-        How the attempt ended, once it is done.
+        How the attempt ended, None before its end.
     """
 
     state: RecordState
@@ -101,16 +101,16 @@
 
 @attrs.frozen
 class Page:
-    """One value of the platform: the records of one bucket and slot.
+    """One value in the platform: the records of one bucket and slot.
 
     Attributes
     ----------
     slot : int
-        Slot that the page holds; -1 when it was never written.
+        Slot of the records; -1 when the page was never written.
     fencing_token : int
-        Last fencing token given out by this page.
+        Last fencing token issued by this page.
     records : dict of str to Record
-        Records by name of key; never changed in place.
+        Records by the name of their key; never modified in place.
     """
 
     slot: int = -1
@@ -124,15 +124,15 @@
 def estimate_size(name: str, record: Record) -> int:
     """Return an upper estimate of a record's encoded size.
 
-    A granted record counts with the longest outcome, so that an outcome
-    always fits into the page that accepted the grant.
+    The estimate of a granted record includes the longest possible outcome,
+    so that an outcome always fits into the page that accepted its grant.
 
     Returns
     -------
     int
         Bytes.
     """
-    size = _RECORD_BYTES + len(name) + len(record.runner_address)
+    size = _RECORD_OVERHEAD_BYTES + len(name) + len(record.runner_address)
     size += len(record.attempt) + len(record.runner) + len(record.digest)
     if record.state is RecordState.GRANTED:
         return size + MAX_OUTCOME_BYTES
@@ -142,7 +142,7 @@
 
 
 def encode_page(page: Page) -> bytes:
-    """Encode a page as the platform keeps it."""
+    """Encode a page as the platform stores it."""
     return msgspec.msgpack.encode(page)
 
 
@@ -152,7 +152,7 @@
     Raises
     ------
     PageMalformed
-        When the value is no page.
+        When the value is not an encoded page.
     """
     if not value:
         return EMPTY_PAGE
--- a/src/thornspool/domain/actions/results.py
+++ b/src/thornspool/domain/actions/results.py
@@ -1,4 +1,4 @@
-"""What a caller is told about an action."""
+"""Results of actions as callers receive them."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 @attrs.frozen
 class ActionDone:
-    """The action ran and this is the target's answer.
+    """The action ran and the target answered.
 
     Attributes
     ----------
@@ -65,11 +65,11 @@
     content_type : str
         Media type of the body.
     body : bytes
-        The whole body, or nothing when ``whole`` is false.
+        The complete body, or empty when ``whole`` is false.
     replayed : bool
-        Whether the answer was made for an earlier or another call.
+        Whether the target gave the answer to an earlier or another call.
     whole : bool
-        False for a replay whose body was too long to be kept.
+        False for a replay whose body was too long to be stored.
     """
 
     status: int
@@ -81,18 +81,18 @@
 
 @attrs.frozen
 class ActionNotRun:
-    """The call ran nothing and never will.
+    """The call did not run and never will.
 
     Attributes
     ----------
     reason : str
-        What went wrong and what to do next.
+        The cause and what the caller can do next.
     retry_after_ms : int
-        When to come back.
+        Milliseconds after which to retry.
     key_checked : bool
         True when the ledger showed that no other call with this key ran
-        either. False when only this call is known to have run nothing:
-        a caller that sent the key before must go on asking with it.
+        either. False when that holds for this call alone: a caller that
+        sent the key before must keep retrying with the same key.
     """
 
     reason: str
@@ -110,7 +110,7 @@
 
 @attrs.frozen
 class ActionRefused:
-    """The call can not be accepted as it is; it ran nothing."""
+    """The call was rejected as invalid; it did not run."""
 
     reason: str
 
@@ -119,7 +119,7 @@
 
 
 def replay(outcome: records.Outcome) -> ActionDone:
-    """Return the result of an attempt that another call has made."""
+    """Return the result of an outcome that another call produced."""
     return ActionDone(
         outcome.status,
         outcome.content_type,
--- a/src/thornspool/domain/actions/writer.py
+++ b/src/thornspool/domain/actions/writer.py
@@ -1,16 +1,18 @@
 """Group commit of proposals into one ledger page.
 
-One write is in flight at a time; the proposals that arrive meanwhile leave
-together when it has been answered and the pace allows. Any number of entries
-may write the same page: the platform's compare-and-swap decides, and a
-writer that lost reads the page again and decides each proposal anew.
-
-A write whose answer was lost needs no rule of its own. The page is read
-back and every proposal of the batch is decided again: an attempt that is in
-the page is confirmed; one that is not is proposed again with the version
-just read. If the lost write lands after the read, that next write fails by
-version, and the page is read once more. Nothing is ever concluded from an
-attempt's absence.
+One write is in flight at a time. Proposals that arrive meanwhile share the
+next write, which starts once the current one is answered and the minimum
+time between writes has passed. Any number of entries may write the same
+page: the platform's compare-and-swap accepts one write for each version, and
+a writer whose write failed reads the page again and decides each proposal
+anew.
+
+A write whose answer was lost needs no special rule. The page is read again
+and all proposals of the batch are decided again: an attempt that is in the
+page is confirmed; any other is written again with the version just read. If
+the lost write takes effect after the read, that next write fails by version
+and the page is read once more. The absence of an attempt from the page never
+proves that its write failed.
 """
 
 from __future__ import annotations
@@ -27,30 +29,30 @@
 
 @attrs.frozen
 class Pace:
-    """How fast a page may be written.
+    """Limits on the writes of a page and on its queue.
 
     Attributes
     ----------
     write_ms : int
-        Least time from the start of one write to the next.
-    lazy_ms : int
-        Longest time that outcomes and releases wait for a grant to share
-        its write.
+        Minimum time from the start of one write to the next.
+    max_deferral_ms : int
+        Maximum time that outcomes and releases wait to share the write of
+        a grant.
     max_age_ms : int
-        Longest time that a proposal is kept.
+        Maximum time that a proposal stays in the queue.
     max_queue : int
-        Most proposals kept.
+        Maximum number of proposals in the queue.
     """
 
     write_ms: int = 50
-    lazy_ms: int = 500
+    max_deferral_ms: int = 500
     max_age_ms: int = 5_000
     max_queue: int = 4_096
 
 
 @attrs.frozen
 class ProposalReceived:
-    """Somebody wants a proposal decided."""
+    """A proposal was received."""
 
     number: int
     proposal: messages.Proposal
@@ -71,7 +73,7 @@
     Attributes
     ----------
     retry_after_ms : int
-        When it makes sense to ask again.
+        Milliseconds after which to retry.
     """
 
     retry_after_ms: int
@@ -85,18 +87,18 @@
 
 
 @attrs.frozen
-class WriteRefused:
+class WriteConflicted:
     """The page's version was not the expected one."""
 
 
 @attrs.frozen
 class WriteUnanswered:
-    """The write may have taken effect, or may yet."""
+    """The write may have taken effect, or still may."""
 
 
 @attrs.frozen
-class TimePassed:
-    """A wake-up that was asked for."""
+class TimerExpired:
+    """A timer that the writer set has expired."""
 
 
 WriterEvent = (
@@ -104,20 +106,20 @@
     | PageRead
     | ReadFailed
     | WriteAccepted
-    | WriteRefused
+    | WriteConflicted
     | WriteUnanswered
-    | TimePassed
+    | TimerExpired
 )
 
 
 @attrs.frozen
 class ReadPage:
-    """Read the page and hand in the answer."""
+    """Read the page and pass the result to the writer as an event."""
 
 
 @attrs.frozen
 class WritePage:
-    """Write the page with compare-and-swap and hand in the answer."""
+    """Write the page with compare-and-swap and pass the result as an event."""
 
     page: records.Page
     expected_version: int
@@ -125,20 +127,20 @@
 
 @attrs.frozen
 class Reply:
-    """Tell a proposal's sender its verdict."""
+    """Send its verdict to the sender of a proposal."""
 
     number: int
     verdict: messages.Verdict
 
 
 @attrs.frozen
-class Wake:
-    """Hand in ``TimePassed`` at a monotonic time in milliseconds."""
+class SetTimer:
+    """Pass ``TimerExpired`` at a monotonic time in milliseconds."""
 
     at: int
 
 
-WriterCommand = ReadPage | WritePage | Reply | Wake
+WriterCommand = ReadPage | WritePage | Reply | SetTimer
 
 
 class _Phase(enum.Enum):
@@ -148,16 +150,16 @@
 
 
 class PageWriter:
-    """State of one page's writer on one entry.
+    """State machine that writes one page from one entry.
 
     Parameters
     ----------
     slot : int
         Slot that the page is written for.
     pace : Pace
-        How fast it may be written.
+        Limits on writes and on the queue.
     max_bytes : int
-        Size past which no grant is accepted.
+        Page size in bytes above which no grant is accepted.
     """
 
     def __init__(
@@ -172,43 +174,43 @@
         self._phase = _Phase.IDLE
         self._page: records.Page | None = None
         self._version = 0
-        self._queue: list[batches.Waiting] = []
-        self._batch: list[batches.Verdict] = []
+        self._queue: list[batches.PendingProposal] = []
+        self._batch: list[batches.DecidedProposal] = []
         self._draft_page = records.EMPTY_PAGE
-        self._stale = False
+        self._read_after_write = False
         self._next_write_at = 0
-        self._wake_at: int | None = None
+        self._timer_at: int | None = None
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is waiting or in flight."""
+        """Whether no proposal is queued and no read or write is in flight."""
         return self._phase is _Phase.IDLE and not self._queue
 
     def handle(self, event: WriterEvent, now: int) -> list[WriterCommand]:
-        """Take one event.
+        """Handle one event.
 
         Parameters
         ----------
         event : WriterEvent
-            What happened.
+            The event.
         now : int
             Monotonic milliseconds.
 
         Returns
         -------
         list of WriterCommand
-            What to do, in order.
+            Commands to execute, in order.
         """
         if isinstance(event, ProposalReceived):
             return self._receive(event, now)
         if isinstance(event, ReadFailed):
-            return self._fail(event)
-        if isinstance(event, TimePassed):
-            self._wake_at = None
+            return self._reject_queue(event)
+        if isinstance(event, TimerExpired):
+            self._timer_at = None
             return self._advance(now)
-        self._settle(event)
+        self._apply_result(event)
         if isinstance(event, WriteAccepted):
-            return self._confirm() + self._advance(now)
+            return self._confirm_batch() + self._advance(now)
         return self._advance(now)
 
     def _receive(
@@ -219,103 +221,127 @@
                 event.proposal.attempt, self._pace.max_age_ms, False
             )
             return [Reply(event.number, verdict)]
-        self._queue.append(batches.Waiting(event.number, event.proposal, now))
+        self._queue.append(
+            batches.PendingProposal(event.number, event.proposal, now)
+        )
         return self._advance(now)
 
-    def _settle(self, event: WriterEvent) -> None:
-        """Take in what the platform said."""
+    def _apply_result(self, event: WriterEvent) -> None:
+        """Apply the result of a read or a write."""
         self._phase = _Phase.IDLE
         if isinstance(event, PageRead):
             self._page = event.page
             self._version = event.version
             return
         if isinstance(event, WriteAccepted):
-            self._page = None if self._stale else self._draft_page
+            self._page = None if self._read_after_write else self._draft_page
             self._version = event.version
             return
-        # Refused or unanswered: the page has another version now or may
-        # get one, so all of the batch is decided again after a read.
+        # Conflicting or unanswered: the version of the page has changed or
+        # may change, so the whole batch is decided again after a read.
         self._page = None
-        self._queue = [one.waiting for one in self._batch] + self._queue
+        self._queue = [
+            decided.pending for decided in self._batch
+        ] + self._queue
         self._batch = []
 
-    def _confirm(self) -> list[WriterCommand]:
+    def _confirm_batch(self) -> list[WriterCommand]:
         replies: list[WriterCommand] = [
-            Reply(one.waiting.number, one.verdict) for one in self._batch
+            Reply(decided.pending.number, decided.verdict)
+            for decided in self._batch
         ]
         self._batch = []
         return replies
 
-    def _fail(self, event: ReadFailed) -> list[WriterCommand]:
-        """Refuse everything at once while the platform is down."""
+    def _reject_queue(self, event: ReadFailed) -> list[WriterCommand]:
+        """Reject all queued proposals immediately after a failed read."""
         self._phase = _Phase.IDLE
         self._page = None
         queue, self._queue = self._queue, []
-        return [_give_up(waiting, event.retry_after_ms) for waiting in queue]
+        return [
+            _build_unavailable(pending, event.retry_after_ms)
+            for pending in queue
+        ]
 
     def _advance(self, now: int) -> list[WriterCommand]:
         if self._phase is not _Phase.IDLE or not self._queue:
             return []
-        commands = self._drop_old(now)
+        commands = self._drop_expired(now)
         if not self._queue:
             return commands
         if self._page is None:
             self._phase = _Phase.READING
-            for waiting in self._queue:
-                waiting.read = True
+            for pending in self._queue:
+                pending.page_read = True
             return [*commands, ReadPage()]
         return commands + self._decide(self._page, now)
 
-    def _drop_old(self, now: int) -> list[WriterCommand]:
-        oldest = now - self._pace.max_age_ms
-        old = [waiting for waiting in self._queue if waiting.since < oldest]
-        if not old:
+    def _drop_expired(self, now: int) -> list[WriterCommand]:
+        earliest = now - self._pace.max_age_ms
+        expired = [
+            pending
+            for pending in self._queue
+            if pending.received_at < earliest
+        ]
+        if not expired:
             return []
-        self._queue = [w for w in self._queue if w.since >= oldest]
-        return [_give_up(waiting, self._pace.write_ms) for waiting in old]
+        self._queue = [
+            pending
+            for pending in self._queue
+            if pending.received_at >= earliest
+        ]
+        return [
+            _build_unavailable(pending, self._pace.write_ms)
+            for pending in expired
+        ]
 
     def _decide(self, page: records.Page, now: int) -> list[WriterCommand]:
-        """Answer what needs no write, and write the rest when it is time."""
-        write_at = self._plan_write()
+        """Decide the queue; reply where no write is needed, write the rest."""
+        write_at = self._compute_write_time()
         if now < write_at:
-            return self._wake(write_at)
+            return self._set_timer(write_at)
         batch = batches.decide(self._queue, page, self._slot, self._max_bytes)
         replies: list[WriterCommand] = [
-            Reply(one.waiting.number, one.verdict) for one in batch.settled
+            Reply(decided.pending.number, decided.verdict)
+            for decided in batch.settled
         ]
-        self._queue = batch.stale
-        self._stale = bool(batch.stale)
+        self._queue = batch.needs_read
+        self._read_after_write = bool(batch.needs_read)
         if not batch.written:
-            self._page = None if batch.stale else page
+            self._page = None if batch.needs_read else page
             return replies + self._advance(now)
         return replies + self._write(batch, now)
 
     def _write(self, batch: batches.Batch, now: int) -> list[WriterCommand]:
         self._phase = _Phase.WRITING
         self._batch = batch.written
-        for one in batch.written:
-            one.waiting.written = True
+        for decided in batch.written:
+            decided.pending.maybe_written = True
         self._draft_page = batch.page
         self._next_write_at = now + self._pace.write_ms
         return [WritePage(self._draft_page, self._version)]
 
-    def _plan_write(self) -> int:
-        """Return when the queue has to be written."""
-        for waiting in self._queue:
-            if isinstance(waiting.proposal, messages.GrantRequest):
+    def _compute_write_time(self) -> int:
+        """Return the monotonic time at which to write the queue."""
+        for pending in self._queue:
+            if isinstance(pending.proposal, messages.GrantRequest):
                 return self._next_write_at
-        since = min(waiting.since for waiting in self._queue)
-        return max(self._next_write_at, since + self._pace.lazy_ms)
+        received_at = min(pending.received_at for pending in self._queue)
+        return max(
+            self._next_write_at, received_at + self._pace.max_deferral_ms
+        )
 
-    def _wake(self, at: int) -> list[WriterCommand]:
-        if self._wake_at is not None and self._wake_at <= at:
+    def _set_timer(self, at: int) -> list[WriterCommand]:
+        if self._timer_at is not None and self._timer_at <= at:
             return []
-        self._wake_at = at
-        return [Wake(at)]
+        self._timer_at = at
+        return [SetTimer(at)]
 
 
-def _give_up(waiting: batches.Waiting, retry_after_ms: int) -> Reply:
+def _build_unavailable(
+    pending: batches.PendingProposal, retry_after_ms: int
+) -> Reply:
     verdict = messages.LedgerUnavailable(
-        waiting.proposal.attempt, retry_after_ms, waiting.written
+        pending.proposal.attempt, retry_after_ms, pending.maybe_written
     )
-    return Reply(waiting.number, verdict)
+    return Reply(pending.number, verdict)
--- a/tests/application/crash_builders.py
+++ b/tests/application/crash_builders.py
@@ -1,4 +1,4 @@
-"""Builders of entries before services whose targets die of some calls."""
+"""Builders of entries with services whose targets crash on some calls."""
 
 from __future__ import annotations
 
@@ -52,11 +52,16 @@
 
 
 class CrashingServices:
-    """Targets of a service; a body with the marker ends the one it runs on.
+    """Fake targets of a service; a body with the marker crashes its target.
 
-    ``breaking`` is how many of the next calls lose their connection to a
-    target that lives on; ``unreachable`` hosts answer nothing more once a
-    target on them has died.
+    Attributes
+    ----------
+    crash_ms, latency_ms : int
+        Time until a call crashes its target, and until it is answered.
+    breaking : int
+        Number of next calls that lose the connection to a live target.
+    unreachable : bool
+        Whether the host of a crashed target no longer answers either.
     """
 
     def __init__(self) -> None:
@@ -71,7 +76,7 @@
         self._ends: dict[str, asyncio.Event] = {}
 
     async def call(self, call: ports.ServiceCall) -> ports.ServiceAnswer:
-        """Run a call; its connection breaks when the target dies."""
+        """Run a call; its connection breaks when the target crashes."""
         if call.url in self.dead:
             raise exceptions.TargetNotReached('Connection refused.')
         self.reached[call.url] += 1
@@ -94,15 +99,15 @@
         raise exceptions.TargetConnectionBroken('Connection reset.')
 
     async def is_refusing(self, url: str) -> bool:
-        """Tell what a probe of a target would."""
+        """Return whether a probe of the target is refused."""
         await asyncio.sleep(0.001)
         return url in self.dead and not self.unreachable
 
 
 class CrashingEngines:
-    """Engines that work in steps, each with a phase of its own.
+    """Fake engines that work in steps, each with its own phase.
 
-    The engine that ends a step of a prompt with the marker ends with it.
+    An engine crashes at the end of a step with the crashing prompt.
     """
 
     def __init__(self) -> None:
@@ -115,7 +120,7 @@
     async def generate(
         self, call: generation_messages.GenerateCall, deliver: typing.Any
     ) -> None:
-        """Run an attempt until its first stage dies or the step ends."""
+        """Run an attempt until its first stage crashes or the step ends."""
         first = call.route.stages[0].target
         if first in self.dead:
             raise exceptions.TargetNotReached('Connection refused.')
@@ -138,7 +143,7 @@
 
 
 class _Targets:
-    """Holds a target that failed here for unreachable until it answers."""
+    """Readiness that is unreachable from a failure until the next poll."""
 
     def __init__(
         self, clock: builders.FakeClock, services: CrashingServices
@@ -150,7 +155,7 @@
     def read_readiness(self, target: str) -> messages.Readiness:
         failed = target in self._failed_at
         if failed and f'http://{target}' not in self._services.dead:
-            # The next poll finds that it lives.
+            # The next poll of a live target succeeds.
             waited = self._clock.now() - self._failed_at[target]
             failed = waited < FAILED_MS
         states = messages.Readiness
@@ -165,7 +170,7 @@
 
 @attrs.define
 class Entry:
-    """One entry: its intake and what a test looks at."""
+    """One entry with its intake and the services that tests inspect."""
 
     intake: intake.Intake
     quarantine: quarantine.QuarantineService
@@ -174,12 +179,12 @@
 
 
 class CrashFleet:
-    """Entries before one service, in virtual time.
+    """Entries with one service and one model, in virtual time.
 
     Parameters
     ----------
     entries, targets : int
-        How many.
+        Number of entries and of targets.
     """
 
     def __init__(self, entries: int = 3, targets: int = 8) -> None:
@@ -225,13 +230,13 @@
         peers = fakes.FakePeers(self.network, member)
         rng = random.Random(member.incarnation)
         targets = _Targets(self.clock, self.services)
-        kept = quarantine.QuarantineService(
+        quarantine_service = quarantine.QuarantineService(
             view, member.incarnation, peers, self.clock, rng.random
         )
-        kept._refresh_view()
+        quarantine_service._refresh_view()
         watched = service_trials.WatchedServices(
             self.services,
-            kept,
+            quarantine_service,
             self.services.is_refusing,
             targets.note_failure,
         )
@@ -246,20 +251,22 @@
             lambda name: True,
             lambda name: None,
             targets.note_failure,
-            kept,
+            quarantine_service,
         )
         runners = intake.Runners(
             action_service,
             call_service,
             None,  # type: ignore[arg-type]
             lambda listed: directory.list_ready(listed, targets, rng),
-            kept,
+            quarantine_service,
         )
-        taking = intake.Intake(
+        intake_service = intake.Intake(
             self.clock,
             lambda: self.snapshot,
             intake.Gates(
-                gates.Gatekeeper(self.clock, _build_open(), kept).admit,
+                gates.Gatekeeper(
+                    self.clock, _build_open(), quarantine_service
+                ).admit,
                 lambda: True,
                 lambda: False,
                 tuple,
@@ -272,17 +279,17 @@
             ),
         )
         return Entry(
-            taking,
-            kept,
+            intake_service,
+            quarantine_service,
             targets,
-            self._build_generation(member, targets, kept, rng),
+            self._build_generation(member, targets, quarantine_service, rng),
         )
 
     def _build_generation(
         self,
         member: ports.Member,
         targets: _Targets,
-        kept: quarantine.QuarantineService,
+        quarantine_service: quarantine.QuarantineService,
         rng: random.Random,
     ) -> generation.GenerationService:
         planning = generation_planning.Planning(
@@ -290,19 +297,19 @@
         )
         hooks = generation_attempts.Hooks(
             note_failure=targets.note_failure,
-            note_death=kept.note_death,
-            trials=kept,
+            note_death=quarantine_service.note_death,
+            trials=quarantine_service,
         )
         service = generation.GenerationService(
             self.clock, self.engines, planning, hooks
         )
-        kept.leave_with(service.leave_suspects)
+        quarantine_service.leave_with(service.leave_suspects)
         return service
 
     async def ask(
         self, entry: int, prompt: str
     ) -> generation_messages.GenerationEvent:
-        """Ask for text and return the last event."""
+        """Request text generation and return the last event."""
         self.seed += 1
         deadline = self.clock.now() + TIMEOUT_MS
         request = build_request(f'r{self.seed}', prompt, deadline)
@@ -310,7 +317,7 @@
         return [event async for event in stream][-1]
 
     def start(self) -> None:
-        """Have the entries compare what they know, until the loop ends."""
+        """Run the quarantine exchange of all entries until the loop ends."""
         for entry in self.entries:
             task = asyncio.ensure_future(entry.quarantine.run())
             self._tasks.append(task)
@@ -323,7 +330,7 @@
         key: str = '',
         resent: bool = False,
     ) -> results.ActionResult | requests.RequestRefused:
-        """Send a call under a new key, or under the one that is given."""
+        """Send a call with a new key, or with the given one."""
         self.seed += 1
         key = key or builders.build_key(self.seed, self.clock.wall())
         request = requests.OperationRequest(
@@ -335,18 +342,18 @@
             return refused
 
     def check(self, body: bytes, operation: str = 'status') -> set[str]:
-        """Return the verdicts of all entries on a call."""
-        named = fingerprints.fingerprint_call(
+        """Return the kinds of quarantine verdict of all entries on a call."""
+        fingerprint = fingerprints.fingerprint_call(
             WORKSPACE, 'slots', operation, body
         )
-        found = [one.quarantine.check(named) for one in self.entries]
-        return {type(verdict).__name__ for verdict in found}
+        verdicts = [one.quarantine.check(fingerprint) for one in self.entries]
+        return {type(verdict).__name__ for verdict in verdicts}
 
 
 def build_request(
     name: str, prompt: str, deadline: int
 ) -> generation_messages.GenerationRequest:
-    """Build a request for text."""
+    """Build a text generation request."""
     return generation_messages.GenerationRequest(
         name, WORKSPACE, 'text', prompt, 0, 0, deadline
     )
@@ -361,7 +368,7 @@
 
 
 def _build_open() -> typing.Any:
-    """Build an admission that refuses nothing."""
+    """Build an admission that admits all requests."""
     return types.SimpleNamespace(
         admit=lambda *_: types.SimpleNamespace(ticket=None),
         finish=lambda *_: None,
--- a/tests/application/test_actions.py
+++ b/tests/application/test_actions.py
@@ -1,4 +1,4 @@
-"""Tests of running actions over fakes with faults."""
+"""Tests of the action service on fakes with injected faults."""
 
 from __future__ import annotations
 
@@ -33,21 +33,21 @@
             self.assertTrue(await fleet.entries[2].drain(5_000))
             return [*both, later]
 
-        told = fakes.run(fleet.clock, work())
-        self.assertEqual({'ActionDone': 7}, builders.count_kinds(told))
-        self.assertEqual(1, len({answer.body for answer in told}))
-        self.assertEqual(1, sum(not answer.replayed for answer in told))
+        received = fakes.run(fleet.clock, work())
+        self.assertEqual({'ActionDone': 7}, builders.count_kinds(received))
+        self.assertEqual(1, len({answer.body for answer in received}))
+        self.assertEqual(1, sum(not answer.replayed for answer in received))
         self.assertEqual([1], list(fleet.services.executions.values()))
 
-    def test_entries_that_write_one_page_at_once_run_it_once(self) -> None:
-        """No entry hears the preferred writer, so each writes by itself.
+    def test_concurrent_writes_of_one_page_run_a_key_once(self) -> None:
+        """The preferred writer is unreachable, so each entry writes itself.
 
-        All read the same version; if more than one of their writes took
-        effect, the hold would be placed by each of them.
+        All read the same version; if several of their writes took effect,
+        the action would run several times.
         """
-        impatient = ledger_router.RouterSettings(ask_ms=10)
+        short_timeout = ledger_router.RouterSettings(reply_timeout_ms=10)
         fleet = builders.build_fleet(
-            settings=actions.ActionSettings(router=impatient)
+            settings=actions.ActionSettings(router=short_timeout)
         )
         fleet.network.lose.add('GrantRequest')
         fleet.platform.latency_ms = 30
@@ -62,12 +62,12 @@
         self.assertEqual({'ActionDone': 3}, kinds)
         self.assertEqual(1, fleet.services.executions.total())
 
-    def test_slow_platform_gets_no_more_writes_than_a_fast_one(self) -> None:
+    def test_slow_platform_receives_no_additional_writes(self) -> None:
         """The platform answers slowly for a long time.
 
-        If entries took the writer of a page for dead and wrote it
-        themselves, they would refuse each other's writes, and callers would
-        be told "not run" though the platform is up.
+        If entries treated the writer of a page as failed and wrote the page
+        themselves, their writes would conflict, and callers would be answered
+        "not run" although the platform is up.
         """
         for latency_ms in (3, 150, 400):
             with self.subTest(latency_ms):
@@ -85,17 +85,17 @@
                         await asyncio.sleep(0.01)
                     return await asyncio.gather(*running)
 
-                told = fakes.run(fleet.clock, work())
+                received = fakes.run(fleet.clock, work())
                 self.assertEqual(
-                    {'ActionDone': 90}, builders.count_kinds(told)
+                    {'ActionDone': 90}, builders.count_kinds(received)
                 )
                 self.assertLessEqual(fleet.platform.writes, 90)
 
-    def test_single_faults_have_known_outcomes(self) -> None:
-        """Each fault alone, then the caller sends again elsewhere.
+    def test_results_of_single_faults(self) -> None:
+        """Each fault alone, then the caller resends the key elsewhere.
 
-        The three columns are what the first call is told, what the second
-        one is told once the fault is over, and how often the action ran.
+        The columns are the result of the first call, the result of the second
+        call after the fault has ended, and the number of executions.
         """
         done, unknown, not_run = 'ActionDone', 'ActionUnknown', 'ActionNotRun'
         table = {
@@ -105,27 +105,27 @@
             'write lost, never': (done, done, 1),
             'writes lost, never': (done, done, 1),
             'platform down': (not_run, done, 1),
-            'writer silent': (done, done, 1),
+            'writers unreachable': (done, done, 1),
             'grant reply lost': (done, done, 1),
             'target refused': (done, done, 1),
             'targets refused': (not_run, done, 1),
             'answer lost': (unknown, unknown, 1),
             'answer lost, not run': (unknown, unknown, 0),
             'target slow': (unknown, done, 1),
-            'runner cut off': (unknown, done, 1),
+            'runner disconnected': (unknown, done, 1),
         }
         self.assertEqual(set(FAULTS), set(table))
         for name, expected in table.items():
             with self.subTest(name):
                 first, second, ran = send_twice([name])
-                told = (type(first).__name__, type(second).__name__, ran)
-                self.assertEqual(expected, told)
+                received = (type(first).__name__, type(second).__name__, ran)
+                self.assertEqual(expected, received)
 
-    def test_faults_in_pairs_keep_what_must_hold(self) -> None:
-        """Two faults at once, for both kinds of operations.
+    def test_pairs_of_faults_preserve_the_invariants(self) -> None:
+        """Two faults at once, with and without deduplication.
 
-        A payout must not run twice, "not run" must be true, and a key that
-        was answered "not run" must run when it is sent again.
+        An action must not run twice, "not run" must be correct, and a key
+        that was answered "not run" must run when it is sent again.
         """
         pairs = itertools.product(FAULTS, FAULTS, (False, True))
         for first_fault, second_fault, deduplicates in pairs:
@@ -141,24 +141,24 @@
                     self.assertIsInstance(second, actions.ActionDone)
 
     def test_same_key_with_another_body_is_refused(self) -> None:
-        """A caller's bug uses one key for two payouts."""
+        """A faulty caller uses one key for two payouts."""
         fleet = builders.build_fleet()
 
         async def work() -> None:
             await fleet.entries[0].run(fleet.build_request())
             other = fleet.build_request(body=b'{"sum": 2}')
             for entry in fleet.entries:
-                told = await entry.run(other)
-                self.assertIsInstance(told, actions.ActionRefused)
+                received = await entry.run(other)
+                self.assertIsInstance(received, actions.ActionRefused)
 
         fakes.run(fleet.clock, work())
         self.assertEqual(1, fleet.services.executions.total())
 
     def test_restarted_entry_does_not_answer_for_the_old_one(self) -> None:
-        """An entry dies while its call runs, and starts at its address.
+        """An entry dies during a call and restarts at the same address.
 
-        The new process knows nothing of the call. Taken for "never ran",
-        its silence would let the hold be placed twice.
+        The new process has no record of the call. If it reported the attempt
+        as void, the action would run twice.
         """
         fleet = builders.build_fleet()
         builders.slow_down(fleet)
@@ -170,15 +170,15 @@
             fleet.restart(0)
             return await fleet.entries[1].run(fleet.build_request())
 
-        told = fakes.run(fleet.clock, work())
-        assert isinstance(told, actions.ActionUnknown)
-        self.assertEqual(results.UNKNOWN_RUNNER_GONE, told.reason)
+        received = fakes.run(fleet.clock, work())
+        assert isinstance(received, actions.ActionUnknown)
+        self.assertEqual(results.UNKNOWN_RUNNER_GONE, received.reason)
         self.assertEqual(1, fleet.services.executions.total())
 
-    def test_outage_refuses_at_once_and_is_probed(self) -> None:
-        """The platform is down for long; callers must not wait for it.
+    def test_outage_refuses_immediately_and_is_probed(self) -> None:
+        """The platform is down for a long time; callers must not wait.
 
-        A key that is not fresh may have run before and is not denied.
+        An older key may have run before, so its result is unknown.
         """
         fleet = builders.build_fleet(1)
         fleet.platform.down = True
@@ -188,23 +188,23 @@
             await entry.run(fleet.build_request(1))
             for seed in range(2, 100):
                 before = fleet.clock.now()
-                told = await entry.run(fleet.build_request(seed))
-                assert isinstance(told, actions.ActionNotRun)
-                self.assertGreater(told.retry_after_ms, 0)
+                received = await entry.run(fleet.build_request(seed))
+                assert isinstance(received, actions.ActionNotRun)
+                self.assertGreater(received.retry_after_ms, 0)
                 self.assertEqual(before, fleet.clock.now())
             self.assertEqual(1, fleet.platform.reads)
             aged = common.build_key(100, fleet.clock.wall() - 501)
-            told = await entry.run(fleet.build_request(key=aged))
-            self.assertIsInstance(told, actions.ActionUnknown)
+            received = await entry.run(fleet.build_request(key=aged))
+            self.assertIsInstance(received, actions.ActionUnknown)
             fleet.platform.down = False
             await asyncio.sleep(2.5)
-            told_later = await entry.run(fleet.build_request(2))
-            self.assertIsInstance(told_later, actions.ActionDone)
+            received_later = await entry.run(fleet.build_request(2))
+            self.assertIsInstance(received_later, actions.ActionDone)
 
         fakes.run(fleet.clock, work())
 
-    def test_malformed_page_stops_its_own_keys_only(self) -> None:
-        """Somebody writes rubbish into one of the ledger's keys."""
+    def test_malformed_page_affects_only_its_own_keys(self) -> None:
+        """Some keys of the ledger hold values that are not pages."""
         fleet = builders.build_fleet(1)
 
         async def work() -> None:
@@ -227,11 +227,11 @@
 
         fakes.run(fleet.clock, work())
 
-    def test_bound_key_runs_in_an_outage_at_its_entry_only(self) -> None:
-        """The platform is down for hours and a hold can not wait.
+    def test_bound_key_runs_during_an_outage_at_its_entry_only(self) -> None:
+        """The platform is down for hours and an action can not wait.
 
-        A key minted by an entry runs there without the platform; anywhere
-        else it must not, or two entries could place the hold.
+        A key created by an entry runs there without the platform. It must
+        not run at another entry, or both could run the action.
         """
         fleet = builders.build_fleet()
         fleet.platform.down = True
@@ -245,9 +245,9 @@
                 }
                 key = owner.mint_key()
                 request = fleet.build_request(key=key)
-                told = [await owner.run(request) for _ in range(3)]
-                told.append(await owner.look_up('swan', key))
-                kinds[fault] = builders.count_kinds(told)
+                received = [await owner.run(request) for _ in range(3)]
+                received.append(await owner.look_up('swan', key))
+                kinds[fault] = builders.count_kinds(received)
                 ran = fleet.services.executions[key]
                 self.assertEqual(1, ran)
                 refused = await other.run(request)
@@ -267,7 +267,7 @@
         }
         self.assertEqual(expected, kinds)
 
-    def test_look_up_tells_what_is_on_record(self) -> None:
+    def test_look_up_returns_the_recorded_result(self) -> None:
         fleet = builders.build_fleet()
         fleet.services.faults['http://booking-1'] = collections.deque(['slow'])
 
@@ -277,8 +277,8 @@
             reasons = []
             for wait in (0, 0.2, 3):
                 await asyncio.sleep(wait)
-                told = await other.look_up('swan', request.key)
-                reasons.append(getattr(told, 'reason', 'done'))
+                received = await other.look_up('swan', request.key)
+                reasons.append(getattr(received, 'reason', 'done'))
                 if not wait:
                     running = asyncio.ensure_future(entry.run(request))
             await running
@@ -291,12 +291,12 @@
 
 
 def queue_writes(*faults: str) -> typing.Callable[[builders.Fleet], None]:
-    """Return a fault of the next writes."""
+    """Return a function that queues faults of the next writes."""
     return lambda fleet: fleet.platform.faults.extend(faults)
 
 
 def queue_calls(**faults: str) -> typing.Callable[[builders.Fleet], None]:
-    """Return faults of the next calls to targets, by number of target."""
+    """Return a function that queues a fault for each target's next call."""
 
     def apply(fleet: builders.Fleet) -> None:
         for target, fault in faults.items():
@@ -334,27 +334,27 @@
     'write lost, never': queue_writes('unknown-never'),
     'writes lost, never': queue_writes(*['unknown-never'] * 3),
     'platform down': take_platform_down,
-    'writer silent': cut_writers,
+    'writers unreachable': cut_writers,
     'grant reply lost': lose_replies,
     'target refused': queue_calls(t1='refused'),
     'targets refused': queue_calls(t1='refused', t2='refused'),
     'answer lost': queue_calls(t1='lost'),
     'answer lost, not run': queue_calls(t1='lost-before'),
     'target slow': queue_calls(t1='slow'),
-    'runner cut off': cut_runner,
+    'runner disconnected': cut_runner,
 }
 
 
 def send_twice(
     faults: list[str], deduplicates: bool = False
 ) -> tuple[actions.ActionResult, actions.ActionResult, int]:
-    """Send a key under faults, then again through another entry.
+    """Send a key with faults active, then again through another entry.
 
     Returns
     -------
     tuple
-        Both results and the number of executions. The runner that is cut
-        off stays so; every other fault is over before the second call.
+        Both results and the number of executions. A disconnected runner
+        stays disconnected; all other faults end before the second call.
     """
     fleet = builders.build_fleet()
     fleet.services.deduplicates = deduplicates
@@ -375,7 +375,7 @@
         fleet.platform.faults.clear()
         fleet.services.faults.clear()
         fleet.network.lose_replies.clear()
-        if 'runner cut off' not in faults:
+        if 'runner disconnected' not in faults:
             fleet.network.cut.clear()
         await asyncio.sleep(6)
         second = await fleet.entries[1].run(
--- a/tests/application/test_ledger_router.py
+++ b/tests/application/test_ledger_router.py
@@ -1,4 +1,4 @@
-"""Tests of which entries are asked to write a ledger page."""
+"""Tests of the selection of writers for a ledger page."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 
 
 class Writers:
-    """Other entries; the faults are those of one question after another.
+    """Fakes of the other entries, with one fault for each proposal in order.
 
-    Faults: 'died' refuses at once, 'silent' answers nothing, 'slow' works
-    on it for long, 'lost' never heard of it.
+    Faults: 'died' refuses immediately, 'unresponsive' answers nothing,
+    'slow' decides the proposal late, 'lost' never received it.
     """
 
     def __init__(self, faults: list[str]) -> None:
-        self.asked: list[str] = []
-        self.wrote_here = 0
+        self.proposed_to: list[str] = []
+        self.local_writes = 0
         self._faults = faults
         self._fault = ''
         me, *self._others = fleet.build_members(5)
@@ -46,7 +46,7 @@
         )
 
     def handle(self, message_type: type, handler: object) -> None:
-        """Take note of nothing."""
+        """Ignore the handler."""
 
     def list_members(self) -> list[ports.Member]:
         return self._others
@@ -55,29 +55,29 @@
         self, address: str, message: object, timeout_ms: int
     ) -> object:
         if isinstance(message, messages.ProposalQuery):
-            if self._fault == 'silent':
-                await self._say_nothing(timeout_ms)
+            if self._fault == 'unresponsive':
+                await self._time_out(timeout_ms)
             return messages.ProposalReport('', self._fault == 'slow')
-        self.asked.append(address)
+        self.proposed_to.append(address)
         self._fault = self._faults.pop(0) if self._faults else ''
         if self._fault == 'died':
             raise exceptions.PeerUnreachable('died')
-        if self._fault in ('silent', 'lost'):
-            await self._say_nothing(timeout_ms)
+        if self._fault in ('unresponsive', 'lost'):
+            await self._time_out(timeout_ms)
         if self._fault == 'slow':
             await asyncio.sleep(SLOW_MS / 1000)
         return GRANTED
 
-    async def _say_nothing(self, timeout_ms: int) -> None:
+    async def _time_out(self, timeout_ms: int) -> None:
         await asyncio.sleep(timeout_ms / 1000)
-        raise exceptions.PeerUnreachable('silent')
+        raise exceptions.PeerUnreachable('unresponsive')
 
     async def propose(self, proposal: messages.Proposal) -> messages.Verdict:
-        self.wrote_here += 1
+        self.local_writes += 1
         return GRANTED
 
     def run(self) -> None:
-        """Have a grant decided."""
+        """Propose a grant and check its verdict."""
         verdict = fakes.run(
             self._clock, self.router.propose(GRANT, TIMEOUT_MS)
         )
@@ -85,26 +85,26 @@
 
 
 class LedgerRouterTest(unittest.TestCase):
-    def test_who_is_asked_when_the_preferred_writer_fails(self) -> None:
-        """An entry that writes a page first dies, freezes or is slow.
+    def test_writers_chosen_when_the_preferred_one_fails(self) -> None:
+        """The preferred writer of a page dies, is unresponsive or is slow.
 
-        If each entry then wrote by itself, most would be refused by version
-        and their callers wait for rounds of writes. One that is slow, for
-        instance since the platform is, must be waited for.
+        If each entry then wrote the page itself, most writes would fail by
+        version and be repeated while callers wait. A slow writer, for
+        instance on a slow platform, must be waited for.
         """
         table = (
-            ('lives', [], 1, 1, 0),
+            ('none', [], 1, 1, 0),
             ('died', ['died'], 2, 2, 0),
             ('two died', ['died', 'died'], 2, 2, 1),
-            ('silent', ['silent'], 2, 2, 0),
+            ('unresponsive', ['unresponsive'], 2, 2, 0),
             ('slow', ['slow'], 1, 1, 0),
             ('lost', ['lost'], 1, 2, 0),
             ('lost twice', ['lost', 'lost'], 1, 2, 1),
         )
-        for name, faults, writers, questions, wrote_here in table:
+        for name, faults, writers, proposals, local_writes in table:
             with self.subTest(name):
                 others = Writers(list(faults))
                 others.run()
-                self.assertEqual(writers, len(set(others.asked)))
-                self.assertEqual(questions, len(others.asked))
-                self.assertEqual(wrote_here, others.wrote_here)
+                self.assertEqual(writers, len(set(others.proposed_to)))
+                self.assertEqual(proposals, len(others.proposed_to))
+                self.assertEqual(local_writes, others.local_writes)
--- a/tests/domain/actions/builders.py
+++ b/tests/domain/actions/builders.py
@@ -15,7 +15,7 @@
 def build_grant(
     attempt: str = 'a1', name: str = 'swan/a', **changes: typing.Any
 ) -> messages.GrantRequest:
-    """Build a request for a grant in slot 4."""
+    """Build a grant request for a key of slot 4."""
     values: dict[str, typing.Any] = {
         'bucket': 0,
         'slot': 4,
@@ -32,19 +32,19 @@
 def build_outcome(
     attempt: str = 'a1', outcome: records.Outcome = DONE
 ) -> messages.OutcomeRecord:
-    """Build an outcome to record."""
+    """Build a proposal to record an outcome."""
     return messages.OutcomeRecord(0, 4, 'swan/a', attempt, outcome)
 
 
 def build_release(attempt: str = 'a1') -> messages.GrantRelease:
-    """Build a release."""
+    """Build a proposal to release a grant."""
     return messages.GrantRelease(0, 4, 'swan/a', attempt)
 
 
 def build_requested(
     attempt: str = 'a1', **changes: typing.Any
 ) -> events.ActionRequested:
-    """Build a caller's request whose deadline is at 100 ms."""
+    """Build the event of a caller's request with a deadline at 100 ms."""
     values: dict[str, typing.Any] = {
         'attempt': attempt,
         'address': keys.PageAddress(0, 4),
--- a/tests/domain/actions/world.py
+++ b/tests/domain/actions/simulation.py
@@ -1,8 +1,8 @@
-"""A model of entries, network, platform and target for fuzzing.
+"""A simulation of entries, network, platform and targets for fuzzing.
 
-Everything that is on its way is an item that the fuzzer delivers, doubles,
-drops, delays or loses in any order. The oracle checks each execution and
-each answer as it happens.
+Each message and call in flight is an item that the fuzzer delivers,
+duplicates, drops, delays or loses in any order. The oracle checks each
+execution and each answer when it happens.
 """
 
 from __future__ import annotations
@@ -21,38 +21,38 @@
 from thornspool.domain.actions import writer
 
 LAYOUT = keys.Layout(buckets=1, slots=2)
-# The last key's slot shares its page with the slot of the others.
+# The slot of the last key shares its page with the slot of the others.
 SLOTS = {'a': 4, 'b': 4, 'dedup': 4, 'later': 6}
-HOWS = ('deliver', 'double', 'lose', 'drop', 'late')
+MODES = ('deliver', 'double', 'lose', 'drop', 'late')
 
 
 @attrs.define
 class Item:
-    """Something on its way; an empty owner needs no live entry."""
+    """A message or call in flight; with an empty owner it needs no entry."""
 
     owner: str
     act: typing.Callable[[str], None]
-    repeats: bool = True
+    repeatable: bool = True
 
 
 class Entry:
-    """One process: its runner, its page writers and its timers."""
+    """One process with its runner, page writers and timers."""
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.frozen = False
+        self.suspended = False
         self.runner = runner.Runner()
         self.writers: dict[int, writer.PageWriter] = {}
         self.replies: dict[int, typing.Callable[..., None]] = {}
-        self.wakes: list[tuple[int, int]] = []
+        self.timers: list[tuple[int, int]] = []
         self.deadlines: dict[str, int] = {}
         self.requests: dict[str, messages.GrantRequest] = {}
-        self.asked: dict[str, int] = {}
+        self.via_by_attempt: dict[str, int] = {}
         self.unsettled: dict[str, messages.Proposal] = {}
 
 
-class World:
-    """All of the model and its oracle."""
+class Simulation:
+    """The simulated system and its oracle."""
 
     def __init__(self, size: int = 3) -> None:
         self.now = 0
@@ -64,9 +64,9 @@
         self.key_of: dict[str, str] = {}
         self.digest_of: dict[str, str] = {}
         self.executions: dict[str, list[str]] = {}
-        self.lost: set[str] = set()
-        self.denied: set[str] = set()
-        self.told: dict[str, results.ActionResult] = {}
+        self.maybe_lost: set[str] = set()
+        self.not_run: set[str] = set()
+        self.results_by_attempt: dict[str, results.ActionResult] = {}
 
     def _create(self) -> Entry:
         return Entry(f'entry-{next(self.numbers)}')
@@ -74,13 +74,13 @@
     def find(self, name: str) -> Entry | None:
         return next((e for e in self.entries if e.name == name), None)
 
-    # What callers, operators and time do.
+    # Actions of callers, operators and time.
 
     def send(self, index: int, key: str, via: int, digest: str) -> str:
-        """Send a key to an entry; its grant is asked through another."""
+        """Send a key to an entry; another entry proposes its grant."""
         entry = self.entries[index]
         attempt = f'{key}-{next(self.numbers)}'
-        if entry.frozen:
+        if entry.suspended:
             return attempt
         self.key_of[attempt] = key
         self.digest_of[attempt] = digest
@@ -95,86 +95,90 @@
             bound_time=1 if key.startswith('bound') else 0,
         )
         entry.deadlines[attempt] = event.deadline
-        entry.asked[attempt] = via
-        self.carry_out(entry, entry.runner.request(event, self.now))
+        entry.via_by_attempt[attempt] = via
+        self.execute_commands(entry, entry.runner.request(event, self.now))
         return attempt
 
-    def step(self, number: int, how: str) -> None:
-        """Let one thing on its way go on."""
+    def step(self, number: int, mode: str) -> None:
+        """Process one item in flight."""
         if not self.items:
             return
         index = number % len(self.items)
         item = self.items[index]
         owner = self.find(item.owner)
-        if owner is not None and owner.frozen:
+        if owner is not None and owner.suspended:
             return
-        if how != 'double' or not item.repeats:
+        if mode != 'double' or not item.repeatable:
             del self.items[index]
         if owner is not None or not item.owner:
-            item.act('deliver' if how == 'double' else how)
+            item.act('deliver' if mode == 'double' else mode)
 
     def advance(self, milliseconds: int) -> None:
-        """Let time pass; only entries that are awake notice."""
+        """Advance the time; suspended entries process no timers."""
         self.now += milliseconds
         for entry in self.entries:
-            if entry.frozen:
+            if entry.suspended:
                 continue
-            due = [wake for wake in entry.wakes if wake[0] <= self.now]
-            entry.wakes = [w for w in entry.wakes if w[0] > self.now]
-            for _, slot in due:
-                self.feed_writer(entry, slot, writer.TimePassed())
-            late = [a for a, at in entry.deadlines.items() if at <= self.now]
-            for attempt in late:
+            expired = [timer for timer in entry.timers if timer[0] <= self.now]
+            entry.timers = [
+                timer for timer in entry.timers if timer[0] > self.now
+            ]
+            for _, slot in expired:
+                self.feed_writer(entry, slot, writer.TimerExpired())
+            overdue = [
+                a for a, at in entry.deadlines.items() if at <= self.now
+            ]
+            for attempt in overdue:
                 del entry.deadlines[attempt]
                 self.feed(entry, events.DeadlinePassed(attempt))
 
-    def fall_back(self, index: int) -> None:
-        """Have an entry write its grants itself and settle its records."""
+    def propose_locally(self, index: int) -> None:
+        """Have an entry write its own grants and unconfirmed records."""
         entry = self.entries[index]
-        if entry.frozen:
+        if entry.suspended:
             return
         for attempt in list(entry.requests):
-            if entry.runner.knows(attempt):
-                entry.asked[attempt] = -1
+            if entry.runner.has_attempt(attempt):
+                entry.via_by_attempt[attempt] = -1
                 self.propose(entry, entry, entry.requests[attempt])
         for proposal in list(entry.unsettled.values()):
             self.propose(entry, entry, proposal)
 
-    def fall_silent(self, index: int) -> None:
-        """Have an entry give up waiting for any writer."""
+    def time_out_ledger(self, index: int) -> None:
+        """Time out all grant requests of an entry."""
         entry = self.entries[index]
-        if not entry.frozen:
+        if not entry.suspended:
             for attempt in list(entry.requests):
-                self.feed(entry, events.LedgerSilent(attempt))
+                self.feed(entry, events.LedgerTimedOut(attempt))
 
     def kill(self, index: int) -> None:
         """Replace a process by a new one."""
         self.entries[index] = self._create()
 
     def settle(self) -> None:
-        """End all faults and let everything come to rest."""
+        """End all faults and run until nothing is open or in flight."""
         self.down = False
         for entry in self.entries:
-            entry.frozen = False
+            entry.suspended = False
         for _ in range(60):
             while self.items:
                 self.step(0, 'deliver')
             self.advance(200)
             for index, entry in enumerate(self.entries):
                 if entry.unsettled:
-                    self.fall_back(index)
+                    self.propose_locally(index)
             if not self.items and not any(
-                e.runner.open_count or e.wakes for e in self.entries
+                e.runner.open_count or e.timers for e in self.entries
             ):
                 return
-        raise AssertionError('the world did not come to rest')
+        raise AssertionError('the simulation did not settle')
 
-    # What entries do.
+    # Behavior of entries.
 
     def feed(self, entry: Entry, event: events.RunnerEvent) -> None:
-        self.carry_out(entry, entry.runner.handle(event, self.now))
+        self.execute_commands(entry, entry.runner.handle(event, self.now))
 
-    def carry_out(
+    def execute_commands(
         self, entry: Entry, commands: list[events.RunnerCommand]
     ) -> None:
         for command in commands:
@@ -184,8 +188,8 @@
                 self.request(entry, command)
             elif isinstance(command, events.Join):
                 entry.deadlines[command.running] = self.now + 2_000
-            elif isinstance(command, events.AskHolder):
-                self.ask_holder(entry, command)
+            elif isinstance(command, events.QueryHolder):
+                self.query_holder(entry, command)
             elif isinstance(command, events.Dispatch):
                 self.call(entry, command.attempt)
             elif isinstance(command, events.Settle):
@@ -212,7 +216,7 @@
             command.uncertain,
         )
         entry.requests[command.attempt] = request
-        via = entry.asked[command.attempt] % len(self.entries)
+        via = entry.via_by_attempt[command.attempt] % len(self.entries)
         self.propose(entry, self.entries[via], request)
 
     def propose(
@@ -220,11 +224,14 @@
     ) -> None:
         def reply(verdict: messages.Verdict) -> None:
             self.items.append(
-                Item(entry.name, lambda _: self.hear(entry, proposal, verdict))
+                Item(
+                    entry.name,
+                    lambda _: self.receive_verdict(entry, proposal, verdict),
+                )
             )
 
-        def receive(how: str) -> None:
-            if how not in ('lose', 'drop'):
+        def receive(mode: str) -> None:
+            if mode not in ('lose', 'drop'):
                 number = next(self.numbers)
                 via.replies[number] = reply
                 received = writer.ProposalReceived(number, proposal)
@@ -232,7 +239,7 @@
 
         self.items.append(Item(via.name, receive))
 
-    def hear(
+    def receive_verdict(
         self,
         entry: Entry,
         proposal: messages.Proposal,
@@ -240,32 +247,32 @@
     ) -> None:
         unavailable = isinstance(verdict, messages.LedgerUnavailable)
         if isinstance(proposal, messages.GrantRequest):
-            if unavailable and entry.asked[proposal.attempt] < 0:
+            if unavailable and entry.via_by_attempt[proposal.attempt] < 0:
                 verdict = attrs.evolve(verdict, maybe_written=True)
-            answered = events.LedgerAnswered(proposal.attempt, verdict)
+            answered = events.VerdictReceived(proposal.attempt, verdict)
             self.feed(entry, answered)
         elif not unavailable:
             entry.unsettled.pop(proposal.attempt, None)
             self.feed(entry, events.RecordConfirmed(proposal.attempt))
 
-    def ask_holder(self, entry: Entry, command: events.AskHolder) -> None:
+    def query_holder(self, entry: Entry, command: events.QueryHolder) -> None:
         def reply(report: messages.AttemptReport) -> None:
-            answered = events.HolderAnswered(command.attempt, report)
+            answered = events.HolderReported(command.attempt, report)
             self.items.append(
                 Item(entry.name, lambda _: self.feed(entry, answered))
             )
 
-        def receive(how: str) -> None:
+        def receive(mode: str) -> None:
             holder = self.find(command.runner)
             gone = messages.AttemptState.GONE
-            if how in ('lose', 'drop') or holder is None or holder.frozen:
+            if mode in ('lose', 'drop') or holder is None or holder.suspended:
                 reply(messages.AttemptReport(command.holder, gone))
             else:
                 reply(holder.runner.report(command.holder))
 
         self.items.append(Item('', receive))
 
-    # What the platform and the target do.
+    # Behavior of the platform and the targets.
 
     def feed_writer(
         self, entry: Entry, slot: int, event: writer.WriterEvent
@@ -275,8 +282,8 @@
         for command in entry.writers[slot].handle(event, self.now):
             if isinstance(command, writer.Reply):
                 entry.replies.pop(command.number)(command.verdict)
-            elif isinstance(command, writer.Wake):
-                entry.wakes.append((command.at, slot))
+            elif isinstance(command, writer.SetTimer):
+                entry.timers.append((command.at, slot))
             elif isinstance(command, writer.ReadPage):
                 self.read(entry, slot)
             else:
@@ -285,13 +292,13 @@
     def read(self, entry: Entry, slot: int) -> None:
         key = keys.format_page_key(keys.PageAddress(0, slot), LAYOUT)
 
-        def act(how: str) -> None:
-            if self.down or how == 'lose':
+        def act(mode: str) -> None:
+            if self.down or mode == 'lose':
                 self.feed_writer(entry, slot, writer.ReadFailed(200))
                 return
             found = self.pages.get(key, (records.EMPTY_PAGE, 0))
             event = writer.PageRead(*found)
-            if how == 'deliver':
+            if mode == 'deliver':
                 self.feed_writer(entry, slot, event)
                 return
             later = Item(
@@ -308,20 +315,22 @@
     ) -> None:
         key = keys.format_page_key(keys.PageAddress(0, slot), LAYOUT)
 
-        def land() -> writer.WriterEvent:
+        def apply_write() -> writer.WriterEvent:
             _, version = self.pages.get(key, (records.EMPTY_PAGE, 0))
             if version != command.expected_version:
-                return writer.WriteRefused()
+                return writer.WriteConflicted()
             self.pages[key] = (command.page, version + 1)
             return writer.WriteAccepted(version + 1)
 
-        def act(how: str) -> None:
+        def act(mode: str) -> None:
             event: writer.WriterEvent = writer.WriteUnanswered()
-            if how == 'late':
-                self.items.append(Item('', lambda _: void(land()), False))
-            elif how != 'drop' and not self.down:
-                landed = land()
-                event = landed if how == 'deliver' else event
+            if mode == 'late':
+                self.items.append(
+                    Item('', lambda _: discard(apply_write()), False)
+                )
+            elif mode != 'drop' and not self.down:
+                applied = apply_write()
+                event = applied if mode == 'deliver' else event
             answer = Item(
                 entry.name,
                 lambda _: self.feed_writer(entry, slot, event),
@@ -334,16 +343,16 @@
     def call(self, entry: Entry, attempt: str) -> None:
         key = self.key_of[attempt]
 
-        def act(how: str) -> None:
-            event: events.RunnerEvent = events.TargetLost(attempt)
-            if how == 'drop':
-                event = events.TargetUnreached(attempt)
-            elif how == 'late':
-                self.lost.add(key)
+        def act(mode: str) -> None:
+            event: events.RunnerEvent = events.TargetAnswerLost(attempt)
+            if mode == 'drop':
+                event = events.TargetNotReached(attempt)
+            elif mode == 'late':
+                self.maybe_lost.add(key)
             else:
                 body = self.execute(key, attempt)
-                if how == 'lose':
-                    self.lost.add(key)
+                if mode == 'lose':
+                    self.maybe_lost.add(key)
                 else:
                     outcome = records.Outcome(200, 'text/plain', body)
                     event = events.TargetAnswered(attempt, outcome)
@@ -352,10 +361,10 @@
 
         self.items.append(Item('', act, False))
 
-    # The oracle.
+    # Oracle.
 
     def execute(self, key: str, attempt: str) -> bytes:
-        assert attempt not in self.denied, f'{attempt} ran after "not run"'
+        assert attempt not in self.not_run, f'{attempt} ran after "not run"'
         ran = self.executions.setdefault(key, [])
         if key != 'dedup' or not ran:
             ran.append(attempt)
@@ -366,20 +375,20 @@
         result = command.result
         key = self.key_of[command.attempt]
         ran = self.executions.get(key, [])
-        self.told[command.attempt] = result
+        self.results_by_attempt[command.attempt] = result
         if isinstance(result, results.ActionDone):
             assert result.body == ran[0].encode(), f'{key}: {result}'
             bodies = {self.digest_of[a] for a in (ran[0], command.attempt)}
             assert len(bodies) == 1, f'{command.attempt} got {ran[0]}'
         if isinstance(result, results.ActionNotRun):
-            self.denied.add(command.attempt)
+            self.not_run.add(command.attempt)
             assert command.attempt not in ran, f'{command.attempt} had run'
             assert not (result.key_checked and ran), f'{key} had run'
 
     def may_stay_unknown(self, key: str) -> bool:
-        """Return whether a key has a right to stay unknown for good."""
+        """Return whether the result of a key may stay unknown forever."""
         if key not in SLOTS:
-            return key in self.lost
+            return key in self.maybe_lost
         address = keys.PageAddress(0, SLOTS[key])
         page, _ = self.pages[keys.format_page_key(address, LAYOUT)]
         if page.slot > address.slot:
@@ -387,8 +396,8 @@
         record = page.records[key]
         if record.state is records.RecordState.GRANTED:
             return self.find(record.runner) is None
-        return key in self.lost
+        return key in self.maybe_lost
 
 
-def void(_: object) -> None:
-    """Drop a value."""
+def discard(_: object) -> None:
+    """Discard a value."""
--- a/tests/domain/actions/test_breaker.py
+++ b/tests/domain/actions/test_breaker.py
@@ -1,4 +1,4 @@
-"""Tests of when the ledger calls a platform that fails."""
+"""Tests of the circuit breaker for a failing platform."""
 
 from __future__ import annotations
 
@@ -10,12 +10,11 @@
 
 
 class BreakerTest(unittest.TestCase):
-    def test_actions_go_on_soon_after_any_outage(self) -> None:
-        """The platform comes back after an outage of any length.
+    def test_calls_resume_soon_after_any_outage(self) -> None:
+        """The platform recovers after an outage of any length.
 
-        Where the wait between two tries grows with the outage, callers are
-        told for seconds that a platform is down which answers everybody
-        else.
+        If the backoff grew with the outage, callers would be refused for
+        seconds although the platform answers again.
         """
         for outage in range(50, 10_000, 50):
             with self.subTest(outage=outage):
@@ -26,26 +25,25 @@
                         subject.record_failure(now)
                 self.assertLessEqual(_find_wait(subject, outage), LONGEST_MS)
 
-    def test_call_that_was_held_back_is_no_failure(self) -> None:
-        """The client holds calls back for a moment longer.
+    def test_call_rejected_by_the_client_is_not_a_failure(self) -> None:
+        """The client still rejects calls for a short time after an outage.
 
-        Counted as failures of the platform, refusals of our own would close
-        the ledger for longer each time, up to the longest wait, though
-        nobody asked the platform.
+        If these rejections counted as platform failures, each would double
+        the backoff up to its maximum although no call was sent.
         """
         subject = breaker.Breaker()
         subject.record_failure(0)
         for now in range(200, 600, 50):
             self.assertTrue(subject.admit(now))
             self.assertFalse(subject.admit(now))
-            subject.record_held_back(now, 50)
-        subject.record_held_back(600, 10 * LONGEST_MS)
+            subject.record_not_sent(now, 50)
+        subject.record_not_sent(600, 10 * LONGEST_MS)
         self.assertEqual(LONGEST_MS, _find_wait(subject, 600))
 
 
-def _find_wait(subject: breaker.Breaker, back: int) -> int:
-    """Return the milliseconds after which a call is let through."""
-    now = back
+def _find_wait(subject: breaker.Breaker, recovered_at: int) -> int:
+    """Return the milliseconds until a call is admitted."""
+    now = recovered_at
     while not subject.admit(now):
         now += 10
-    return now - back
+    return now - recovered_at
--- a/tests/domain/actions/test_keys.py
+++ b/tests/domain/actions/test_keys.py
@@ -1,4 +1,4 @@
-"""Tests of idempotency keys and their pages."""
+"""Tests of idempotency keys and their page addresses."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class KeysTest(unittest.TestCase):
-    def test_refuses_keys_that_carry_no_usable_time(self) -> None:
-        """A caller's library makes other identifiers or its clock is wrong.
+    def test_keys_without_a_valid_timestamp_are_refused(self) -> None:
+        """A caller sends other identifiers or its clock is wrong.
 
-        Accepted, such a key could run again once its record is dropped, or
-        would drop the records of others early.
+        If accepted, such a key could run again after its record is dropped,
+        or would drop the records of other keys early.
         """
         table = {
             'no uuid': 'hold-17',
@@ -33,13 +33,13 @@
                 keys.parse_key('swan', text, NOW)
             self.assertTrue(caught.exception.hint)
 
-    def test_spellings_of_one_key_are_one_key(self) -> None:
+    def test_spellings_of_a_key_are_parsed_as_equal(self) -> None:
         text = builders.build_key(1, NOW + 60_000)
         spelled = [text, text.upper(), '{' + text + '}']
         found = {keys.parse_key('swan', each, NOW) for each in spelled}
         self.assertEqual(1, len(found))
 
-    def test_pages_repeat_after_a_whole_ring(self) -> None:
+    def test_page_keys_repeat_after_a_whole_ring(self) -> None:
         layout = keys.Layout(buckets=1)
         ring_ms = layout.slots * layout.slot_ms
         first, next_slot, later = (
--- a/tests/domain/actions/test_messages.py
+++ b/tests/domain/actions/test_messages.py
@@ -1,4 +1,4 @@
-"""Tests of messages about actions on the wire."""
+"""Tests of the encoding of messages about actions."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class MessagesTest(unittest.TestCase):
-    def test_every_message_survives_the_wire(self) -> None:
+    def test_every_message_is_decoded_unchanged(self) -> None:
         record = records.Record(
             records.RecordState.DONE, 'a1', 'r1', outcome=builders.DONE
         )
--- a/tests/domain/actions/test_pages.py
+++ b/tests/domain/actions/test_pages.py
@@ -1,4 +1,4 @@
-"""Tests of what proposals do to a ledger page."""
+"""Tests of the effect of proposals on a ledger page."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 def apply(
     *proposals: messages.Proposal, page: records.Page = records.EMPTY_PAGE
 ) -> tuple[records.Page, messages.Verdict]:
-    """Apply proposals one after the other, each to a page of its own."""
+    """Apply proposals in order, each to a new version of the page."""
     verdict: messages.Verdict | None = None
     for proposal in proposals:
         draft = pages.Draft(page, proposal.slot)
@@ -24,29 +24,29 @@
 
 
 class PagesTest(unittest.TestCase):
-    def test_what_a_second_grant_comes_to(self) -> None:
-        """Callers send a key again, with doubts, errors and other bodies."""
+    def test_verdict_on_a_later_grant_request(self) -> None:
+        """Callers resend a key after any outcome or with another body."""
         lost = builders.build_outcome(outcome=records.LOST)
         done = builders.build_outcome()
         release = builders.build_release()
         second = builders.build_grant('a2')
         displacing = builders.build_grant('a2', displaces='a1')
         other = builders.build_grant('a2', displaces='a0')
-        doubting = builders.build_grant('a2', displaces='a1', uncertain=True)
+        uncertain = builders.build_grant('a2', displaces='a1', uncertain=True)
         reused = builders.build_grant('a2', digest='two', displaces='a1')
         first = builders.build_grant()
         table: dict[str, tuple[list[messages.Proposal], type]] = {
             'held': ([second], messages.RecordFound),
-            'asked twice': ([first], messages.GrantGiven),
+            'requested twice': ([first], messages.GrantGiven),
             'displaced': ([displacing], messages.GrantGiven),
             'another displaced': ([other], messages.RecordFound),
             'other body': ([reused], messages.KeyReused),
             'released': ([release, second], messages.GrantGiven),
             'own after release': ([release, first], messages.RecordFound),
             'done': ([done, displacing], messages.RecordFound),
-            'done, doubting': ([done, doubting], messages.RecordFound),
+            'done, uncertain': ([done, uncertain], messages.RecordFound),
             'unknown': ([lost, displacing], messages.RecordFound),
-            'unknown, doubting': ([lost, doubting], messages.GrantGiven),
+            'unknown, uncertain': ([lost, uncertain], messages.GrantGiven),
             'released after done': (
                 [done, release, second],
                 messages.RecordFound,
@@ -57,11 +57,11 @@
                 _, verdict = apply(first, *proposals)
                 self.assertIsInstance(verdict, expected)
 
-    def test_key_of_a_recycled_slot_never_runs(self) -> None:
-        """A caller comes back with a key whose record has been dropped.
+    def test_key_of_a_recycled_slot_never_runs_again(self) -> None:
+        """A caller resends a key whose record was dropped.
 
-        Its page now holds a later slot. Granted, the payout of yesterday
-        would go out a second time.
+        The page now holds a later slot. A grant would repeat a payout of
+        the day before.
         """
         page, _ = apply(builders.build_grant(), builders.build_outcome())
         page, _ = apply(builders.build_grant('b1', slot=9), page=page)
@@ -70,10 +70,10 @@
             _, verdict = apply(proposal, page=page)
             self.assertIsInstance(verdict, messages.RecordDropped)
 
-    def test_release_that_overtook_its_grant_leaves_a_trace(self) -> None:
-        """The release arrives first and the grant is written after it.
+    def test_release_before_its_grant_is_recorded(self) -> None:
+        """A release arrives before the grant that it releases.
 
-        Without a trace the key would be held by an attempt that is dead.
+        Without a record of the release, a voided attempt would hold the key.
         """
         first = builders.build_grant()
         _, verdict = apply(builders.build_release(), first)
@@ -82,25 +82,25 @@
         _, verdict = apply(builders.build_release(), first, second)
         self.assertIsInstance(verdict, messages.GrantGiven)
 
-    def test_given_up_grant_of_a_doubtful_key_stays_unknown(self) -> None:
-        """A deduplicating target was tried again and not reached.
+    def test_released_grant_of_an_uncertain_key_stays_unknown(self) -> None:
+        """The answer of a deduplicating target is lost and its retry fails.
 
-        The first try may have run, so the key must not become free, also
-        when the operation no longer declares that it deduplicates.
+        The first send may have run, so the key must not become free, even
+        when the operation is no longer declared as deduplicating.
         """
         lost = builders.build_outcome(outcome=records.LOST)
-        doubting = builders.build_grant('a2', displaces='a1', uncertain=True)
-        plain = builders.build_grant('a3', displaces='a2')
-        page, verdict = apply(builders.build_grant(), lost, doubting, plain)
+        uncertain = builders.build_grant('a2', displaces='a1', uncertain=True)
+        certain = builders.build_grant('a3', displaces='a2')
+        page, verdict = apply(builders.build_grant(), lost, uncertain, certain)
         self.assertIsInstance(verdict, messages.RecordFound)
         page, _ = apply(builders.build_release('a2'), page=page)
         self.assertEqual(records.LOST, page.records['swan/a'].outcome)
 
-    def test_full_page_keeps_room_for_outcomes(self) -> None:
-        """More actions than a page can hold carry keys of one moment.
+    def test_full_page_reserves_capacity_for_outcomes(self) -> None:
+        """More actions have keys of one slot than fit into its page.
 
-        A value over one megabyte would be refused by the platform, and no
-        outcome of the page could be recorded any more.
+        The platform rejects values over one megabyte, so the page could
+        record no further outcomes.
         """
         draft = pages.Draft(records.EMPTY_PAGE, 4)
         verdicts = []
@@ -124,7 +124,7 @@
         self.assertLess(len(value), 1_000_000)
         self.assertEqual(draft.build_page(), records.decode_page(value))
 
-    def test_fencing_tokens_grow_across_slots(self) -> None:
+    def test_fencing_tokens_increase_across_slots(self) -> None:
         page, first = apply(builders.build_grant())
         _, second = apply(builders.build_grant('b1', slot=9), page=page)
         assert isinstance(first, messages.GrantGiven)
--- a/tests/domain/actions/test_runner.py
+++ b/tests/domain/actions/test_runner.py
@@ -1,4 +1,4 @@
-"""Tests of which attempts are dispatched."""
+"""Tests of the runner that dispatches attempts."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from thornspool.domain.actions import results
 from thornspool.domain.actions import runner
 
-GIVEN = events.LedgerAnswered('a1', messages.GrantGiven('a1', 1, False))
+GIVEN = events.VerdictReceived('a1', messages.GrantGiven('a1', 1, False))
 DISPATCH = events.Dispatch('a1', 0, 1)
 
 
 def build_runner(**changes: typing.Any) -> runner.Runner:
-    """Build a runner that has asked for the grant of attempt a1."""
-    made = runner.Runner()
-    made.request(builders.build_requested(**changes), 0)
-    return made
+    """Build a runner that has requested the grant of attempt a1."""
+    subject = runner.Runner()
+    subject.request(builders.build_requested(**changes), 0)
+    return subject
 
 
 def find_result(
@@ -35,41 +35,41 @@
 
 class RunnerTest(unittest.TestCase):
     def test_voided_attempt_never_runs(self) -> None:
-        """A caller was told "not run", and the grant arrives afterwards."""
-        silent = events.LedgerSilent('a1')
+        """A grant arrives after the caller was answered "not run"."""
+        timed_out = events.LedgerTimedOut('a1')
         table = {
-            'silence': (silent, 50),
+            'timeout': (timed_out, 50),
             'deadline': (events.DeadlinePassed('a1'), 100),
         }
         for name, (event, now) in table.items():
             with self.subTest(name):
-                made = build_runner()
-                told = find_result(made.handle(event, now))
-                self.assertIsInstance(told, results.ActionNotRun)
-                for late in (GIVEN, events.TargetLost('a1'), GIVEN):
-                    self.assertEqual([], made.handle(late, now))
-                report = made.report('a1')
+                subject = build_runner()
+                result = find_result(subject.handle(event, now))
+                self.assertIsInstance(result, results.ActionNotRun)
+                for late in (GIVEN, events.TargetAnswerLost('a1'), GIVEN):
+                    self.assertEqual([], subject.handle(late, now))
+                report = subject.report('a1')
                 self.assertIs(messages.AttemptState.VOID, report.state)
 
-    def test_grant_after_the_deadline_is_given_up(self) -> None:
-        """A paused process wakes with a grant; its caller has moved on."""
-        made = build_runner()
-        commands = made.handle(GIVEN, 100)
+    def test_grant_after_the_deadline_is_released(self) -> None:
+        """A suspended process receives a grant after its caller timed out."""
+        subject = build_runner()
+        commands = subject.handle(GIVEN, 100)
         self.assertNotIn(DISPATCH, commands)
         self.assertIsInstance(commands[-1], events.Settle)
         not_run = results.ActionNotRun(results.NOT_RUN_DEADLINE, 500, True)
         self.assertEqual(not_run, find_result(commands))
 
-    def test_doubled_verdict_dispatches_once(self) -> None:
+    def test_duplicate_verdict_dispatches_once(self) -> None:
         """The network or a second writer delivers the grant twice."""
-        made = build_runner()
-        self.assertEqual([DISPATCH], made.handle(GIVEN, 1))
-        self.assertEqual([], made.handle(GIVEN, 2))
-
-    def test_what_a_targets_failure_comes_to(self) -> None:
-        """Targets refuse connections and lose answers, one after another."""
-        unreached = events.TargetUnreached('a1')
-        lost = events.TargetLost('a1')
+        subject = build_runner()
+        self.assertEqual([DISPATCH], subject.handle(GIVEN, 1))
+        self.assertEqual([], subject.handle(GIVEN, 2))
+
+    def test_results_of_target_failures(self) -> None:
+        """Targets refuse connections, or their answers are lost, in order."""
+        unreached = events.TargetNotReached('a1')
+        lost = events.TargetAnswerLost('a1')
         table = {
             'unreached': (False, [unreached, unreached], results.ActionNotRun),
             'lost': (False, [lost], results.ActionUnknown),
@@ -87,21 +87,21 @@
         }
         for name, (deduplicates, failures, expected) in table.items():
             with self.subTest(name):
-                made = build_runner(targets=2, deduplicates=deduplicates)
-                made.handle(GIVEN, 1)
+                subject = build_runner(targets=2, deduplicates=deduplicates)
+                subject.handle(GIVEN, 1)
                 for failure in failures[:-1]:
-                    (command,) = made.handle(failure, 2)
+                    (command,) = subject.handle(failure, 2)
                     self.assertIsInstance(command, events.Dispatch)
-                told = find_result(made.handle(failures[-1], 3))
-                self.assertIsInstance(told, expected)
+                result = find_result(subject.handle(failures[-1], 3))
+                self.assertIsInstance(result, expected)
 
-    def test_what_a_holders_word_comes_to(self) -> None:
-        """The key is held by an attempt of another entry, in any state."""
+    def test_reaction_to_the_state_of_the_holder(self) -> None:
+        """An attempt of another entry holds the key, in any state."""
         states = messages.AttemptState
-        ask = events.AskHolder('a1', 'b1', 'r2', 'tcp://r2')
+        query = events.QueryHolder('a1', 'b1', 'r2', 'tcp://r2')
         table = {
             (states.VOID, False): events.RequestGrant('a1', 'b1', False),
-            (states.RUNNING, False): attrs.evolve(ask, wait=True),
+            (states.RUNNING, False): attrs.evolve(query, wait=True),
             (states.GONE, True): events.RequestGrant('a1', 'b1', True),
             (states.GONE, False): results.UNKNOWN_RUNNER_GONE,
         }
@@ -111,59 +111,63 @@
         found = messages.RecordFound('a1', held)
         for (state, deduplicates), expected in table.items():
             with self.subTest(state=state, deduplicates=deduplicates):
-                made = build_runner(deduplicates=deduplicates)
-                (asked,) = made.handle(events.LedgerAnswered('a1', found), 1)
-                self.assertEqual(ask, asked)
+                subject = build_runner(deduplicates=deduplicates)
+                (command,) = subject.handle(
+                    events.VerdictReceived('a1', found), 1
+                )
+                self.assertEqual(query, command)
                 report = messages.AttemptReport('b1', state)
-                answered = events.HolderAnswered('a1', report)
-                commands = made.handle(answered, 2)
+                answered = events.HolderReported('a1', report)
+                commands = subject.handle(answered, 2)
                 if isinstance(expected, str):
-                    told = find_result(commands)
+                    result = find_result(commands)
                     self.assertEqual(
-                        results.ActionUnknown(expected, 500), told
+                        results.ActionUnknown(expected, 500), result
                     )
                 else:
                     self.assertEqual([expected], commands)
 
-    def test_outcome_stays_in_memory_until_it_is_recorded(self) -> None:
-        """Another entry asks before the ledger has the outcome."""
-        made = build_runner()
-        made.handle(GIVEN, 1)
-        made.handle(events.TargetAnswered('a1', builders.DONE), 2)
-        self.assertEqual(builders.DONE, made.report('a1').outcome)
-        made.handle(events.RecordConfirmed('a1'), 3)
-        self.assertEqual(0, made.open_count)
+    def test_outcome_stays_in_memory_until_recorded(self) -> None:
+        """Another entry queries an attempt before its outcome is recorded."""
+        subject = build_runner()
+        subject.handle(GIVEN, 1)
+        subject.handle(events.TargetAnswered('a1', builders.DONE), 2)
+        self.assertEqual(builders.DONE, subject.report('a1').outcome)
+        subject.handle(events.RecordConfirmed('a1'), 3)
+        self.assertEqual(0, subject.open_count)
 
-    def test_outage_leaves_nothing_behind(self) -> None:
-        """An outage lasts for hours and callers keep sending actions.
+    def test_outage_accumulates_no_releases(self) -> None:
+        """Callers keep sending actions during an outage of several hours.
 
-        A release for each would fill the memory; what was never proposed
-        needs none.
+        A release for each would fill the memory; an attempt that was never
+        written needs none.
         """
         for written, expected in ((False, 0), (True, 1)):
             with self.subTest(written=written):
-                made = build_runner()
+                subject = build_runner()
                 down = messages.LedgerUnavailable('a1', 200, written)
-                made.handle(events.LedgerAnswered('a1', down), 1)
-                self.assertEqual(expected, made.open_count)
+                subject.handle(events.VerdictReceived('a1', down), 1)
+                self.assertEqual(expected, subject.open_count)
 
     def test_too_many_open_attempts_are_refused(self) -> None:
-        """Outcomes can not be recorded, and memory must not grow."""
-        made = runner.Runner(runner.RunnerSettings(max_attempts=1))
-        made.request(builders.build_requested(), 0)
+        """Memory must stay bounded while outcomes can not be recorded."""
+        subject = runner.Runner(runner.RunnerSettings(max_attempts=1))
+        subject.request(builders.build_requested(), 0)
         second = builders.build_requested('a2', name='swan/b')
-        told = find_result(made.request(second, 0))
-        self.assertIsInstance(told, results.ActionNotRun)
+        result = find_result(subject.request(second, 0))
+        self.assertIsInstance(result, results.ActionNotRun)
 
-    def test_resent_key_is_not_denied_without_the_ledger(self) -> None:
-        """A caller lost its first answer and sends again in an outage.
+    def test_resent_key_is_unknown_without_the_ledger(self) -> None:
+        """A caller resends a key during an outage after losing its answer.
 
-        The first call may have run, so "not run" would be a lie.
+        The first call may have run, so "not run" would be wrong.
         """
-        made = build_runner(resent=True)
+        subject = build_runner(resent=True)
         down = messages.LedgerUnavailable('a1', 200, False)
-        told = find_result(made.handle(events.LedgerAnswered('a1', down), 1))
-        self.assertIsInstance(told, results.ActionUnknown)
+        result = find_result(
+            subject.handle(events.VerdictReceived('a1', down), 1)
+        )
+        self.assertIsInstance(result, results.ActionUnknown)
         late = builders.build_requested('a2', resent=True, deadline=0)
-        told = find_result(made.request(late, 1))
-        self.assertIsInstance(told, results.ActionUnknown)
+        result = find_result(subject.request(late, 1))
+        self.assertIsInstance(result, results.ActionUnknown)
