--- a/src/thornspool/application/quarantine.py
+++ b/src/thornspool/application/quarantine.py
@@ -1,4 +1,4 @@
-"""Quarantine of requests that crash targets, over all entries."""
+"""Quarantine of requests that crash targets, coordinated by all entries."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from thornspool.application import exceptions
 from thornspool.application import ports
 from thornspool.domain.limits import ownership
+from thornspool.domain.quarantine import completions
 from thornspool.domain.quarantine import messages
-from thornspool.domain.quarantine import proven
+from thornspool.domain.quarantine import ownership_history
 from thornspool.domain.quarantine import records
 from thornspool.domain.quarantine import reservations
-from thornspool.domain.quarantine import tenure
 
 if typing.TYPE_CHECKING:
     from collections.abc import Callable
@@ -24,12 +24,12 @@
 
     from thornspool import clock as clock_module
 
-ASK_TIMEOUT_MS = 500
-COMPARE_INTERVAL_MS = 3000
-SETTLE_MS = tenure.SETTLE_MS
+PEER_TIMEOUT_MS = 500
+SYNC_INTERVAL_MS = 3000
+SETTLE_MS = ownership_history.SETTLE_MS
 DEFAULT_TRIAL_MS = 60_000
-MAX_TOLD_RECORDS = 256
-_FIRST_PEERS = 3
+MAX_SYNC_RECORDS = 256
+_INITIAL_SYNC_PEERS = 3
 _MS_PER_S = 1000.0
 
 logger = structlog.get_logger()
@@ -37,32 +37,32 @@
 
 @attrs.define(eq=False)
 class _Trial:
-    """Targets that are kept for one suspect."""
+    """Trial of one suspect on the targets that are reserved for it."""
 
     targets: tuple[str, ...]
     started: bool = False
 
 
 class QuarantineService:
-    """Keeps requests that crash targets from running again.
+    """Prevents requests that crash targets from running again.
 
     Parameters
     ----------
     members : MemberView
-        The entries in view.
+        Entries in view.
     incarnation : str
-        This entry's own.
+        Incarnation of the local entry.
     peers : Peers
-        Messages between entries.
+        Messaging between entries.
     clock : thornspool.clock.Clock
-        Time.
+        Source of the monotonic time.
     draw : callable
-        Returns random numbers from 0 to 1, to choose peers.
+        Returns random numbers from 0 to 1, used to choose peers.
 
     Attributes
     ----------
     verdicts : collections.Counter of str
-        Verdicts given since the start, by name.
+        Number of verdicts returned since the start, by name.
     """
 
     def __init__(
@@ -80,45 +80,53 @@
         self._draw = draw
         self._records = records.QuarantineRecords(incarnation)
         self._reservations = reservations.Reservations()
-        self._proven = proven.ProvenRequests()
+        self._completed = completions.CompletedRequests()
         self._trials: dict[str, _Trial] = {}
         self.verdicts = collections.Counter(clear=0, suspect=0, condemned=0)
-        self._leave: Callable[[frozenset[str]], None] = lambda _: None
-        self._tenure = tenure.Tenure(incarnation, clock.now())
+        self._on_suspects: Callable[[frozenset[str]], None] = lambda _: None
+        self._ownership = ownership_history.OwnershipHistory(
+            incarnation, clock.now()
+        )
         peers.handle(messages.QuarantineNews, self._take_news)
-        peers.handle(messages.QuarantineDigest, self._answer_digest)
-        peers.handle(messages.ReservationRequest, self._answer_reservation)
-        peers.handle(messages.ReservationRelease, self._take_release)
+        peers.handle(messages.QuarantineDigest, self._handle_digest)
+        peers.handle(messages.ReservationRequest, self._handle_reservation)
+        peers.handle(messages.ReservationRelease, self._handle_release)
 
     def check(self, fingerprint: str) -> messages.Verdict:
-        """Say whether a request may run; asked before it is placed."""
+        """Return the verdict on a request before its placement."""
         verdict = self._records.check(fingerprint, self._clock.now())
         self.verdicts[type(verdict).__name__.lower()] += 1
         return verdict
 
-    def leave_with(self, leave: Callable[[frozenset[str]], None]) -> None:
-        """Set what is called with requests that came under suspicion."""
-        self._leave = leave
+    def leave_with(self, handler: Callable[[frozenset[str]], None]) -> None:
+        """Set the callback that receives new suspects and condemned requests.
+
+        Parameters
+        ----------
+        handler : callable
+            Called with the fingerprints.
+        """
+        self._on_suspects = handler
 
-    def _leave_suspects(self, news: messages.QuarantineNews) -> None:
+    def _report_suspects(self, update: messages.QuarantineNews) -> None:
         now = self._clock.now()
         suspects = frozenset(
-            told.fingerprint
-            for told in news.records
+            record.fingerprint
+            for record in update.records
             if not isinstance(
-                self._records.check(told.fingerprint, now), messages.Clear
+                self._records.check(record.fingerprint, now), messages.Clear
             )
         )
         if suspects:
-            self._leave(suspects)
+            self._on_suspects(suspects)
 
     def is_proven(self, fingerprint: str) -> bool:
-        """Say whether a request lately ran to its end from here."""
-        return fingerprint in self._proven
+        """Return whether a request recently completed via this entry."""
+        return fingerprint in self._completed
 
     @property
     def record_count(self) -> int:
-        """Number of requests that anything is known of."""
+        """Number of requests that have a record."""
         return self._records.count
 
     async def may_run_on(
@@ -127,9 +135,9 @@
         target: str,
         longest_ms: int = DEFAULT_TRIAL_MS,
     ) -> bool:
-        """Say whether a request may run on a target now.
+        """Return whether a request may run on a target now.
 
-        As `may_run_on_all`, for one target.
+        See `may_run_on_all`.
         """
         return await self.may_run_on_all(fingerprint, (target,), longest_ms)
 
@@ -139,20 +147,21 @@
         targets: tuple[str, ...],
         longest_ms: int = DEFAULT_TRIAL_MS,
     ) -> bool:
-        """Say whether a request may run on all of some targets now.
+        """Return whether a request may run on all given targets now.
 
-        A suspect needs the targets and itself kept for this run, which
-        takes a message to the entry that owns each name. After True,
-        `start` and `finish` must follow for each target.
+        A suspect may run only on trial. Its fingerprint and the targets are
+        reserved for the trial, with a message to the entry that owns each
+        name. After a result of True, the caller must call `start` and
+        `finish` for each target.
 
         Parameters
         ----------
         fingerprint : str
-            The request.
+            Fingerprint of the request.
         targets : tuple of str
-            Names of the targets; the stages of one route.
+            Names of the targets, which are the stages of one route.
         longest_ms : int, optional
-            Longest time of the run, in milliseconds.
+            Maximum duration of the run, in milliseconds.
         """
         verdict = self.check(fingerprint)
         if isinstance(verdict, messages.Clear):
@@ -164,15 +173,17 @@
         if fingerprint in self._trials or self._is_on_trial(targets):
             return False
         self._trials[fingerprint] = _Trial(targets)
-        kept = False
+        reserved = False
         try:
-            kept = await self._reserve_all(fingerprint, targets, longest_ms)
+            reserved = await self._reserve_all(
+                fingerprint, targets, longest_ms
+            )
         finally:
-            # Also when the caller left while the owners were asked: targets
-            # kept for nobody would hold up the other suspects.
-            if not kept:
+            # Also runs when the caller cancels during the reservation:
+            # unused reservations would delay the other suspects.
+            if not reserved:
                 self._end_trial(fingerprint)
-        return kept
+        return reserved
 
     def _is_on_trial(self, targets: tuple[str, ...]) -> bool:
         return any(
@@ -184,18 +195,18 @@
     async def _reserve_all(
         self, fingerprint: str, targets: tuple[str, ...], longest_ms: int
     ) -> bool:
-        for name in _name_trial(fingerprint, targets):
+        for name in _list_reserved_names(fingerprint, targets):
             if not await self._reserve(name, longest_ms):
                 return False
-        # The verdict may have changed while the owners were asked.
+        # The verdict may have changed during the reservation.
         return not isinstance(self.check(fingerprint), messages.Condemned)
 
     def may_send(self, fingerprint: str, target: str) -> bool:
-        """Say whether a call may be sent to a target at this moment.
+        """Return whether a call may be sent to a target at this moment.
 
-        Asked once more just before the first byte: a target may have died
-        under the same request while the call waited for its grant. A trial
-        is for one sending.
+        Callers check this again just before the first byte, since a target
+        may have died while running the same request after the call was
+        placed and before it received its grant. A trial allows one send.
         """
         verdict = self._records.check(fingerprint, self._clock.now())
         if isinstance(verdict, messages.Clear):
@@ -205,12 +216,12 @@
         return trial is not None and not trial.started and not is_condemned
 
     def start(self, fingerprint: str, target: str) -> bool:
-        """Note that a request starts on a target.
+        """Record that a request starts on a target.
 
         Returns
         -------
         bool
-            Whether it runs on trial there.
+            Whether the request runs on trial there.
         """
         trial = self._find_trial(fingerprint, target)
         if trial is None:
@@ -220,13 +231,17 @@
         return True
 
     def find_trial(self, fingerprint: str) -> object | None:
-        """Return what `give_up` needs; None if the request is on no trial."""
+        """Return the trial to pass to `give_up`; None if there is none."""
         return self._trials.get(fingerprint)
 
     def give_up(self, fingerprint: str, trial: object) -> None:
-        """End a trial that never started; any other is left as it is."""
-        kept = self._trials.get(fingerprint)
-        if kept is trial and kept is not None and not kept.started:
+        """End a trial that has not started.
+
+        A trial that has started, or a later trial of the same request, is
+        left unchanged.
+        """
+        current = self._trials.get(fingerprint)
+        if current is trial and current is not None and not current.started:
             self._end_trial(fingerprint)
 
     def _find_trial(self, fingerprint: str, target: str) -> _Trial | None:
@@ -234,17 +249,19 @@
         return trial if trial and target in trial.targets else None
 
     def finish(self, fingerprint: str, target: str, succeeded: bool) -> None:
-        """Note that a request ended on a target.
+        """Record that a request ended on a target.
+
+        The first call for a trial ends the trial on all its targets.
 
         Parameters
         ----------
         fingerprint : str
-            The request.
+            Fingerprint of the request.
         target : str
             Name of the target.
         succeeded : bool
-            Whether the target ran it to its end and lives; this clears a
-            suspect. The first call of it ends the trial on all targets.
+            Whether the target completed the request and still runs; this
+            clears a suspect.
         """
         if self._find_trial(fingerprint, target):
             self._end_trial(fingerprint)
@@ -252,20 +269,29 @@
             self.clear(fingerprint)
 
     def clear(self, fingerprint: str) -> None:
-        """Note that a target ran a request to its end and lives."""
-        self._proven.add(fingerprint)
-        news = self._records.note_finish(fingerprint, self._clock.now())
-        if news is not None:
-            self._tell_all(news)
+        """Record that a target completed a request and still runs."""
+        self._completed.add(fingerprint)
+        update = self._records.record_completion(
+            fingerprint, self._clock.now()
+        )
+        if update is not None:
+            self._broadcast(update)
 
     def note_death(self, target: str, fingerprints: Iterable[str]) -> None:
-        """Note that a target died, and what was in flight on it from here.
+        """Record that a target died.
+
+        Call this before `finish` of the requests that were in flight on it.
 
-        Called before `finish` of these requests.
+        Parameters
+        ----------
+        target : str
+            Name of the target.
+        fingerprints : iterable of str
+            Fingerprints of this entry's requests on the target.
         """
         in_flight = frozenset(fingerprints)
         for one in in_flight:
-            self._proven.discard(one)
+            self._completed.discard(one)
         on_trial = frozenset(
             one for one in in_flight if self._find_trial(one, target)
         )
@@ -275,70 +301,74 @@
             in_flight=len(in_flight),
             on_trial=len(on_trial),
         )
-        news = self._records.note_death(
+        update = self._records.note_death(
             target, in_flight, on_trial, self._clock.now()
         )
-        self._tell_all(news)
-        self._leave_suspects(news)
+        self._broadcast(update)
+        self._report_suspects(update)
 
-    async def start_up(self) -> None:
-        """Ask a few peers for what they know before serving."""
-        others = self._list_others()[:_FIRST_PEERS]
-        await asyncio.gather(*(self._compare(one) for one in others))
+    async def fetch_initial_records(self) -> None:
+        """Fetch the records of a few peers before serving."""
+        others = self._list_others()[:_INITIAL_SYNC_PEERS]
+        await asyncio.gather(*(self._sync_with(one) for one in others))
 
-    async def compare_once(self) -> None:
-        """Compare with one random peer, for news that was lost."""
+    async def sync_once(self) -> None:
+        """Fetch the records of one random peer if they differ.
+
+        This recovers from lost state updates.
+        """
         self._refresh_view()
         others = self._list_others()
         if others:
-            await self._compare(others[int(self._draw() * len(others))])
+            await self._sync_with(others[int(self._draw() * len(others))])
 
     async def run(self) -> None:
-        """Ask at the start, then compare from time to time."""
-        await self.start_up()
+        """Fetch the initial records, then synchronize periodically."""
+        await self.fetch_initial_records()
         while True:
-            await asyncio.sleep(COMPARE_INTERVAL_MS / _MS_PER_S)
-            await self.compare_once()
+            await asyncio.sleep(SYNC_INTERVAL_MS / _MS_PER_S)
+            await self.sync_once()
 
-    async def _compare(self, peer: ports.Member) -> None:
+    async def _sync_with(self, peer: ports.Member) -> None:
         digest = self._records.compute_digest(self._clock.now())
         try:
-            news = await self._peers.ask(
+            update = await self._peers.ask(
                 peer.peer_address,
                 messages.QuarantineDigest(digest),
-                ASK_TIMEOUT_MS,
+                PEER_TIMEOUT_MS,
             )
         except exceptions.PeerUnreachable:
             return
-        self._records.merge(news, self._clock.now())
+        self._records.merge(update, self._clock.now())
 
-    def _tell_all(self, news: messages.QuarantineNews) -> None:
+    def _broadcast(self, update: messages.QuarantineNews) -> None:
         for member in self._list_others():
-            self._peers.tell(member.peer_address, news)
+            self._peers.tell(member.peer_address, update)
 
     async def _reserve(self, name: str, ttl_ms: int) -> bool:
         request = messages.ReservationRequest(name, self._incarnation, ttl_ms)
         owner = ownership.find_owner(name, self._refresh_view())
         if owner == self._incarnation:
-            reply = await self._answer_reservation(owner, request)
-            return reply.reserved
+            local_reply = await self._handle_reservation(owner, request)
+            return local_reply.reserved
         member = self._members.find(owner)
         if member is None:
             return False
         try:
-            answer = await self._peers.ask(
-                member.peer_address, request, ASK_TIMEOUT_MS
+            reply = await self._peers.ask(
+                member.peer_address, request, PEER_TIMEOUT_MS
             )
         except exceptions.PeerUnreachable:
             return False
-        return bool(answer.reserved)
+        return bool(reply.reserved)
 
     def _end_trial(self, fingerprint: str) -> None:
         targets = self._trials.pop(fingerprint).targets
-        request_name, *names = _name_trial(fingerprint, targets)
-        # After a death under its trial the request stays kept until the
-        # reservation ends: an entry that has not yet heard of the death
-        # would try it again and lose one more target.
+        request_name, *names = _list_reserved_names(fingerprint, targets)
+        # After a death in its trial the request stays reserved until the
+        # reservation expires. Otherwise an entry that has not yet received
+        # the update about the death would start another trial and lose one
+        # more target.
         if not self._records.is_awaiting_verdict(
             fingerprint, self._clock.now()
         ):
@@ -358,7 +388,7 @@
             for member in self._members.list_members()
             if member.state is not ports.MemberState.DEAD
         ) or (self._incarnation,)
-        self._tenure.note_view(view, self._clock.now())
+        self._ownership.record_view(view, self._clock.now())
         return view
 
     def _list_others(self) -> list[ports.Member]:
@@ -370,39 +400,41 @@
         ]
 
     async def _take_news(
-        self, _sender: str, news: messages.QuarantineNews
+        self, _sender: str, update: messages.QuarantineNews
     ) -> None:
-        self._records.merge(news, self._clock.now())
-        self._leave_suspects(news)
+        self._records.merge(update, self._clock.now())
+        self._report_suspects(update)
 
-    async def _answer_digest(
-        self, _sender: str, asked: messages.QuarantineDigest
+    async def _handle_digest(
+        self, _sender: str, request: messages.QuarantineDigest
     ) -> messages.QuarantineNews:
         now = self._clock.now()
-        if asked.digest == self._records.compute_digest(now):
+        if request.digest == self._records.compute_digest(now):
             return messages.QuarantineNews(())
-        return self._records.describe_latest(now, MAX_TOLD_RECORDS)
+        return self._records.describe_latest(now, MAX_SYNC_RECORDS)
 
-    async def _answer_reservation(
-        self, _sender: str, asked: messages.ReservationRequest
+    async def _handle_reservation(
+        self, _sender: str, request: messages.ReservationRequest
     ) -> messages.ReservationReply:
         now = self._clock.now()
         self._refresh_view()
-        reserved = self._tenure.has_settled(
-            asked.name, now
+        reserved = self._ownership.has_settled(
+            request.name, now
         ) and self._reservations.reserve(
-            asked.name, asked.holder, asked.ttl_ms, now
+            request.name, request.holder, request.ttl_ms, now
         )
         return messages.ReservationReply(reserved)
 
-    async def _take_release(
+    async def _handle_release(
         self, _sender: str, release: messages.ReservationRelease
     ) -> None:
         self._reservations.release(release.name, release.holder)
 
 
-def _name_trial(fingerprint: str, targets: tuple[str, ...]) -> list[str]:
-    # In one order everywhere, or two suspects could each hold a target that
-    # the other waits for.
-    named = [f'target {target}' for target in sorted(targets)]
-    return [f'request {fingerprint}', *named]
+def _list_reserved_names(
+    fingerprint: str, targets: tuple[str, ...]
+) -> list[str]:
+    # All entries reserve in the same order. Otherwise two suspects could
+    # each hold a target that the other needs.
+    target_names = [f'target {target}' for target in sorted(targets)]
+    return [f'request {fingerprint}', *target_names]
--- a/src/thornspool/domain/quarantine/__init__.py
+++ b/src/thornspool/domain/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that crash the targets that run them."""
+"""Quarantine of requests that crash the targets running them."""
--- a/src/thornspool/domain/quarantine/fingerprints.py
+++ b/src/thornspool/domain/quarantine/fingerprints.py
@@ -10,8 +10,9 @@
 ) -> str:
     """Compute the fingerprint of a call to a plain service.
 
-    Its idempotency key has no part in it: a caller that sends a payout
-    again under a new key sends what crashed the target.
+    The idempotency key is not part of the fingerprint: a caller that
+    retries a payout under a new key sends the same request that crashed
+    the target.
     """
     return compute_fingerprint(workspace, f'{service}/{operation}', body)
 
@@ -19,16 +20,17 @@
 def compute_fingerprint(workspace: str, model: str, body: bytes) -> str:
     """Compute the fingerprint of a request.
 
-    Two requests with one fingerprint share a verdict, so it has 128 bits,
-    and each part is preceded by its length: moving a byte from one part to
-    the next gives another fingerprint.
+    Two requests with the same fingerprint share a verdict. Collisions are
+    therefore avoided by using 128 bits and by hashing the length of each
+    part before the part: moving a byte from one part to the next changes
+    the fingerprint.
 
     Parameters
     ----------
     workspace, model : str
-        Whose request, to which model or service.
+        Workspace of the caller, and the model or service it requested.
     body : bytes
-        Its body as it came.
+        Request body as received.
 
     Returns
     -------
--- a/src/thornspool/domain/quarantine/index.py
+++ b/src/thornspool/domain/quarantine/index.py
@@ -1,4 +1,4 @@
-"""Which suspects have a death on a target, without a scan of them all."""
+"""Index of suspects by the targets on which they have a death."""
 
 from __future__ import annotations
 
@@ -11,44 +11,49 @@
 
     from thornspool.domain.quarantine import records
 
-_NONE: frozenset[str] = frozenset()
+_EMPTY: frozenset[str] = frozenset()
 
 
 class DeathIndex:
     """Fingerprints by the targets of their deaths.
 
     A target that dies with a long queue leaves thousands of suspects with
-    that one death. A verdict depends only on the few that died under a
-    trial there or were at another death too, so only these are listed.
-    Deaths that were cleared since may be among them.
+    that one death, too many to scan for each verdict. A verdict depends
+    only on the few that were on trial there or that also have another
+    death, so only these are indexed. The index may contain deaths that
+    were cleared later.
     """
 
     def __init__(self) -> None:
-        self._tried: dict[str, set[str]] = collections.defaultdict(set)
-        self._repeated: dict[str, set[str]] = collections.defaultdict(set)
+        self._on_trial_by_target: dict[str, set[str]] = (
+            collections.defaultdict(set)
+        )
+        self._repeated_by_target: dict[str, set[str]] = (
+            collections.defaultdict(set)
+        )
 
     def add(self, fingerprint: str, deaths: Collection[records.Death]) -> None:
         """Add a request with all its deaths."""
         for death in deaths:
             if death.on_trial:
-                self._tried[death.target].add(fingerprint)
+                self._on_trial_by_target[death.target].add(fingerprint)
             if len(deaths) > 1:
-                self._repeated[death.target].add(fingerprint)
+                self._repeated_by_target[death.target].add(fingerprint)
 
     def discard(
         self, fingerprint: str, deaths: Collection[records.Death]
     ) -> None:
-        """Take a request out; its deaths are those that it was added with."""
-        for table in (self._tried, self._repeated):
+        """Remove a request; pass the deaths with which it was added."""
+        for table in (self._on_trial_by_target, self._repeated_by_target):
             for target in {death.target for death in deaths} & table.keys():
                 table[target].discard(fingerprint)
                 if not table[target]:
                     del table[target]
 
-    def list_tried(self, target: str) -> AbstractSet[str]:
-        """Return those under whose trial the target died."""
-        return self._tried.get(target, _NONE)
+    def list_on_trial(self, target: str) -> AbstractSet[str]:
+        """Return the requests during whose trial the target died."""
+        return self._on_trial_by_target.get(target, _EMPTY)
 
     def list_repeated(self, target: str) -> AbstractSet[str]:
-        """Return those at a death of the target and at another death."""
-        return self._repeated.get(target, _NONE)
+        """Return the requests with a death on the target and another death."""
+        return self._repeated_by_target.get(target, _EMPTY)
--- a/src/thornspool/domain/quarantine/messages.py
+++ b/src/thornspool/domain/quarantine/messages.py
@@ -1,4 +1,4 @@
-"""Typed messages about requests that crash targets."""
+"""Messages about requests that crash targets."""
 
 from __future__ import annotations
 
@@ -7,22 +7,25 @@
 
 @attrs.frozen
 class Clear:
-    """Nothing is known against the request."""
+    """Verdict that the request may run without restrictions."""
 
 
 @attrs.frozen
 class Suspect:
-    """It was in flight on a target that died; it may run on trial."""
+    """Verdict on a request that was in flight on a target that died.
+
+    It may run only on trial, apart from other suspects.
+    """
 
 
 @attrs.frozen
 class Condemned:
-    """A target died under its trial; it may not run.
+    """Verdict on a request during whose trial a target died; it may not run.
 
     Attributes
     ----------
     retry_after_ms : int
-        When the verdict expires, in milliseconds.
+        Milliseconds until the verdict expires.
     """
 
     retry_after_ms: int
@@ -33,20 +36,20 @@
 
 @attrs.frozen
 class Death:
-    """A request was in flight on a target that died.
+    """Death of a target on which a request was in flight.
 
-    Entries share no clock, so times travel as ages.
+    Entries have no common clock, so times are sent as ages.
 
     Attributes
     ----------
     target : str
         Name of the target.
     reporter : str
-        Incarnation of the entry that had the request there.
+        Incarnation of the entry that had sent the request there.
     sequence : int
-        Number of the death at that entry.
+        Sequence number of the death, assigned by the reporter.
     on_trial : bool
-        Whether it ran there apart from other suspects.
+        Whether the request ran there on trial, apart from other suspects.
     age_ms : int
         Milliseconds since the death.
     """
@@ -60,16 +63,17 @@
 
 @attrs.frozen
 class Record:
-    """What is known of one fingerprint.
+    """Deaths and clearance of one fingerprint.
 
     Attributes
     ----------
     fingerprint : str
-        The request.
+        Fingerprint of the request.
     deaths : tuple of Death
-        The latest ones.
+        Its latest deaths.
     cleared_age_ms : int or None
-        Milliseconds since it ran to its end; deaths before that are void.
+        Milliseconds since the request last completed; earlier deaths do
+        not count.
     """
 
     fingerprint: str
@@ -79,19 +83,19 @@
 
 @attrs.frozen
 class QuarantineNews:
-    """Records told to every entry, or in answer to a digest."""
+    """Records broadcast to every entry, or sent in reply to a digest."""
 
     records: tuple[Record, ...]
 
 
 @attrs.frozen
 class QuarantineDigest:
-    """Asks a peer for its records if they differ.
+    """Request for the records of a peer if its digest differs.
 
     Attributes
     ----------
     digest : int
-        64-bit hash of the sender's records; 0 for none.
+        64-bit hash of the sender's records; 0 if it has none.
     """
 
     digest: int
@@ -99,16 +103,16 @@
 
 @attrs.frozen
 class ReservationRequest:
-    """Asks the owner of a name to keep it for one holder.
+    """Request to the owner of a name to reserve it for one holder.
 
     Attributes
     ----------
     name : str
-        What is to be kept apart.
+        Name to reserve.
     holder : str
-        Who will hold it.
+        Incarnation of the entry that requests it.
     ttl_ms : int
-        For how long, in milliseconds.
+        Lifetime of the reservation, in milliseconds.
     """
 
     name: str
@@ -118,14 +122,14 @@
 
 @attrs.frozen
 class ReservationReply:
-    """Whether the name is the holder's now."""
+    """Reply that states whether the name was reserved for the holder."""
 
     reserved: bool
 
 
 @attrs.frozen
 class ReservationRelease:
-    """Gives a name back before its time is up."""
+    """Release of a name before its reservation expires."""
 
     name: str
     holder: str
--- a/src/thornspool/domain/quarantine/records.py
+++ b/src/thornspool/domain/quarantine/records.py
@@ -1,11 +1,12 @@
-"""Which requests are suspected of crashing targets, and which condemned.
-
-A death makes suspects of all that were in flight on the target. A suspect
-runs on trial, apart from other suspects, so when the target dies under the
-trial, the suspect is condemned. It is not when an entry that had not heard
-of it yet ran another suspect there: both then were at two deaths, and
-nobody can tell which caused them. Entries learn of that by their news, so
-a verdict waits for a moment, and is drawn anew when late news come.
+"""Records of the requests that are suspected of crashing targets.
+
+When a target dies, every request that was in flight on it becomes a suspect.
+A suspect runs on trial, apart from other suspects; if the target dies during
+the trial, the suspect is condemned. It is not condemned if an entry that had
+not yet received the update about it ran another suspect on the same target:
+both then have two deaths, and the cause cannot be determined. Entries detect
+this from each other's updates, so a verdict is delayed for `GRACE_MS` and is
+computed again when a late update arrives.
 """
 
 from __future__ import annotations
@@ -19,10 +20,13 @@
 SUSPECT_TTL_MS = 600_000
 CONDEMNED_TTL_MS = 3_600_000
 GRACE_MS = 1000
-"""A verdict waits so long for what other entries ran on the target."""
+"""Delay of a verdict, in which other entries report what they ran there."""
 
 SAME_DEATH_MS = 10_000
-"""Deaths of one target within it are one, seen by several entries."""
+"""Deaths of one target within this time count as one death.
+
+Several entries may observe the same death at different times.
+"""
 
 MAX_RECORDS = 4096
 MAX_DEATHS = 8
@@ -30,7 +34,7 @@
 
 @attrs.frozen
 class Death:
-    """A death as this entry knows it; ``at`` is by its own clock."""
+    """A death as stored locally; ``at`` is by the local monotonic clock."""
 
     target: str
     reporter: str
@@ -46,12 +50,12 @@
 
 
 class QuarantineRecords:
-    """What this entry knows of suspects; the least recent are dropped.
+    """Local records of suspects, bounded by `MAX_RECORDS`.
 
     Parameters
     ----------
     incarnation : str
-        This entry's own.
+        Incarnation of the local entry.
     """
 
     def __init__(self, incarnation: str) -> None:
@@ -67,23 +71,23 @@
         on_trial: frozenset[str],
         now: int,
     ) -> messages.QuarantineNews:
-        """Note that a target died.
+        """Record that a target died.
 
         Parameters
         ----------
         target : str
             Name of the target.
         in_flight : frozenset of str
-            Fingerprints that this entry had on the target.
+            Fingerprints of this entry's requests on the target.
         on_trial : frozenset of str
-            Those that ran there apart from other suspects.
+            Those of them that ran there on trial.
         now : int
             Monotonic milliseconds.
 
         Returns
         -------
         QuarantineNews
-            What every other entry must know.
+            State update to broadcast to all other entries.
         """
         self._sequence += 1
         for name in sorted(in_flight):
@@ -95,25 +99,31 @@
                 now,
             )
             self._merge(name, _Record((death,)))
-        self._make_room(now)
-        return self._describe(sorted(in_flight), now)
+        self._enforce_bound(now)
+        return self._build_update(sorted(in_flight), now)
 
-    def note_finish(
+    def record_completion(
         self, fingerprint: str, now: int
     ) -> messages.QuarantineNews | None:
-        """Clear a suspect that ran to its end; None when it was none."""
+        """Clear a suspect that completed.
+
+        Returns
+        -------
+        QuarantineNews or None
+            State update to broadcast; None if the request was no suspect.
+        """
         if not isinstance(self.check(fingerprint, now), messages.Suspect):
             return None
         record = attrs.evolve(self._records[fingerprint], cleared_at=now)
         self._records[fingerprint] = record
-        return self._describe([fingerprint], now)
+        return self._build_update([fingerprint], now)
 
     def check(self, fingerprint: str, now: int) -> messages.Verdict:
-        """Say whether a request may run."""
+        """Return the verdict on a request."""
         deaths = self._list_deaths(fingerprint)
-        left = self._compute_sentence(fingerprint, deaths, now)
-        if left > 0:
-            return messages.Condemned(left)
+        remaining_ms = self._compute_condemned_ms(fingerprint, deaths, now)
+        if remaining_ms > 0:
+            return messages.Condemned(remaining_ms)
         for death in deaths:
             if death.at + SUSPECT_TTL_MS > now and (
                 death.on_trial or not self._is_explained(death, now)
@@ -123,19 +133,22 @@
 
     @property
     def count(self) -> int:
-        """Number of requests that anything is known of."""
+        """Number of requests that have a record."""
         return len(self._records)
 
     def is_awaiting_verdict(self, fingerprint: str, now: int) -> bool:
-        """Say whether its trial ended with a death a moment ago."""
+        """Return whether a target died in its trial less than `GRACE_MS` ago.
+
+        The verdict on the request is not final before that.
+        """
         return any(
             death.on_trial and death.at + GRACE_MS > now
             for death in self._list_deaths(fingerprint)
         )
 
-    def merge(self, news: messages.QuarantineNews, now: int) -> None:
-        """Take in what another entry knows."""
-        for told in news.records:
+    def merge(self, update: messages.QuarantineNews, now: int) -> None:
+        """Apply a state update of another entry."""
+        for record in update.records:
             deaths = tuple(
                 Death(
                     one.target,
@@ -144,30 +157,36 @@
                     one.on_trial,
                     now - one.age_ms,
                 )
-                for one in told.deaths
+                for one in record.deaths
             )
-            cleared_at = _subtract(now, told.cleared_age_ms)
-            self._merge(told.fingerprint, _Record(deaths, cleared_at))
-        self._make_room(now)
+            cleared_at = _subtract(now, record.cleared_age_ms)
+            self._merge(record.fingerprint, _Record(deaths, cleared_at))
+        self._enforce_bound(now)
 
-    def describe_latest(self, now: int, most: int) -> messages.QuarantineNews:
-        """Return the latest of the records that are still in force."""
+    def describe_latest(
+        self, now: int, max_records: int
+    ) -> messages.QuarantineNews:
+        """Return the most recent records that have not expired."""
         self._drop_expired(now)
-        return self._describe(list(self._records)[-most:], now)
+        return self._build_update(list(self._records)[-max_records:], now)
 
     def compute_digest(self, now: int) -> int:
-        """Hash the records in force; equal at entries that agree."""
+        """Hash the records that have not expired.
+
+        Entries with the same deaths and clearances get the same digest.
+        """
         self._drop_expired(now)
         digest = 0
         for name, record in self._records.items():
-            known = sorted(
+            death_ids = sorted(
                 (one.reporter, one.sequence) for one in record.deaths
             )
-            text = f'{name} {known} {record.cleared_at is not None}'
+            text = f'{name} {death_ids} {record.cleared_at is not None}'
             digest ^= xxhash.xxh3_64_intdigest(text.encode())
         return digest
 
     def _list_deaths(self, fingerprint: str) -> list[Death]:
+        """Return the deaths after the last clearance of a request."""
         record = self._records.get(fingerprint)
         if record is None:
             return []
@@ -178,71 +197,75 @@
             if cleared_at is None or death.at > cleared_at
         ]
 
-    def _compute_sentence(
+    def _compute_condemned_ms(
         self, fingerprint: str, deaths: list[Death], now: int
     ) -> int:
-        """Compute for how long a request is condemned; 0 if it is not."""
+        """Return how long a request stays condemned; 0 if it is not."""
         for death in reversed(deaths):
             if not death.on_trial or death.at + GRACE_MS > now:
                 continue
-            left = death.at + CONDEMNED_TTL_MS - now
-            if left > 0 and not self._is_ambiguous(fingerprint, death):
-                return left
+            remaining_ms = death.at + CONDEMNED_TTL_MS - now
+            if remaining_ms > 0 and not self._is_ambiguous(fingerprint, death):
+                return remaining_ms
         return 0
 
     def _is_ambiguous(self, fingerprint: str, death: Death) -> bool:
-        """Say whether another suspect was on the target that died."""
+        """Return whether another repeated suspect was at the same death."""
         return any(
-            _shares_two_deaths(self._list_deaths(name), death)
+            _has_this_and_other_death(self._list_deaths(name), death)
             for name in self._index.list_repeated(death.target)
             if name != fingerprint
         )
 
     def _is_explained(self, death: Death, now: int) -> bool:
-        """Say whether a death was that of a condemned request's trial."""
-        for name in self._index.list_tried(death.target):
+        """Return whether the trial of a condemned request caused a death."""
+        for name in self._index.list_on_trial(death.target):
             deaths = self._list_deaths(name)
             causes = [one for one in deaths if one.on_trial]
-            if any(_are_same(one, death) for one in causes) and (
-                self._compute_sentence(name, deaths, now) > 0
+            if any(_is_same_death(one, death) for one in causes) and (
+                self._compute_condemned_ms(name, deaths, now) > 0
             ):
                 return True
         return False
 
     def _merge(self, fingerprint: str, new: _Record) -> None:
         old = self._pop(fingerprint)
-        known = {(one.reporter, one.sequence): one for one in new.deaths}
-        known.update({(one.reporter, one.sequence): one for one in old.deaths})
-        deaths = sorted(known.values(), key=_get_time)[-MAX_DEATHS:]
-        cleared_at = _take_later(old.cleared_at, new.cleared_at)
+        by_id = {(one.reporter, one.sequence): one for one in new.deaths}
+        by_id.update({(one.reporter, one.sequence): one for one in old.deaths})
+        deaths = sorted(by_id.values(), key=_get_time)[-MAX_DEATHS:]
+        cleared_at = _pick_later(old.cleared_at, new.cleared_at)
         self._records[fingerprint] = _Record(tuple(deaths), cleared_at)
         self._index.add(fingerprint, deaths)
 
-    def _make_room(self, now: int) -> None:
-        """Drop what is past the bound, once for all that came together.
+    def _enforce_bound(self, now: int) -> None:
+        """Evict the records over `MAX_RECORDS`, once for a whole update.
 
-        Looking for expired records takes milliseconds. Done for each
-        request of a long queue that died, it held up every stream.
+        The search for expired records takes milliseconds. Run once for each
+        request of a long queue on a target that died, it delayed every
+        stream of the entry.
         """
         if len(self._records) > MAX_RECORDS:
             self._drop_expired(now)
         while len(self._records) > MAX_RECORDS:
-            self._pop(self._find_least())
+            self._pop(self._find_evictable())
 
     def _pop(self, fingerprint: str) -> _Record:
-        """Take a record out; an empty one when there is none."""
+        """Remove and return a record; an empty one if there is none."""
         record = self._records.pop(fingerprint, _Record(()))
         self._index.discard(fingerprint, record.deaths)
         return record
 
-    def _find_least(self) -> str:
-        """Return the oldest without a trial's death, or else the oldest."""
+    def _find_evictable(self) -> str:
+        """Return the oldest record without a death on trial, else the oldest.
+
+        Records of condemned requests are thus evicted last.
+        """
         for name, record in self._records.items():
             if not any(one.on_trial for one in record.deaths):
                 return name
         return next(iter(self._records))
 
-    def _describe(
+    def _build_update(
         self, fingerprints: list[str], now: int
     ) -> messages.QuarantineNews:
         found = [(name, self._records.get(name)) for name in fingerprints]
@@ -255,10 +278,10 @@
         )
 
     def _drop_expired(self, now: int) -> None:
-        """Drop what has no force left, but for recent clearances.
+        """Drop the records whose deaths have all expired.
 
-        A clearance is kept as long as the suspicion that it ends, since
-        peers that missed it still hold and pass on the suspicion.
+        A clearance is kept as long as the deaths that it clears, since
+        peers that did not receive it still store and send these deaths.
         """
         expired = [
             name
@@ -269,14 +292,14 @@
             self._pop(name)
 
 
-def _shares_two_deaths(deaths: list[Death], death: Death) -> bool:
-    here = [one for one in deaths if _are_same(one, death)]
-    return bool(here) and len(here) < len(deaths)
+def _has_this_and_other_death(deaths: list[Death], death: Death) -> bool:
+    matching = [one for one in deaths if _is_same_death(one, death)]
+    return bool(matching) and len(matching) < len(deaths)
 
 
-def _are_same(one: Death, other: Death) -> bool:
-    near = abs(one.at - other.at) < SAME_DEATH_MS
-    return one.target == other.target and near
+def _is_same_death(one: Death, other: Death) -> bool:
+    is_close = abs(one.at - other.at) < SAME_DEATH_MS
+    return one.target == other.target and is_close
 
 
 def _is_live(death: Death, now: int) -> bool:
@@ -302,7 +325,7 @@
     return None if other is None else now - other
 
 
-def _take_later(one: int | None, other: int | None) -> int | None:
+def _pick_later(one: int | None, other: int | None) -> int | None:
     if one is None or other is None:
         return other if one is None else one
     return max(one, other)
--- a/src/thornspool/domain/quarantine/reservations.py
+++ b/src/thornspool/domain/quarantine/reservations.py
@@ -1,8 +1,9 @@
-"""Names kept for one holder at a time, by the entry that owns them.
+"""Exclusive reservations of names, stored by the entry that owns each name.
 
-Two suspects of two entries on one target would both be in flight when it
-dies, and the innocent one would be condemned with the other. The owner of
-the target's name lets one of them run there at a time.
+If two entries each ran a suspect on the same target, both suspects would be
+in flight when it dies, and the harmless one would be condemned with the
+other. The owner of the target's name therefore reserves it for one of them
+at a time.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 import attrs
 
 MAX_RESERVATIONS = 10_000
-LONGEST_TTL_MS = 600_000
+MAX_TTL_MS = 600_000
 
 
 @attrs.frozen
@@ -20,46 +21,58 @@
 
 
 class Reservations:
-    """Reservations that this entry keeps."""
+    """Reservations of the names that this entry owns."""
 
     def __init__(self) -> None:
         self._kept: dict[str, _Reservation] = {}
 
     def reserve(self, name: str, holder: str, ttl_ms: int, now: int) -> bool:
-        """Keep a name for a holder; False while another has it.
+        """Reserve a name for a holder.
 
         Parameters
         ----------
         name : str
-            What is to be kept.
+            Name to reserve.
         holder : str
-            For whom; the same holder may ask again.
+            Incarnation of the entry that requests it; a holder may renew
+            its own reservation.
         ttl_ms : int
-            For how long, in milliseconds.
+            Lifetime of the reservation in milliseconds, limited to
+            `MAX_TTL_MS`.
         now : int
             Monotonic milliseconds.
+
+        Returns
+        -------
+        bool
+            False while another holder has the name, or when
+            `MAX_RESERVATIONS` is reached.
         """
-        kept = self._kept.get(name)
-        if kept and kept.holder != holder and kept.expires_at > now:
+        existing = self._kept.get(name)
+        if (
+            existing
+            and existing.holder != holder
+            and existing.expires_at > now
+        ):
             return False
-        if kept is None and not self._has_room(now):
+        if existing is None and not self._has_capacity(now):
             return False
-        ttl_ms = min(ttl_ms, LONGEST_TTL_MS)
+        ttl_ms = min(ttl_ms, MAX_TTL_MS)
         self._kept[name] = _Reservation(holder, now + ttl_ms)
         return True
 
     def release(self, name: str, holder: str) -> None:
-        """Give a name back if the holder has it."""
-        kept = self._kept.get(name)
-        if kept and kept.holder == holder:
+        """Release a name if it is reserved for the holder."""
+        existing = self._kept.get(name)
+        if existing and existing.holder == holder:
             del self._kept[name]
 
-    def _has_room(self, now: int) -> bool:
+    def _has_capacity(self, now: int) -> bool:
         if len(self._kept) < MAX_RESERVATIONS:
             return True
         self._kept = {
-            name: kept
-            for name, kept in self._kept.items()
-            if kept.expires_at > now
+            name: reservation
+            for name, reservation in self._kept.items()
+            if reservation.expires_at > now
         }
         return len(self._kept) < MAX_RESERVATIONS
--- a/tests/application/test_quarantine.py
+++ b/tests/application/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Tests of the quarantine, by example and by stateful fuzzing."""
+"""Tests of the quarantine, with examples and with stateful fuzzing."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Fleet:
-    """Entries and targets; the crasher kills each target that runs it."""
+    """Entries with fake targets, which die when they run the crasher."""
 
     def __init__(self, count: int = 3) -> None:
         self.clock = builders.FakeClock(now=1_000_000)
@@ -63,13 +63,13 @@
         self.entries[entry].finish(request, target, succeeded)
 
     def kill(self, target: str) -> None:
-        """Have each entry see the death of a target."""
+        """Report the death of a target to each entry that uses it."""
         self.killed.append(target)
-        mine = [one for one in self.running if one[2] == target]
-        for entry in sorted({one[0] for one in mine}):
-            requests = [one[1] for one in mine if one[0] == entry]
+        affected = [one for one in self.running if one[2] == target]
+        for entry in sorted({one[0] for one in affected}):
+            requests = [one[1] for one in affected if one[0] == entry]
             self.entries[entry].note_death(target, requests)
-        for one in mine:
+        for one in affected:
             self.finish(self.running.index(one), succeeded=False)
 
     def check(self, request: str) -> set[str]:
@@ -82,9 +82,9 @@
     async def test_second_death_condemns_at_every_entry(
         self, _: mock.Mock
     ) -> None:
-        """One request crashes each target that runs it, and is sent again.
+        """One request crashes each target that runs it, and is retried.
 
-        Without the quarantine it would take down every target in turn.
+        Without the quarantine it would crash all targets, one by one.
         """
         subject = Fleet()
         subject.clock.advance(quarantine.SETTLE_MS)
@@ -108,12 +108,13 @@
         await subject.network.deliver()
         self.assertEqual({'Clear'}, subject.check('innocent'))
 
-    async def test_starting_entry_learns_from_peers(
+    async def test_starting_entry_fetches_records_from_peers(
         self, _: mock.Mock
     ) -> None:
         """An entry starts after the request was condemned.
 
-        It would run it again, and its caller has only to find the entry.
+        Without the records of its peers, the new entry would run the
+        request again.
         """
         subject = Fleet()
         subject.clock.advance(quarantine.SETTLE_MS)
@@ -123,26 +124,28 @@
         await subject.network.deliver()
         subject.clock.advance(records.GRACE_MS)
         fresh = subject.build_entry(builders.build_member('entry-9'))
-        await fresh.start_up()
+        await fresh.fetch_initial_records()
         self.assertIsInstance(fresh.check(CRASHER), messages.Condemned)
 
-    async def test_lost_news_arrives_by_comparison(self, _: mock.Mock) -> None:
-        """The message that tells of a suspect is lost on its way."""
+    async def test_synchronization_recovers_a_lost_update(
+        self, _: mock.Mock
+    ) -> None:
+        """The state update about a suspect is lost in transit."""
         subject = Fleet(2)
         subject.network.lose_tells = 1
         await subject.start(0, CRASHER, 't1')
         subject.kill('t1')
         self.assertEqual({'Suspect', 'Clear'}, subject.check(CRASHER))
-        await subject.entries[1].compare_once()
+        await subject.entries[1].sync_once()
         self.assertEqual({'Suspect'}, subject.check(CRASHER))
 
-    async def test_lost_news_of_a_trial_cost_no_further_target(
+    async def test_lost_update_about_a_trial_costs_no_further_target(
         self, _: mock.Mock
     ) -> None:
-        """A target dies under a trial, and the others do not hear of it.
+        """A target dies during a trial, and the state update is lost.
 
-        To them the request is a suspect that may be tried; that would kill
-        a third target.
+        At the other entries the request is a suspect that may run on trial,
+        which would crash a third target.
         """
         subject = Fleet()
         subject.clock.advance(quarantine.SETTLE_MS)
@@ -157,12 +160,12 @@
         for entry in range(3):
             self.assertFalse(await subject.start(entry, CRASHER, 't3'))
 
-    async def test_unreachable_owner_holds_a_suspect_back(
+    async def test_suspect_does_not_run_while_the_owner_is_unreachable(
         self, _: mock.Mock
     ) -> None:
-        """The entry that keeps suspects apart does not answer.
+        """The entry that owns the reservation of a suspect does not answer.
 
-        Run without it, two suspects could meet on one target.
+        Without a reservation, two suspects could run on one target.
         """
         subject = Fleet()
         subject.clock.advance(quarantine.SETTLE_MS)
@@ -182,73 +185,78 @@
 
 class RecordsTest(unittest.TestCase):
     def test_verdicts_expire(self) -> None:
-        known = records.QuarantineRecords('e')
-        known.note_death('t', frozenset({'a', 'b'}), frozenset({'a'}), 0)
-        known.note_death('u', frozenset({'c'}), frozenset(), 0)
+        checked = records.QuarantineRecords('e')
+        checked.note_death('t', frozenset({'a', 'b'}), frozenset({'a'}), 0)
+        checked.note_death('u', frozenset({'c'}), frozenset(), 0)
         now = records.GRACE_MS
-        found = [type(known.check(one, now)) for one in 'abc']
+        found = [type(checked.check(one, now)) for one in 'abc']
         wanted = [messages.Condemned, messages.Clear, messages.Suspect]
         self.assertEqual(wanted, found)
         now = records.SUSPECT_TTL_MS
-        self.assertIsInstance(known.check('c', now), messages.Clear)
-        verdict = known.check('a', now)
+        self.assertIsInstance(checked.check('c', now), messages.Clear)
+        verdict = checked.check('a', now)
         left = records.CONDEMNED_TTL_MS - now
         self.assertEqual(messages.Condemned(left), verdict)
         now = records.CONDEMNED_TTL_MS
-        self.assertIsInstance(known.check('a', now), messages.Clear)
-        self.assertEqual(0, known.compute_digest(now))
+        self.assertIsInstance(checked.check('a', now), messages.Clear)
+        self.assertEqual(0, checked.compute_digest(now))
 
     def test_two_suspects_at_two_deaths_are_not_condemned(self) -> None:
-        """An entry has not heard of a suspect and runs it beside a trial.
+        """An entry without the update about a suspect runs it beside a trial.
 
-        Both were at both deaths, so neither can be condemned for them; the
-        news of the other entry may come after the verdict was drawn.
+        Both requests have both deaths, so neither may be condemned for
+        them. The update of the other entry may arrive after the verdict was
+        computed.
         """
         here = records.QuarantineRecords('e1')
         there = records.QuarantineRecords('e2')
         here.note_death('t', frozenset({'a', 'b'}), frozenset(), 0)
         here.note_death('u', frozenset({'a'}), frozenset({'a'}), 2000)
-        news = there.note_death('u', frozenset({'b'}), frozenset(), 2001)
+        update = there.note_death('u', frozenset({'b'}), frozenset(), 2001)
         self.assertIsInstance(here.check('a', 2999), messages.Suspect)
         self.assertIsInstance(here.check('a', 3000), messages.Condemned)
-        here.merge(news, 3001)
+        here.merge(update, 3001)
         self.assertIsInstance(here.check('a', 3002), messages.Suspect)
         here.note_death('v', frozenset({'b'}), frozenset({'b'}), 4000)
         self.assertIsInstance(here.check('b', 5000), messages.Condemned)
 
-    def test_records_are_bounded_and_the_condemned_stay(self) -> None:
-        """A target with a very long queue dies, many times over."""
-        known = records.QuarantineRecords('e')
+    def test_bounded_records_retain_condemned_requests(self) -> None:
+        """A target dies many times, each time with another request.
+
+        The records of these suspects could evict that of a condemned
+        request, which would then run again.
+        """
+        checked = records.QuarantineRecords('e')
         bad = frozenset({'bad'})
-        known.note_death('t', bad, bad, 0)
+        checked.note_death('t', bad, bad, 0)
         for number in range(records.MAX_RECORDS + 10):
-            known.note_death('u', frozenset({f'r{number}'}), frozenset(), 1)
+            checked.note_death('u', frozenset({f'r{number}'}), frozenset(), 1)
         now = records.GRACE_MS
-        told = known.describe_latest(now, 10**6)
-        self.assertEqual(records.MAX_RECORDS, len(told.records))
-        self.assertIsInstance(known.check('bad', now), messages.Condemned)
+        update = checked.describe_latest(now, 10**6)
+        self.assertEqual(records.MAX_RECORDS, len(update.records))
+        self.assertIsInstance(checked.check('bad', now), messages.Condemned)
 
-    def test_full_records_are_searched_once_for_all_that_came(self) -> None:
+    def test_full_records_are_searched_once_per_update(self) -> None:
         """A target dies with a long queue while the records are full.
 
-        Searched for each request of it, they hold up every stream of the
-        entry for most of a second.
+        A search of the records for each request of the queue would delay
+        every stream of the entry for most of a second.
         """
-        known = records.QuarantineRecords('e')
+        checked = records.QuarantineRecords('e')
         names = frozenset(f'a{one}' for one in range(records.MAX_RECORDS))
-        known.note_death('t', names, frozenset(), 0)
+        checked.note_death('t', names, frozenset(), 0)
         other = records.QuarantineRecords('o')
         queue = frozenset(f'b{one}' for one in range(50))
-        news = other.note_death('u', queue, frozenset(), 1)
+        update = other.note_death('u', queue, frozenset(), 1)
         with mock.patch.object(
-            known, '_drop_expired', wraps=known._drop_expired
+            checked, '_drop_expired', wraps=checked._drop_expired
         ) as search:
-            known.merge(news, 1)
+            checked.merge(update, 1)
         self.assertEqual(1, search.call_count)
-        self.assertEqual(records.MAX_RECORDS, known.count)
-        self.assertIsInstance(known.check('b0', 1), messages.Suspect)
+        self.assertEqual(records.MAX_RECORDS, checked.count)
+        self.assertIsInstance(checked.check('b0', 1), messages.Suspect)
 
-    def test_fingerprint_keeps_parts_apart(self) -> None:
+    def test_fingerprint_separates_its_parts(self) -> None:
         compute = fingerprints.compute_fingerprint
         self.assertEqual(compute('w', 'm', b'x'), compute('w', 'm', b'x'))
         self.assertNotEqual(compute('w', 'ma', b'x'), compute('wm', 'a', b'x'))
@@ -265,25 +273,25 @@
 
 
 class QuarantineMachine(stateful.RuleBasedStateMachine):
-    """Oracle: few targets die and no innocent is ever condemned.
+    """Invariants: few targets die, and no harmless request is condemned.
 
-    Once views agree on the suspect, it kills the targets that were running
-    copies of it, and one more at most.
+    Once all entries have a record of the suspect, it crashes at most the
+    targets that were running copies of it and one more.
     """
 
     def __init__(self) -> None:
         super().__init__()
-        self.silence = mock.patch.object(quarantine, 'logger')
-        self.silence.start()
+        self.logger_patch = mock.patch.object(quarantine, 'logger')
+        self.logger_patch.start()
         self.loop = asyncio.new_event_loop()
         self.fleet = Fleet(2)
         self.fleet.clock.advance(quarantine.SETTLE_MS)
-        self.kills_left: int | None = None
-        self.lossy = False
+        self.allowed_kills: int | None = None
+        self.has_lost_updates = False
         self.placed: list[tuple[int, str, str, object | None]] = []
 
     def teardown(self) -> None:
-        self.silence.stop()
+        self.logger_patch.stop()
         self.loop.close()
 
     def _run(
@@ -302,7 +310,7 @@
         on=TARGETS,
     )
     def place(self, entry: int, request: str, on: str) -> None:
-        """Place an action that then waits for its grant."""
+        """Place an action, which then waits for its grant."""
         service = self.fleet.entries[entry]
         if self._run(service.may_run_on(request, on)):
             trial = service.find_trial(request)
@@ -311,36 +319,36 @@
     @stateful.precondition(lambda self: self.placed)
     @stateful.rule(place=strategies.integers(0, 4), granted=GRANTED)
     def grant(self, place: int, granted: bool) -> None:
-        """Send a placed action, or give it up without a grant."""
+        """Send a placed action, or abandon its trial without a grant."""
         entry, request, on, trial = self.placed.pop(place % len(self.placed))
         service = self.fleet.entries[entry]
         if granted and service.may_send(request, on):
-            told = request == CRASHER and self.kills_left is not None
+            is_suspect = request == CRASHER and self.allowed_kills is not None
             on_trial = service.start(request, on)
-            assert on_trial or not told, 'sent after the news'
+            assert on_trial or not is_suspect, 'sent after the update'
             self.fleet.running.append((entry, request, on))
         elif trial is not None:
             service.give_up(request, trial)
 
     @stateful.invariant()
-    def no_trial_outlasts_its_request(self) -> None:
-        known = {(entry, one) for entry, one, *_ in self.placed}
-        known |= {(entry, one) for entry, one, _ in self.fleet.running}
+    def no_trial_outlives_its_request(self) -> None:
+        active = {(entry, one) for entry, one, *_ in self.placed}
+        active |= {(entry, one) for entry, one, _ in self.fleet.running}
         for entry, service in enumerate(self.fleet.entries):
             for request in service._trials:
-                assert (entry, request) in known, f'{request} kept'
+                assert (entry, request) in active, f'{request} not released'
 
     @stateful.precondition(
         lambda self: any(one[1] == CRASHER for one in self.fleet.running)
     )
     @stateful.rule(place=strategies.integers(0, 2))
     def crash(self, place: int) -> None:
-        """Have the crasher take effect on a target that runs it."""
+        """Let the crasher crash a target that runs it."""
         crashing = [one for one in self.fleet.running if one[1] == CRASHER]
         self.fleet.kill(crashing[place % len(crashing)][2])
-        if self.kills_left is not None:
-            self.kills_left -= 1
-            assert self.kills_left >= 0, f'killed {self.fleet.killed}'
+        if self.allowed_kills is not None:
+            self.allowed_kills -= 1
+            assert self.allowed_kills >= 0, f'killed {self.fleet.killed}'
 
     @stateful.rule(place=strategies.integers(0, 9))
     def finish(self, place: int) -> None:
@@ -349,38 +357,39 @@
             self.fleet.finish(place)
 
     @stateful.rule()
-    def agree(self) -> None:
-        """Deliver all news; from then on the kills are counted."""
+    def apply_updates(self) -> None:
+        """Deliver all updates; limit the kills once all entries have them."""
         self._run(self.fleet.network.deliver())
-        if self.kills_left is None and 'Clear' not in self.fleet.check(
+        if self.allowed_kills is None and 'Clear' not in self.fleet.check(
             CRASHER
         ):
             copies = [one for one in self.fleet.running if one[1] == CRASHER]
             trials = [one._trials.get(CRASHER) for one in self.fleet.entries]
             on_trial = any(one and one.started for one in trials)
-            self.kills_left = len(copies) + (not on_trial)
+            self.allowed_kills = len(copies) + (not on_trial)
 
     @stateful.rule(elapsed=strategies.sampled_from([10, 500, 3000]))
     def advance(self, elapsed: int) -> None:
-        """Let time pass; what is not lost arrives meanwhile."""
+        """Deliver the messages that are not lost, then advance the clock."""
         self._run(self.fleet.network.deliver())
         self.fleet.clock.advance(elapsed)
 
     @stateful.rule(lost=strategies.integers(1, 3))
-    def lose_news(self, lost: int) -> None:
+    def lose_updates(self, lost: int) -> None:
         self.fleet.network.lose_tells += lost
-        self.lossy = True
+        self.has_lost_updates = True
 
     @stateful.rule()
-    def compare(self) -> None:
+    def compare_records(self) -> None:
         for entry in self.fleet.entries:
-            self._run(entry.compare_once())
+            self._run(entry.sync_once())
         self._check_innocents()
 
     @stateful.invariant()
     def innocents_are_not_condemned(self) -> None:
-        # Where news are lost, a verdict holds until the next comparison.
-        if not self.lossy:
+        # If updates are lost, a wrong verdict can last until the next
+        # synchronization.
+        if not self.has_lost_updates:
             self._check_innocents()
 
     def _check_innocents(self) -> None:
--- a/tests/domain/quarantine/__init__.py
+++ b/tests/domain/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package domain quarantine."""
+"""Tests of the package domain.quarantine."""
--- a/tests/domain/quarantine/test_index.py
+++ b/tests/domain/quarantine/test_index.py
@@ -1,4 +1,4 @@
-"""Verdicts by the index compared with verdicts by a scan of all records."""
+"""Tests of the index, against verdicts from a scan of all records."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class ScanIndex:
-    """Lists every request for each target."""
+    """Index that lists every request for each target."""
 
     def add(self, fingerprint, deaths):
         pass
@@ -31,49 +31,57 @@
     def discard(self, fingerprint, deaths):
         pass
 
-    def list_tried(self, target):
+    def list_on_trial(self, target):
         return NAMES
 
-    list_repeated = list_tried
+    list_repeated = list_on_trial
 
 
 class IndexTest(unittest.TestCase):
     @hypothesis.settings(derandomize=True, deadline=None, max_examples=500)
     @hypothesis.given(STEPS)
     def test_verdicts_are_those_of_a_scan(self, steps) -> None:
-        """An index that misses a request condemns an innocent.
+        """An index that omits a request condemns a harmless one.
 
-        The other request at both deaths would not be seen beside it.
+        If two requests have the same two deaths, neither may be condemned.
+        Without the other one in the index, the verdict is not ambiguous.
         """
         indexed = records.QuarantineRecords('here')
         scanned = records.QuarantineRecords('here')
         scanned._index = ScanIndex()
         other = records.QuarantineRecords('there')
         now = 0
-        for kind, flying, tried, target, elapsed in steps:
+        for kind, in_flight, on_trial, target, elapsed in steps:
             now += elapsed
-            told = other.note_death(
-                target, frozenset(flying), frozenset(tried & flying), now
+            update = other.note_death(
+                target,
+                frozenset(in_flight),
+                frozenset(on_trial & in_flight),
+                now,
             )
-            for known in (indexed, scanned):
+            for checked in (indexed, scanned):
                 if kind == 'here':
-                    known.merge(told, now)
+                    checked.merge(update, now)
                 if kind == 'there':
-                    known.note_death(
-                        target, frozenset(flying), frozenset(tried), now
+                    checked.note_death(
+                        target, frozenset(in_flight), frozenset(on_trial), now
                     )
                 if kind == 'finish':
-                    known.note_finish(min(flying), now)
-                known.compute_digest(now)
+                    checked.record_completion(min(in_flight), now)
+                checked.compute_digest(now)
             for name in NAMES:
                 self.assertEqual(
                     scanned.check(name, now), indexed.check(name, now)
                 )
 
-    def test_index_forgets_with_the_records(self) -> None:
-        known = records.QuarantineRecords('here')
+    def test_expired_records_are_removed_from_the_index(self) -> None:
+        checked = records.QuarantineRecords('here')
         for now, target in enumerate('tu'):
-            known.note_death(target, frozenset('ab'), frozenset('a'), now)
-        known.compute_digest(records.CONDEMNED_TTL_MS + 1)
-        self.assertEqual(0, known.count)
-        self.assertEqual({}, known._index._tried | known._index._repeated)
+            checked.note_death(target, frozenset('ab'), frozenset('a'), now)
+        checked.compute_digest(records.CONDEMNED_TTL_MS + 1)
+        self.assertEqual(0, checked.count)
+        self.assertEqual(
+            {},
+            checked._index._on_trial_by_target
+            | checked._index._repeated_by_target,
+        )
