--- a/src/thornspool/domain/limits/__init__.py
+++ b/src/thornspool/domain/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits of each workspace across entries."""
+"""Limits of workspaces across entries, and concurrency of target groups."""
--- a/src/thornspool/domain/limits/buckets.py
+++ b/src/thornspool/domain/limits/buckets.py
@@ -1,4 +1,4 @@
-"""Token buckets: the measure of a rate that allows short bursts."""
+"""Token buckets, which limit a rate but allow short bursts."""
 
 from __future__ import annotations
 
@@ -7,24 +7,28 @@
 import attrs
 
 MS_PER_S = 1000.0
-_TOLERANCE = 1e-6
-"""Tokens; sums of small gains miss whole numbers by rounding."""
+_TOLERANCE_TOKENS = 1e-6
+"""Tokens that may be missing from an amount.
+
+Sums of small gains miss whole numbers by rounding errors.
+"""
 
 
 @attrs.define
 class TokenBucket:
-    """Tokens that fill at a steady rate up to a burst.
+    """Bucket that fills at a constant rate up to a burst size.
 
     Attributes
     ----------
     rate_per_s : float
-        Tokens gained in a second.
+        Tokens added per second.
     burst : float
-        Most tokens held.
+        Maximum number of tokens.
     level : float
-        Tokens held at ``at``; under zero when they were lent in advance.
+        Tokens available at ``at``; negative when tokens were reserved in
+        advance.
     at : int
-        Monotonic milliseconds of the last change.
+        Monotonic milliseconds of the last update.
     """
 
     rate_per_s: float
@@ -33,29 +37,30 @@
     at: int = 0
 
     def refill(self, now: int) -> None:
-        """Add what was gained since the last change."""
+        """Add the tokens gained since the last update."""
         elapsed = max(0, now - self.at)
         gained = self.rate_per_s * elapsed / MS_PER_S
         self.level = min(self.burst, self.level + gained)
         self.at = max(self.at, now)
 
     def set_rate(self, rate_per_s: float, burst: float, now: int) -> None:
-        """Change the rate; tokens over the new burst are dropped."""
+        """Change the rate; tokens over the new burst are discarded."""
         self.refill(now)
         self.rate_per_s = rate_per_s
         self.burst = burst
         self.level = min(self.level, burst)
 
     def compute_wait(self, amount: float, now: int) -> int | None:
-        """Compute the wait until an amount is held.
+        """Compute the wait until an amount of tokens is available.
 
         Returns
         -------
         int or None
-            Milliseconds; None when it is never held at the present rate.
+            Milliseconds; None if the amount never becomes available at the
+            current rate.
         """
         self.refill(now)
-        missing = amount - self.level - _TOLERANCE
+        missing = amount - self.level - _TOLERANCE_TOKENS
         if missing <= 0:
             return 0
         if self.rate_per_s <= 0:
@@ -63,28 +68,29 @@
         return math.ceil(missing * MS_PER_S / self.rate_per_s)
 
     def take(self, amount: float, now: int) -> bool:
-        """Take an amount if it is held now."""
+        """Remove an amount if it is available; return whether it was."""
         return self.reserve(amount, now, 0) is not None
 
-    def reserve(self, amount: float, now: int, longest_ms: int) -> int | None:
-        """Take an amount that is held within a time.
+    def reserve(self, amount: float, now: int, max_wait_ms: int) -> int | None:
+        """Remove an amount that becomes available within a given time.
 
         Parameters
         ----------
         amount : float
-            Tokens to take.
+            Tokens to remove.
         now : int
             Monotonic milliseconds.
-        longest_ms : int
-            Longest wait accepted, in milliseconds.
+        max_wait_ms : int
+            Maximum wait, in milliseconds.
 
         Returns
         -------
         int or None
-            Milliseconds to wait before use; None when nothing was taken.
+            Milliseconds to wait before using the tokens; None if none were
+            removed.
         """
         wait = self.compute_wait(amount, now)
-        if wait is None or wait > longest_ms:
+        if wait is None or wait > max_wait_ms:
             return None
         self.level -= amount
         return wait
--- a/src/thornspool/domain/limits/demand.py
+++ b/src/thornspool/domain/limits/demand.py
@@ -1,4 +1,4 @@
-"""What callers ask of one entry for one workspace, as smoothed rates."""
+"""Demand of callers for one workspace at one entry, as smoothed rates."""
 
 from __future__ import annotations
 
@@ -12,63 +12,70 @@
 
 @attrs.define
 class DemandMeter:
-    """Counts since the last reading, and the rates read so far.
+    """Counts since the last sample, and the demand computed from them.
 
     Attributes
     ----------
-    counted_from : int
-        Monotonic milliseconds of the last reading.
+    sampled_at : int
+        Monotonic milliseconds of the last sample.
     offered, refused : int
-        Requests since then.
-    charged : float
-        Tokens since then.
-    peak : int
-        Most requests in flight since then.
+        Requests received and requests refused since then.
+    generated_tokens : float
+        Tokens generated since then.
+    peak_in_flight : int
+        Maximum number of requests in flight since then.
     mean_tokens : float
-        Recent tokens of a request.
+        Smoothed number of tokens of a request.
     demand : Amounts or None
-        The last reading.
+        Smoothed demand as of the last sample.
     """
 
-    counted_from: int
+    sampled_at: int
     offered: int = 0
     refused: int = 0
-    charged: float = 0.0
-    peak: int = 0
+    generated_tokens: float = 0.0
+    peak_in_flight: int = 0
     mean_tokens: float = 0.0
     demand: messages.Amounts | None = None
 
     def record_tokens(self, tokens: int) -> None:
-        """Note what a finished request generated."""
-        self.charged += tokens
+        """Record the tokens that a finished request generated."""
+        self.generated_tokens += tokens
         self.mean_tokens += _SMOOTHING * (tokens - self.mean_tokens)
 
-    def read(self, in_flight: int, now: int) -> messages.Amounts:
-        """Turn the counts into rates and start to count anew.
+    def sample(self, in_flight: int, now: int) -> messages.Amounts:
+        """Compute the demand from the counts and reset them.
 
-        Refused requests count as if they had run: an entry that admits
-        little would else be taken for one that is asked for little.
+        Refused requests count as if they had run. Otherwise an entry that
+        admits few requests would report that it receives few.
+
+        Parameters
+        ----------
+        in_flight : int
+            Requests in flight now.
+        now : int
+            Monotonic milliseconds.
         """
-        seconds = max(now - self.counted_from, 1) / buckets.MS_PER_S
-        tokens = self.charged + self.refused * self.mean_tokens
-        wanted = max(self.peak, in_flight) + self.refused
+        seconds = max(now - self.sampled_at, 1) / buckets.MS_PER_S
+        tokens = self.generated_tokens + self.refused * self.mean_tokens
+        concurrency = max(self.peak_in_flight, in_flight) + self.refused
         measured = messages.Amounts(
-            self.offered / seconds, tokens / seconds, float(wanted)
+            self.offered / seconds, tokens / seconds, float(concurrency)
         )
-        self.demand = _blend(self.demand or measured, measured)
+        self.demand = _smooth(self.demand or measured, measured)
         self.offered = self.refused = 0
-        self.charged = 0.0
-        self.peak = in_flight
-        self.counted_from = now
+        self.generated_tokens = 0.0
+        self.peak_in_flight = in_flight
+        self.sampled_at = now
         return self.demand
 
 
-def _blend(old: messages.Amounts, new: messages.Amounts) -> messages.Amounts:
-    def mix(one: float, other: float) -> float:
+def _smooth(old: messages.Amounts, new: messages.Amounts) -> messages.Amounts:
+    def interpolate(one: float, other: float) -> float:
         return one + _SMOOTHING * (other - one)
 
     return messages.Amounts(
-        mix(old.requests_per_s, new.requests_per_s),
-        mix(old.tokens_per_s, new.tokens_per_s),
-        mix(old.concurrency, new.concurrency),
+        interpolate(old.requests_per_s, new.requests_per_s),
+        interpolate(old.tokens_per_s, new.tokens_per_s),
+        interpolate(old.concurrency, new.concurrency),
     )
--- a/src/thornspool/domain/limits/limiter.py
+++ b/src/thornspool/domain/limits/limiter.py
@@ -1,8 +1,8 @@
-"""An entry's side of the limits of workspaces.
+"""Admission of requests at one entry within the limits of workspaces.
 
-Admission takes tokens from local buckets only. Their rates are the shares
-that the owner of each workspace hands out; without a share an entry uses
-its floor, or an equal part when the owner cannot be reached.
+Admission uses local token buckets only. Their rates are the shares that the
+owner of each workspace grants. Without a share, an entry uses its floor, or
+an equal share when the owner is unreachable.
 """
 
 from __future__ import annotations
@@ -20,21 +20,24 @@
     from collections.abc import Callable
 
 BURST_S = 1.0
-"""A bucket holds this many seconds of its rate, and at least one request."""
+"""Burst of a bucket in seconds of its rate; it is at least one request."""
 
 REPORT_INTERVAL_MS = 1000
 URGENT_INTERVAL_MS = 200
 IDLE_MS = 3000
-FOREVER_MS = 10**12
+NEVER_REPORTED_MS = 10**12
 CONCURRENCY_RETRY_MS = 200
-LARGEST_RETRY_MS = 60_000
+MAX_RETRY_MS = 60_000
 NO_SHARE_RETRY_MS = 1000
-"""A refusal brings a report, and a report a share; the floor's wait would
-send callers away for minutes."""
+"""Maximum retry delay of a refusal at an entry without a share.
+
+A refusal causes a report, and the reply grants a share. With the wait that
+follows from the floor, callers would not retry for minutes.
+"""
 
 
 class WorkspaceLimiter:
-    """Limits of all workspaces on one entry.
+    """Limits of all workspaces at one entry.
 
     Parameters
     ----------
@@ -45,12 +48,12 @@
     def __init__(self, members: int = 1) -> None:
         self._members = members
         self._workspaces: dict[str, workspaces.WorkspaceState] = {}
-        # Reports look at these only; looking at thousands of idle ones
-        # several times a second would cost more than all the rest.
+        # Reports cover only these. Checking thousands of idle workspaces
+        # several times a second would cost more than the rest of the limiter.
         self._active: set[str] = set()
 
     def set_members(self, members: int, now: int) -> None:
-        """Take a new number of entries into account."""
+        """Set the number of entries in view and adjust all rates."""
         if members == self._members:
             return
         self._members = members
@@ -61,7 +64,7 @@
     def admit(
         self, workspace: str, limits: documents.Limits, now: int
     ) -> messages.Refused | None:
-        """Admit a request, or say what stands against it.
+        """Admit a request, or return the reason for its refusal.
 
         Parameters
         ----------
@@ -75,9 +78,10 @@
         Returns
         -------
         Refused or None
-            None when it was admitted; `finish` must follow then.
+            None when the request was admitted; the caller must then call
+            `finish` when it ends.
         """
-        state = self._find(workspace, limits, now)
+        state = self._get_or_create(workspace, limits, now)
         state.meter.offered += 1
         state.used_at = now
         self._active.add(workspace)
@@ -86,15 +90,26 @@
             state.meter.refused += 1
             return refused
         state.in_flight += 1
-        state.meter.peak = max(state.meter.peak, state.in_flight)
+        state.meter.peak_in_flight = max(
+            state.meter.peak_in_flight, state.in_flight
+        )
         return None
 
     def finish(self, workspace: str, tokens: int, now: int) -> None:
-        """End an admitted request and charge what it generated.
+        """End an admitted request and charge the tokens that it generated.
+
+        The number of tokens is known only at the end. The bucket level may
+        therefore become negative by the tokens of the requests in flight;
+        no request is admitted until it is positive again.
 
-        The price of a request is known only afterwards, so the bucket may
-        go into debt by what was in flight; admission waits until it is
-        paid.
+        Parameters
+        ----------
+        workspace : str
+            Name of the workspace.
+        tokens : int
+            Tokens generated.
+        now : int
+            Monotonic milliseconds.
         """
         state = self._workspaces.get(workspace)
         if state is None:
@@ -106,7 +121,7 @@
         state.tokens.level -= tokens
 
     def withdraw(self, workspace: str, now: int) -> None:
-        """Undo an admission of a request that was refused later on."""
+        """Undo the admission of a request that a later check refused."""
         state = self._workspaces.get(workspace)
         if state is None:
             return
@@ -118,18 +133,18 @@
         )
 
     def collect(
-        self, now: int, most: int
+        self, now: int, max_reports: int
     ) -> tuple[messages.WorkspaceDemand, ...]:
-        """Return the reports that are due, the most pressing first.
+        """Return the reports that are due, the longest overdue first.
 
         Parameters
         ----------
         now : int
             Monotonic milliseconds.
-        most : int
-            Largest number of reports.
+        max_reports : int
+            Maximum number of reports.
         """
-        if self._members <= 1 or most <= 0:
+        if self._members <= 1 or max_reports <= 0:
             return ()
         self._drop_idle(now)
         due = [
@@ -138,38 +153,43 @@
             if self._is_due(self._workspaces[name], now)
         ]
         due.sort()
-        return tuple(self._report(name, now) for _, name in due[:most])
+        return tuple(
+            self._build_report(name, now) for _, name in due[:max_reports]
+        )
 
     def apply(self, grant: messages.WorkspaceGrant, now: int) -> None:
-        """Take a share into use, unless a later report is on its way."""
+        """Apply a granted share, unless a later report has been sent."""
         state = self._workspaces.get(grant.workspace)
         if state is None or state.reported_at != grant.sequence:
             return
         _expire(state, self._set_rates, now)
-        # Counted from the report, which left before the owner counted, so
-        # the share ends here before the owner hands it to another.
+        # The lifetime starts with the sending of the report, before the
+        # owner's own count starts. The share therefore expires here before
+        # the owner grants it to another entry.
         state.expires_at = grant.sequence + grant.ttl_ms
         state.share = grant.share
-        state.owner_lost = False
+        state.is_owner_unreachable = False
         self._set_rates(state, now)
 
     def note_owner_lost(self, workspace: str, now: int) -> bool:
-        """Use an equal part once the share ends: the owner is silent.
+        """Record that the owner of a workspace did not answer.
+
+        The entry uses an equal share once its granted share expires.
 
         Returns
         -------
         bool
-            Whether this is new.
+            True if this was not yet recorded for a known workspace.
         """
         state = self._workspaces.get(workspace)
-        if state is None or state.owner_lost:
+        if state is None or state.is_owner_unreachable:
             return False
         _expire(state, self._set_rates, now)
-        state.owner_lost = True
+        state.is_owner_unreachable = True
         self._set_rates(state, now)
         return True
 
-    def _find(
+    def _get_or_create(
         self, workspace: str, limits: documents.Limits, now: int
     ) -> workspaces.WorkspaceState:
         state = self._workspaces.get(workspace)
@@ -177,8 +197,10 @@
             state = workspaces.WorkspaceState(
                 limits,
                 demand.DemandMeter(now),
-                _build_cold_bucket(limits.requests_per_s, self._members, now),
-                _build_cold_bucket(limits.tokens_per_s, self._members, now),
+                _build_initial_bucket(
+                    limits.requests_per_s, self._members, now
+                ),
+                _build_initial_bucket(limits.tokens_per_s, self._members, now),
             )
             self._workspaces[workspace] = state
             self._set_rates(state, now)
@@ -190,34 +212,34 @@
         return state
 
     def _drop_idle(self, now: int) -> None:
-        """Forget idle workspaces, and their state once it is as new."""
+        """Stop reporting idle workspaces; drop their state once unused."""
         for name in tuple(self._active):
             state = self._workspaces[name]
             if state.in_flight or now - state.used_at < IDLE_MS:
                 continue
             self._active.discard(name)
-            # A bucket that is not full must stay: built anew it would be
-            # full, and callers could have its burst again and again.
-            if workspaces.is_as_new(state, now):
+            # A bucket that is not full must be kept. A new one would be
+            # full, and callers could use its burst repeatedly.
+            if workspaces.is_unused(state, now):
                 del self._workspaces[name]
 
     def _check(
         self, state: workspaces.WorkspaceState, now: int
     ) -> messages.Refused | None:
         limits = state.limits
-        most = self._compute_concurrency(state)
-        if limits.concurrency is not None and state.in_flight >= most:
+        bound = self._compute_concurrency(state)
+        if limits.concurrency is not None and state.in_flight >= bound:
             return messages.Refused(
                 messages.Reason.CONCURRENCY, CONCURRENCY_RETRY_MS
             )
         if limits.tokens_per_s is not None:
-            wait = state.tokens.compute_wait(1.0, now)
-            if wait != 0:
-                return self._refuse(state, messages.Reason.TOKENS, wait)
+            wait_ms = state.tokens.compute_wait(1.0, now)
+            if wait_ms != 0:
+                return self._refuse(state, messages.Reason.TOKENS, wait_ms)
         if limits.requests_per_s is not None:
-            wait = state.requests.compute_wait(1.0, now)
-            if wait != 0:
-                return self._refuse(state, messages.Reason.REQUESTS, wait)
+            wait_ms = state.requests.compute_wait(1.0, now)
+            if wait_ms != 0:
+                return self._refuse(state, messages.Reason.REQUESTS, wait_ms)
             state.requests.take(1.0, now)
         return None
 
@@ -225,13 +247,13 @@
         self,
         state: workspaces.WorkspaceState,
         reason: messages.Reason,
-        wait: int | None,
+        wait_ms: int | None,
     ) -> messages.Refused:
-        longest = LARGEST_RETRY_MS
+        max_ms = MAX_RETRY_MS
         if state.share is None and self._members > 1:
-            longest = NO_SHARE_RETRY_MS
-        wait = longest if wait is None else min(wait, longest)
-        return messages.Refused(reason, wait)
+            max_ms = NO_SHARE_RETRY_MS
+        retry_after_ms = max_ms if wait_ms is None else min(wait_ms, max_ms)
+        return messages.Refused(reason, retry_after_ms)
 
     def _compute_concurrency(self, state: workspaces.WorkspaceState) -> int:
         limit = state.limits.concurrency or 0
@@ -239,39 +261,42 @@
             return limit
         if state.share is not None:
             return max(1, int(state.share.concurrency))
-        if state.owner_lost:
+        if state.is_owner_unreachable:
             return max(1, limit // self._members)
         return 1
 
     def _set_rates(self, state: workspaces.WorkspaceState, now: int) -> None:
         for rate in workspaces.list_rates(state):
-            equal = rate.limit / max(1, self._members)
+            equal_per_s = rate.limit / max(1, self._members)
             per_s = shares.compute_floor(
                 rate.limit, self._members, rate.sparse_per_s
             )
             if state.share is not None:
                 per_s = rate.share
-            elif state.owner_lost:
-                per_s = equal
-            burst = _compute_burst(max(per_s, equal))
+            elif state.is_owner_unreachable:
+                per_s = equal_per_s
+            burst = _compute_burst(max(per_s, equal_per_s))
             rate.bucket.set_rate(per_s, burst, now)
 
     def _is_due(self, state: workspaces.WorkspaceState, now: int) -> bool:
         if state.limits == documents.Limits():
             return False
-        since = now - state.reported_at if state.reported_at else FOREVER_MS
-        if state.meter.refused and since >= URGENT_INTERVAL_MS:
+        elapsed_ms = (
+            now - state.reported_at if state.reported_at else NEVER_REPORTED_MS
+        )
+        if state.meter.refused and elapsed_ms >= URGENT_INTERVAL_MS:
             return True
         if state.share is None and not self._needs_share(state):
             return False
-        active = state.in_flight > 0 or now - state.used_at < IDLE_MS
-        return active and since >= REPORT_INTERVAL_MS
+        is_active = state.in_flight > 0 or now - state.used_at < IDLE_MS
+        return is_active and elapsed_ms >= REPORT_INTERVAL_MS
 
     def _needs_share(self, state: workspaces.WorkspaceState) -> bool:
-        """Say whether callers will soon be refused without a share.
+        """Return whether callers would soon be refused without a share.
 
-        Where an equal part is less than a request, a share for each single
-        caller would cost more messages than the requests themselves.
+        Where an equal share is less than a request, granting a share for
+        each single request would cost more messages than the requests
+        themselves.
         """
         if state.limits.concurrency is not None and state.in_flight:
             return True
@@ -283,13 +308,13 @@
             )
         )
 
-    def _report(self, name: str, now: int) -> messages.WorkspaceDemand:
+    def _build_report(self, name: str, now: int) -> messages.WorkspaceDemand:
         state = self._workspaces[name]
         _expire(state, self._set_rates, now)
         state.reported_at = now
-        wanted = state.meter.read(state.in_flight, now)
+        sampled = state.meter.sample(state.in_flight, now)
         held = state.share or workspaces.NO_SHARE
-        return messages.WorkspaceDemand(name, now, wanted, held)
+        return messages.WorkspaceDemand(name, now, sampled, held)
 
 
 def _expire(
@@ -297,7 +322,7 @@
     set_rates: Callable[[workspaces.WorkspaceState, int], None],
     now: int,
 ) -> None:
-    """End a share that is over, from the time at which it was over."""
+    """End an expired share, effective from the time at which it expired."""
     if state.share is None or state.expires_at > now:
         return
     state.share = None
@@ -308,8 +333,8 @@
     return max(1.0, BURST_S * rate_per_s)
 
 
-def _build_cold_bucket(
+def _build_initial_bucket(
     limit: float | None, members: int, now: int
 ) -> buckets.TokenBucket:
-    equal = (limit or 0.0) / max(1, members)
-    return buckets.build_bucket(equal, _compute_burst(equal), now)
+    equal_per_s = (limit or 0.0) / max(1, members)
+    return buckets.build_bucket(equal_per_s, _compute_burst(equal_per_s), now)
--- a/src/thornspool/domain/limits/messages.py
+++ b/src/thornspool/domain/limits/messages.py
@@ -1,4 +1,4 @@
-"""Typed messages about limits, some of which travel between entries."""
+"""Messages about limits, some of which are sent between entries."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 @attrs.frozen
 class Amounts:
-    """One number for each limit of a workspace.
+    """One value for each limit of a workspace.
 
     Attributes
     ----------
     requests_per_s, tokens_per_s : float
-        Rates.
+        Requests and generated tokens per second.
     concurrency : float
         Requests in flight.
     """
@@ -31,17 +31,17 @@
 
 @attrs.frozen
 class WorkspaceDemand:
-    """What callers ask of one entry for one workspace.
+    """Demand of callers for one workspace at one entry.
 
     Attributes
     ----------
     workspace : str
         Name of the workspace.
     sequence : int
-        Monotonic milliseconds of the sender; a later report has a higher
-        one.
+        Monotonic milliseconds of the sender; they increase with each
+        report.
     demand : Amounts
-        Asked for, whether admitted or refused.
+        Demand, including refused requests.
     held : Amounts
         Share that the sender holds until its next grant.
     """
@@ -54,18 +54,19 @@
 
 @attrs.frozen
 class WorkspaceGrant:
-    """A share of a workspace's limits.
+    """Share of a workspace's limits that is granted to one entry.
 
     Attributes
     ----------
     workspace : str
         Name of the workspace.
     sequence : int
-        That of the report which it answers; older ones are not applied.
+        Sequence of the report that it answers. The receiver applies only
+        the grant for its latest report.
     share : Amounts
-        What the entry may admit.
+        Amounts that the entry may admit.
     ttl_ms : int
-        Milliseconds, counted from the sending of the report.
+        Lifetime in milliseconds, from the sending of the report.
     """
 
     workspace: str
@@ -75,28 +76,28 @@
 
 
 PackedAmounts = tuple[int, int, int]
-"""Requests and tokens a second and concurrency, in units of the wire."""
+"""Requests and tokens per second and concurrency, scaled by `WIRE_SCALE`."""
 
 PackedDemand = tuple[str, int, int, int, int, int, int]
-"""Workspace, then demand, then the share that is held."""
+"""Workspace, packed demand and packed share that the sender holds."""
 
 PackedGrant = tuple[str, int, int, int]
-"""Workspace and its share."""
+"""Workspace and its packed share."""
 
 
 @attrs.frozen
 class DemandReport:
-    """Demand of an entry, sent to the entry that shares the limits out.
+    """Demand of an entry, sent to the entry that owns the workspaces.
 
-    Lines are arrays of integers: names of fields and 64-bit numbers took
-    four fifths of each line, of a bandwidth that all control shares.
+    Lines are arrays of integers. Field names and 64-bit numbers took four
+    fifths of each line, in a bandwidth that all control messages share.
 
     Attributes
     ----------
     sequence : int
-        That of every line.
+        Sequence of all lines.
     lines : tuple of PackedDemand
-        From `pack_report`.
+        Lines as built by `pack_report`.
     """
 
     sequence: int
@@ -105,14 +106,14 @@
 
 @attrs.frozen
 class GrantReply:
-    """Answer to a report; lines of workspaces without limits are absent.
+    """Reply to a report; it has no grants for workspaces without limits.
 
     Attributes
     ----------
     sequence, ttl_ms : int
-        Those of every grant.
+        Sequence, and lifetime in milliseconds, of all grants.
     grants : tuple of PackedGrant
-        From `pack_reply`.
+        Grants as built by `pack_reply`.
     """
 
     sequence: int
@@ -120,28 +121,28 @@
     grants: tuple[PackedGrant, ...]
 
 
-UNITS = 1000
-"""Units of the wire in one request, one token a second or one in flight."""
+WIRE_SCALE = 1000
+"""Factor by which amounts are multiplied to send them as integers."""
 
 
 def round_share(share: Amounts) -> Amounts:
-    """Round a share down to what the wire carries exactly.
+    """Round a share down to a value that is sent without loss.
 
-    Were it rounded on the wire only, an owner would count another share
-    than the one its holder uses, and shares could add up to more than the
-    limit.
+    If it were rounded only when sent, the owner would count a different
+    share from the one its holder uses, and the sum of the shares could
+    exceed the limit.
     """
     return _unpack_amounts(
         (
-            math.floor(share.requests_per_s * UNITS),
-            math.floor(share.tokens_per_s * UNITS),
-            math.floor(share.concurrency * UNITS),
+            math.floor(share.requests_per_s * WIRE_SCALE),
+            math.floor(share.tokens_per_s * WIRE_SCALE),
+            math.floor(share.concurrency * WIRE_SCALE),
         )
     )
 
 
 def pack_report(lines: Sequence[WorkspaceDemand]) -> DemandReport:
-    """Make the report of lines that have the same sequence."""
+    """Build the report from lines that have the same sequence."""
     return DemandReport(
         lines[0].sequence if lines else 0,
         tuple(
@@ -156,7 +157,7 @@
 
 
 def unpack_report(report: DemandReport) -> tuple[WorkspaceDemand, ...]:
-    """Read the lines of a report."""
+    """Return the lines of a report."""
     return tuple(
         WorkspaceDemand(
             workspace,
@@ -171,7 +172,7 @@
 def pack_reply(
     sequence: int, ttl_ms: int, grants: Sequence[WorkspaceGrant]
 ) -> GrantReply:
-    """Make the answer to the report of a sequence."""
+    """Build the reply to the report with a given sequence."""
     return GrantReply(
         sequence,
         ttl_ms,
@@ -182,7 +183,7 @@
 
 
 def unpack_reply(reply: GrantReply) -> tuple[WorkspaceGrant, ...]:
-    """Read the grants of an answer."""
+    """Return the grants of a reply."""
     return tuple(
         WorkspaceGrant(
             workspace, reply.sequence, _unpack_amounts(share), reply.ttl_ms
@@ -193,19 +194,21 @@
 
 def _pack_amounts(amounts: Amounts) -> PackedAmounts:
     return (
-        round(amounts.requests_per_s * UNITS),
-        round(amounts.tokens_per_s * UNITS),
-        round(amounts.concurrency * UNITS),
+        round(amounts.requests_per_s * WIRE_SCALE),
+        round(amounts.tokens_per_s * WIRE_SCALE),
+        round(amounts.concurrency * WIRE_SCALE),
     )
 
 
 def _unpack_amounts(packed: Sequence[int]) -> Amounts:
     requests, tokens, concurrency = packed
-    return Amounts(requests / UNITS, tokens / UNITS, concurrency / UNITS)
+    return Amounts(
+        requests / WIRE_SCALE, tokens / WIRE_SCALE, concurrency / WIRE_SCALE
+    )
 
 
 class Reason(enum.Enum):
-    """Why a request was refused at once."""
+    """Reason for which a request was refused on admission."""
 
     REQUESTS = 'requests limit'
     TOKENS = 'tokens limit'
@@ -216,14 +219,14 @@
 
 @attrs.frozen
 class Refused:
-    """The request was not run.
+    """Result of the admission of a request that may not run.
 
     Attributes
     ----------
     reason : Reason
-        What stood against it.
+        Reason for the refusal.
     retry_after_ms : int
-        When sending it again may help, in milliseconds.
+        Milliseconds after which a retry may succeed.
     """
 
     reason: Reason
@@ -232,12 +235,12 @@
 
 @attrs.frozen
 class Capacity:
-    """What the ready targets of a group say of themselves, added up.
+    """Capacity that the ready targets of a group report, as a sum.
 
     Attributes
     ----------
     slots : float
-        Requests that they can run at once; 0 if none has said.
+        Requests that they can run concurrently; 0 if none has reported.
     waiting : float
         Requests in their queues.
     """
@@ -248,19 +251,19 @@
 
 @attrs.frozen
 class Asked:
-    """A request that waits to be admitted to a target group.
+    """Request that is to be admitted to a target group.
 
     Attributes
     ----------
     group : str
-        Model or service, whose targets will run it.
+        Model or service whose targets will run it.
     kind : str
-        Names work that takes about as long: the model, or the operation
-        within its service.
+        Kind of work, whose requests have similar durations: the model, or
+        the operation of its service.
     units : int
-        Most tokens after the first; 0 for a call.
+        Maximum number of tokens after the first; 0 for a call.
     deadline : int
-        Monotonic milliseconds by which the caller wants the answer.
+        Monotonic milliseconds by which the caller expects the answer.
     """
 
     group: str
@@ -271,16 +274,16 @@
 
 @attrs.frozen
 class Ticket:
-    """An admitted request, handed back when it ends.
+    """Admission of a request, to be returned when the request ends.
 
     Attributes
     ----------
     workspace : str
         Workspace of the caller.
     asked : Asked
-        What was admitted.
+        The admitted request.
     admitted_at : int
-        Monotonic milliseconds.
+        Monotonic milliseconds of the admission.
     """
 
     workspace: str
@@ -290,6 +293,6 @@
 
 @attrs.frozen
 class Admitted:
-    """The request may run."""
+    """Result of the admission of a request that may run."""
 
     ticket: Ticket
--- a/src/thornspool/domain/limits/ownership.py
+++ b/src/thornspool/domain/limits/ownership.py
@@ -1,4 +1,4 @@
-"""Which entry looks after a name, by rendezvous hashing.
+"""Assignment of names to the entries that own them, by rendezvous hashing.
 
 Source: D. Thaler, C. Ravishankar, "Using Name-Based Mappings to Increase
 Hit Rates", IEEE/ACM Transactions on Networking, 1998.
@@ -15,17 +15,19 @@
 
 
 def find_owner(name: str, incarnations: Iterable[str]) -> str:
-    """Return the incarnation that looks after a name.
+    """Return the incarnation of the entry that owns a name.
 
     Parameters
     ----------
     name : str
         Any name.
     incarnations : iterable of str
-        At least one.
+        Incarnations of the candidate entries; at least one.
     """
-    return max(incarnations, key=lambda entry: (_weigh(name, entry), entry))
+    return max(
+        incarnations, key=lambda entry: (_compute_weight(name, entry), entry)
+    )
 
 
-def _weigh(name: str, entry: str) -> int:
+def _compute_weight(name: str, entry: str) -> int:
     return xxhash.xxh3_64_intdigest(f'{name}\0{entry}'.encode())
--- a/src/thornspool/domain/limits/shares.py
+++ b/src/thornspool/domain/limits/shares.py
@@ -1,10 +1,11 @@
-"""Sharing a workspace's limits out among entries.
-
-One entry, found by rendezvous hashing, keeps a ledger of a workspace's
-limits. Every entry owns a small floor without asking; the rest goes to the
-entries that report demand, in proportion to it. What was handed out counts
-until its holder reports a smaller share or its time is up, so that the sum
-of all shares stays within the limit although replies are lost.
+"""Division of a workspace's limits among entries.
+
+One entry, determined by rendezvous hashing, owns a workspace and keeps a
+ledger of its limits. Every entry may use a small floor without a grant; the
+rest is granted to the entries that report demand, in proportion to it. A
+granted share counts until its holder reports a smaller one or until it
+expires, so the sum of all shares stays within the limit even if replies are
+lost.
 """
 
 from __future__ import annotations
@@ -20,25 +21,25 @@
     from thornspool.domain.configuration import documents
 
 FLOOR_SHARE = 0.05
-"""Part of a rate limit that entries own without asking, all together."""
+"""Part of a rate limit that all entries together use without a grant."""
 
 SPARSE_FLOOR_SHARE = 0.5
 SPARSE_REQUESTS_PER_S = 0.05
 SPARSE_TOKENS_PER_S = 20.0
-"""Under these, one usual request is more than 20 s of an equal part."""
+"""Equal shares below which one usual request uses more than 20 s of them."""
 
 GRANT_TTL_MS = 5000
 MAX_WORKSPACES = 20_000
 
-_LEAST_WEIGHT = 1e-9
+_MIN_DEMAND = 1e-9
 
 
 def compute_floor(limit: float, members: int, sparse_per_s: float) -> float:
-    """Compute what each entry may use of a rate without asking.
+    """Compute the rate that each entry may use without a grant.
 
-    Where entries are many and a limit is small, callers come to an entry
-    once in many minutes. With the usual floor its one token would not be
-    back by then, and almost every request would be refused first.
+    With many entries and a small limit, an entry receives one request in
+    many minutes. With the usual floor its only token would not be refilled
+    by then, and almost every request would be refused at first.
 
     Parameters
     ----------
@@ -47,7 +48,7 @@
     members : int
         Number of entries.
     sparse_per_s : float
-        Equal part under which the larger floor holds.
+        Equal share below which the larger floor applies.
     """
     if members <= 1:
         return limit
@@ -57,7 +58,7 @@
 
 
 def is_sparse(limit: float, members: int, sparse_per_s: float) -> bool:
-    """Say whether an equal part is too small for a share each."""
+    """Return whether an equal share is too small for separate grants."""
     return limit / max(1, members) < sparse_per_s
 
 
@@ -70,8 +71,8 @@
 
 
 @attrs.frozen
-class _Split:
-    """One limit, as one reporter's grant is computed from it."""
+class _ShareInputs:
+    """Inputs for the share of one limit that one reporter is granted."""
 
     limit: float
     members: int
@@ -83,7 +84,7 @@
 
 
 class ShareLedger:
-    """What this entry handed out of the limits that it looks after."""
+    """Shares that this entry granted of the workspaces that it owns."""
 
     def __init__(self) -> None:
         self._holdings: dict[str, dict[str, _Holding]] = {}
@@ -97,12 +98,12 @@
         settled: bool,
         now: int,
     ) -> messages.WorkspaceGrant | None:
-        """Answer one line of a report.
+        """Compute the grant for one line of a report.
 
         Parameters
         ----------
         reporter : str
-            Incarnation that reports.
+            Incarnation of the reporting entry.
         line : WorkspaceDemand
             Its demand and the share that it holds.
         limits : Limits
@@ -110,9 +111,10 @@
         members : int
             Number of entries in view.
         settled : bool
-            Whether this entry has been the owner for longer than grants
-            live. A new owner cannot know what the former one handed out,
-            so until then nobody gets more than it holds or an equal share.
+            Whether this entry has been the owner for longer than the
+            lifetime of a grant. A new owner has no record of the shares
+            that its predecessor granted, so until then no entry is granted
+            more than the share it holds or an equal share.
         now : int
             Monotonic milliseconds.
 
@@ -122,9 +124,9 @@
             None for a report older than one already answered.
         """
         holdings = self._find_holdings(line.workspace, now)
-        mine = holdings.pop(reporter, None)
-        if mine is not None and mine.sequence > line.sequence:
-            holdings[reporter] = mine
+        previous = holdings.pop(reporter, None)
+        if previous is not None and previous.sequence > line.sequence:
+            holdings[reporter] = previous
             return None
         share = messages.round_share(
             _compute_share(line, limits, members, settled, holdings)
@@ -132,7 +134,7 @@
         holdings[reporter] = _Holding(
             line.sequence,
             line.demand,
-            _take_larger(share, line.held),
+            _pick_larger(share, line.held),
             now + GRANT_TTL_MS,
         )
         return messages.WorkspaceGrant(
@@ -140,9 +142,9 @@
         )
 
     def _find_holdings(self, workspace: str, now: int) -> dict[str, _Holding]:
-        """Return the live holdings of a workspace, oldest reports first."""
+        """Return the current holdings of a workspace, oldest report first."""
         if workspace not in self._holdings:
-            self._drop_idle(now)
+            self._drop_expired(now)
         found = self._holdings.get(workspace, {})
         live = {
             reporter: holding
@@ -152,7 +154,7 @@
         self._holdings[workspace] = live
         return live
 
-    def _drop_idle(self, now: int) -> None:
+    def _drop_expired(self, now: int) -> None:
         if len(self._holdings) < MAX_WORKSPACES:
             return
         self._holdings = {
@@ -169,8 +171,8 @@
     settled: bool,
     others: dict[str, _Holding],
 ) -> messages.Amounts:
-    def split(name: str, limit: float | None) -> _Split:
-        return _Split(
+    def collect_inputs(name: str, limit: float | None) -> _ShareInputs:
+        return _ShareInputs(
             limit or 0.0,
             max(members, len(others) + 1),
             settled,
@@ -181,40 +183,44 @@
         )
 
     return messages.Amounts(
-        _split_rate(
-            split('requests_per_s', limits.requests_per_s),
+        _compute_rate_share(
+            collect_inputs('requests_per_s', limits.requests_per_s),
             SPARSE_REQUESTS_PER_S,
         ),
-        _split_rate(
-            split('tokens_per_s', limits.tokens_per_s), SPARSE_TOKENS_PER_S
+        _compute_rate_share(
+            collect_inputs('tokens_per_s', limits.tokens_per_s),
+            SPARSE_TOKENS_PER_S,
+        ),
+        _compute_concurrency_share(
+            collect_inputs('concurrency', limits.concurrency)
         ),
-        _split_count(split('concurrency', limits.concurrency)),
     )
 
 
-def _split_rate(split: _Split, sparse_per_s: float) -> float:
-    floor = compute_floor(split.limit, split.members, sparse_per_s)
-    pool = split.limit - floor * split.members
-    used = sum(max(0.0, held - floor) for held in split.other_holdings)
-    wanted = _weigh(split) * pool
-    if not split.settled:
-        wanted = max(split.held - floor, pool / split.members)
+def _compute_rate_share(inputs: _ShareInputs, sparse_per_s: float) -> float:
+    floor = compute_floor(inputs.limit, inputs.members, sparse_per_s)
+    pool = inputs.limit - floor * inputs.members
+    used = sum(max(0.0, held - floor) for held in inputs.other_holdings)
+    wanted = _compute_demand_ratio(inputs) * pool
+    if not inputs.settled:
+        wanted = max(inputs.held - floor, pool / inputs.members)
     return floor + max(0.0, min(wanted, pool - used))
 
 
-def _split_count(split: _Split) -> float:
-    wanted = math.ceil(_weigh(split) * split.limit)
-    if not split.settled:
-        wanted = math.ceil(max(split.held, split.limit / split.members))
-    return max(0.0, min(wanted, split.limit - sum(split.other_holdings)))
+def _compute_concurrency_share(inputs: _ShareInputs) -> float:
+    wanted = math.ceil(_compute_demand_ratio(inputs) * inputs.limit)
+    if not inputs.settled:
+        wanted = math.ceil(max(inputs.held, inputs.limit / inputs.members))
+    return max(0.0, min(wanted, inputs.limit - sum(inputs.other_holdings)))
 
 
-def _weigh(split: _Split) -> float:
-    mine = max(split.demand, _LEAST_WEIGHT)
-    return mine / (mine + sum(split.other_demands))
+def _compute_demand_ratio(inputs: _ShareInputs) -> float:
+    """Return the part of the total demand that the reporter has."""
+    demand = max(inputs.demand, _MIN_DEMAND)
+    return demand / (demand + sum(inputs.other_demands))
 
 
-def _take_larger(
+def _pick_larger(
     one: messages.Amounts, other: messages.Amounts
 ) -> messages.Amounts:
     return messages.Amounts(
--- a/src/thornspool/domain/limits/workspaces.py
+++ b/src/thornspool/domain/limits/workspaces.py
@@ -1,4 +1,4 @@
-"""State of the limits of one workspace on one entry."""
+"""State of the limits of one workspace at one entry."""
 
 from __future__ import annotations
 
@@ -19,24 +19,26 @@
 
 @attrs.define
 class WorkspaceState:
-    """What an entry knows of one workspace.
+    """Limits, share and counters of one workspace at this entry.
 
     Attributes
     ----------
     limits : Limits
         Limits over all entries.
     meter : DemandMeter
-        What callers ask for here.
+        Demand of the callers of this entry.
     requests, tokens : TokenBucket
-        What may be admitted here.
+        Buckets that limit what this entry admits.
     share : Amounts or None
-        Handed out by the owner until ``expires_at``, in milliseconds.
-    owner_lost : bool
-        Whether the owner was silent when last asked.
+        Share granted by the owner; None without a current grant.
+    expires_at : int
+        Monotonic milliseconds at which the share expires.
+    is_owner_unreachable : bool
+        Whether the owner did not answer the last report.
     in_flight : int
         Admitted requests that have not ended.
     reported_at, used_at : int
-        Monotonic milliseconds of the last report and request.
+        Monotonic milliseconds of the last report and of the last request.
     """
 
     limits: documents.Limits
@@ -45,7 +47,7 @@
     tokens: buckets.TokenBucket
     share: messages.Amounts | None = None
     expires_at: int = 0
-    owner_lost: bool = False
+    is_owner_unreachable: bool = False
     in_flight: int = 0
     reported_at: int | None = None
     used_at: int = 0
@@ -58,11 +60,12 @@
     Attributes
     ----------
     bucket : TokenBucket
-        Filled at the entry's part of the rate.
+        Bucket that fills at this entry's part of the rate.
     limit, share : float
-        Rates over all entries and of this one's share.
+        Rate over all entries, and rate that is granted to this entry.
     sparse_per_s : float
-        Equal part under which entries are too many for the limit.
+        Equal share per entry below which the limit is too small to be
+        divided among the entries.
     """
 
     bucket: buckets.TokenBucket
@@ -97,8 +100,12 @@
     return rates
 
 
-def is_as_new(state: WorkspaceState, now: int) -> bool:
-    """Say whether the state may be dropped without giving a burst anew."""
+def is_unused(state: WorkspaceState, now: int) -> bool:
+    """Return whether the state equals that of an unused workspace.
+
+    Only then may it be dropped: new buckets are full, so callers would
+    otherwise get another burst.
+    """
     for bucket in (state.requests, state.tokens):
         bucket.refill(now)
         if bucket.level < bucket.burst:
--- a/tests/domain/limits/__init__.py
+++ b/tests/domain/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package domain limits."""
+"""Tests of the package domain.limits."""
--- a/tests/domain/limits/test_baselines.py
+++ b/tests/domain/limits/test_baselines.py
@@ -1,13 +1,13 @@
-"""Tests of what work usually takes."""
+"""Tests of the baseline durations of work."""
 
 from __future__ import annotations
 
 import unittest
 
-from thornspool.domain.limits import paces
+from thornspool.domain.limits import baselines
 
-# Times, whether so much is in flight that a queue may be part of them, and
-# between which milliseconds the usual time has to end.
+# Durations of answers, whether they may include time in a queue, and the
+# range in milliseconds that the baseline must reach.
 CASES = (
     ('first answers', [200] * 3, False, 199, 201),
     ('slower while idle', [200] * 50 + [600] * 200, False, 590, 600),
@@ -17,43 +17,44 @@
 )
 
 
-class PaceTest(unittest.TestCase):
-    def test_usual_time(self) -> None:
-        for name, times, may_queue, least, most in CASES:
+class StepBaselineTest(unittest.TestCase):
+    def test_baseline_follows_the_durations(self) -> None:
+        for name, durations_ms, may_queue, min_ms, max_ms in CASES:
             with self.subTest(name):
-                pace = paces.Pace()
-                for now, took in enumerate(times):
-                    pace.learn(took, may_queue, 100 * now)
-                self.assertLessEqual(least, pace.usual_ms)
-                self.assertLessEqual(pace.usual_ms, most)
+                baseline = baselines.StepBaseline()
+                for now, duration_ms in enumerate(durations_ms):
+                    baseline.observe(duration_ms, may_queue, 100 * now)
+                self.assertLessEqual(min_ms, baseline.baseline_ms)
+                self.assertLessEqual(baseline.baseline_ms, max_ms)
 
-    def test_targets_slower_for_good_become_usual(self) -> None:
+    def test_baseline_rises_for_permanently_slower_targets(self) -> None:
         """A new version of the weights takes three times as long.
 
-        Were that never learnt, the group would look overloaded for good.
+        If the baseline never rose, the group would count as overloaded
+        forever.
         """
-        pace = paces.Pace()
+        baseline = baselines.StepBaseline()
         for _ in range(50):
-            pace.learn(200, False, 0)
+            baseline.observe(200, False, 0)
         for now in range(0, 3_600_000, 1000):
-            stretch = pace.learn(600, True, now)
-        self.assertLess(stretch, 1.1)
+            ratio = baseline.observe(600, True, now)
+        self.assertLess(ratio, 1.1)
 
 
-class WorkPaceTest(unittest.TestCase):
-    def test_estimate_expects_the_tokens_of_other_answers(self) -> None:
-        """Callers allow 4,096 tokens; answers have 20.
+class WorkBaselineTest(unittest.TestCase):
+    def test_estimate_uses_the_mean_tokens_of_answers(self) -> None:
+        """Callers allow 4,096 tokens, but answers have 20.
 
-        Estimated by the longest answer, each request would be refused for
-        its deadline.
+        With an estimate for the longest possible answer, each request would
+        be refused because of its deadline.
         """
-        pace = paces.WorkPace()
-        pace.first.learn(300, False, 0)
+        baseline = baselines.WorkBaseline()
+        baseline.first.observe(300, False, 0)
         for now in range(50):
-            pace.learn_rest(20, 20 * 40, False, now)
-        self.assertAlmostEqual(300 + 20 * 40, pace.estimate(4096), delta=1)
-        self.assertAlmostEqual(300 + 5 * 40, pace.estimate(5), delta=1)
-        self.assertAlmostEqual(300, pace.estimate(0), delta=1)
+            baseline.observe_following(20, 20 * 40, False, now)
+        self.assertAlmostEqual(300 + 20 * 40, baseline.estimate(4096), delta=1)
+        self.assertAlmostEqual(300 + 5 * 40, baseline.estimate(5), delta=1)
+        self.assertAlmostEqual(300, baseline.estimate(0), delta=1)
 
-    def test_nothing_known_refuses_nothing(self) -> None:
-        self.assertEqual(0, paces.WorkPace().estimate(1000))
+    def test_estimate_without_answers_is_zero(self) -> None:
+        self.assertEqual(0, baselines.WorkBaseline().estimate(1000))
--- a/tests/domain/limits/test_concurrency.py
+++ b/tests/domain/limits/test_concurrency.py
@@ -1,4 +1,4 @@
-"""Tests of the adaptive bound, driven as the load bench drives it."""
+"""Tests of the adaptive concurrency bound, partly with the load benchmark."""
 
 from __future__ import annotations
 
@@ -8,34 +8,35 @@
 from thornspool.domain.limits import messages
 from tools import bench_load
 
-FAR = 10**9
+FAR_DEADLINE_MS = 10**9
 
 
 KIND = 'service/operation'
 
 
-def ask(deadline=FAR, units=0):
+def build_request(deadline=FAR_DEADLINE_MS, units=0):
     return messages.Asked('service', KIND, units, deadline)
 
 
-def teach(group, times_ms, now=0):
-    """Let answers come one after the other; returns the time after them."""
-    for took in times_ms:
-        group.admit(ask(), now)
-        now += took
-        group.observe(KIND, took, now)
+def run_requests(group, durations_ms, now=0):
+    """Run requests one after the other; return the time after the last."""
+    for duration_ms in durations_ms:
+        group.admit(build_request(), now)
+        now += duration_ms
+        group.observe(KIND, duration_ms, now)
         group.release()
     return now
 
 
 class GroupLimitTest(unittest.TestCase):
     def test_goodput_under_overload(self) -> None:
-        """More requests come than the targets can serve.
+        """More requests arrive than the targets can serve.
 
-        Unbounded, all of them queue and every answer is late. The bound
-        must keep most of the capacity, and take none of it at low load.
-        What an answer usually takes is learnt on the way: learnt from the
-        overload itself, every request would be refused for its deadline.
+        Without a bound, all requests queue and every answer is late. The
+        bound must preserve most of the capacity under overload and must not
+        reduce it at low load. The baselines are measured during the run; if
+        they followed the overload, every request would be refused because
+        of its deadline.
         """
         cases = ((0.5, 0.45), (1.0, 0.9), (2.0, 0.9), (3.0, 0.9))
         for load, least in cases:
@@ -44,10 +45,10 @@
                 self.assertGreaterEqual(goodput, least)
         self.assertLess(bench_load.measure_goodput(2.0, False, 1), 0.1)
 
-    def test_operations_of_different_times_cost_little(self) -> None:
+    def test_operations_of_different_durations_keep_the_goodput(self) -> None:
         """One service has operations that take 50 to 400 ms.
 
-        With one usual time for all, the slow ones would look delayed.
+        With one baseline for all, the slow ones would count as delayed.
         """
         for load in (2.0, 3.0):
             for reported in (True, False):
@@ -57,92 +58,94 @@
                     )
                     self.assertGreaterEqual(served.goodput, 0.9)
 
-    def test_answers_stay_quick_under_overload(self) -> None:
-        """Three times the capacity is offered; a seller waits for a draft.
+    def test_waits_stay_short_under_overload(self) -> None:
+        """Three times as many requests arrive as the targets can serve.
 
-        Goodput alone would let each answer come just before its deadline.
+        A test of goodput alone would pass if each answer came just before
+        its deadline, while callers such as sellers wait for their drafts.
         """
         served = bench_load.measure_served(3.0, True, 1)
         idle = bench_load.measure_served(0.5, True, 1)
         self.assertLess(served.wait_p95_ms, 1.5 * idle.wait_p95_ms)
 
     def test_prediction_recovers_after_an_overload(self) -> None:
-        """Answers took very long, then traffic stops.
+        """Answers duration_ms very long, then traffic stops.
 
-        Judged by old measurements alone, no request would ever be admitted
-        again, and nothing new would be measured.
+        With a prediction from old measurements alone, no request would be
+        admitted again, and nothing new would be measured.
         """
         group = concurrency.GroupLimit()
-        now = teach(group, [100] * 50)
+        now = run_requests(group, [100] * 50)
         group.in_flight = int(group.limit)
         for _ in range(60):
             now += 100
             group.observe(KIND, 900, now)
         group.in_flight = int(group.limit) - 1
-        refused = group.admit(ask(now + 200), now)
+        refused = group.admit(build_request(now + 200), now)
         self.assertIsInstance(refused, messages.Refused)
         group.in_flight = 0
-        self.assertIsNone(group.admit(ask(now + 200), now))
+        self.assertIsNone(group.admit(build_request(now + 200), now))
 
-    def test_one_overload_is_cut_once(self) -> None:
-        """All requests in flight are late together.
+    def test_one_overload_decreases_the_limit_once(self) -> None:
+        """All requests in flight are late at the same time.
 
-        Cut for each of them, the bound would fall to one.
+        With a decrease for each of them, the bound would drop to one.
         """
         group = concurrency.GroupLimit(limit=100.0, in_flight=100)
         for _ in range(100):
             group.note_late(0, 500)
         self.assertEqual(90.0, group.limit)
 
-    def test_noise_of_short_calls_is_no_overload(self) -> None:
-        """Calls of 4 ms take 4 to 20 ms while the entry is busy otherwise.
+    def test_variation_of_short_calls_is_no_overload(self) -> None:
+        """Calls of 4 ms take up to 20 ms while the entry does other work.
 
-        Few are in flight and no target has a queue. Taken for overload, the
-        bound fell to one and callers were refused under almost no load.
+        Few are in flight and no target has a queue. When this counted as
+        overload, the bound dropped to one and callers were refused under
+        almost no load.
         """
         group = concurrency.GroupLimit()
         now = 0
         for number in range(600):
             for _ in range(3):
-                self.assertIsNone(group.admit(ask(now + 1000), now))
-            took = 4 if number % 60 < 30 else 20
-            now += took
+                self.assertIsNone(group.admit(build_request(now + 1000), now))
+            duration_ms = 4 if number % 60 < 30 else 20
+            now += duration_ms
             for _ in range(3):
-                group.observe(KIND, took, now)
+                group.observe(KIND, duration_ms, now)
                 group.release()
         self.assertGreaterEqual(group.limit, 16)
 
     def test_one_answer_that_hung_is_no_overload(self) -> None:
-        """A target hangs for ten seconds; the others are as quick as ever.
+        """A target hangs for ten seconds; the others are not delayed.
 
-        Its answer alone would look like many delayed ones, and callers
-        would be refused by a group that is idle.
+        Its answer alone would have the effect of many delayed ones, and
+        callers would be refused although the group is idle.
         """
         group = concurrency.GroupLimit()
-        now = teach(group, [100] * 50)
+        now = run_requests(group, [100] * 50)
         before = group.limit
-        teach(group, [10_000, *[100] * 50], now)
+        run_requests(group, [10_000, *[100] * 50], now)
         self.assertGreaterEqual(group.limit, before)
 
-    def test_slow_answers_leave_the_equal_part(self) -> None:
-        """Every answer is slow, though the targets are far from full.
+    def test_bound_is_at_least_the_equal_share(self) -> None:
+        """Every answer is slow, although the targets are far from full.
 
-        The cause is elsewhere, such as a host of the entry that is too
-        busy. Refusing callers would not help anybody.
+        The cause is elsewhere, such as an overloaded host of the entry.
+        Refusing requests would not shorten the answers.
         """
         group = concurrency.GroupLimit()
         group.hear_capacity(messages.Capacity(64.0), 4, 0)
-        now = teach(group, [100] * 50)
-        now = teach(group, [900] * 200, now)
-        admitted = [group.admit(ask(), now) for _ in range(17)]
+        now = run_requests(group, [100] * 50)
+        now = run_requests(group, [900] * 200, now)
+        admitted = [group.admit(build_request(), now) for _ in range(17)]
         self.assertEqual([None] * 16, admitted[:16])
         self.assertEqual(messages.Reason.OVERLOAD, admitted[16].reason)
 
-    def test_late_answers_end_the_trust_in_reports(self) -> None:
-        """A service says that it runs 64 calls at once and runs two.
+    def test_late_answers_reduce_the_equal_share(self) -> None:
+        """A service reports that it runs 64 calls at once but runs two.
 
-        Given its equal part of 64, all its calls would be late for good.
-        Once it does better it gets its part back.
+        With its equal share of 64, all its calls would be late permanently.
+        When its answers are in time again, the full share is restored.
         """
         group = concurrency.GroupLimit()
         group.hear_capacity(messages.Capacity(64.0), 1, 0)
@@ -154,39 +157,44 @@
             group.observe(KIND, 100, now)
         self.assertGreaterEqual(group.bound, 64)
 
-    def test_a_small_group_that_reports_starts_small(self) -> None:
-        """All entries start at once before services that run eight calls.
+    def test_initial_bound_is_small_for_groups_that_report(self) -> None:
+        """All entries start at the same time, with services for eight calls.
 
-        With sixteen at each entry the first calls would all be late.
+        With a bound of 16 at each entry the first calls would all be late.
         """
         group = concurrency.GroupLimit()
         group.hear_capacity(messages.Capacity(8.0), 3, 0)
         self.assertEqual(4, group.bound)
         self.assertEqual(16, concurrency.GroupLimit().bound)
 
-    def test_reported_queues_cut_who_uses_more_than_its_part(self) -> None:
-        """An entry started during an overload and took its times for usual.
+    def test_reported_queues_decrease_limits_over_the_equal_share(
+        self,
+    ) -> None:
+        """An entry started during an overload, so its baselines are too long.
 
-        It would grow while all others shrink, and its callers would get the
-        places of theirs.
+        Its bound would grow while those of all other entries decrease, and
+        its requests would displace theirs.
         """
         full = messages.Capacity(40.0, 20.0)
         group = concurrency.GroupLimit(limit=100.0, in_flight=60)
-        modest = concurrency.GroupLimit(limit=4.0, in_flight=4)
+        within_share = concurrency.GroupLimit(limit=4.0, in_flight=4)
         for now in range(0, 20_000, 100):
             group.hear_capacity(full, 4, now)
             group.observe(KIND, 300, now)
-            modest.hear_capacity(full, 4, now)
+            within_share.hear_capacity(full, 4, now)
         self.assertLess(group.limit, 11.0)
-        self.assertEqual(4.0, modest.limit)
+        self.assertEqual(4.0, within_share.limit)
 
-    def test_slow_tokens_cut_though_first_tokens_are_quick(self) -> None:
-        """Engines take turns between all streams that they were given.
+    def test_slow_tokens_decrease_the_limit_despite_fast_first_tokens(
+        self,
+    ) -> None:
+        """Engines interleave all streams that they receive.
 
-        Each first token comes at once, and each answer takes ever longer.
+        Each first token arrives at once, but the time between tokens grows
+        with each stream, so answers take longer and longer.
         """
         group = concurrency.GroupLimit()
-        now = teach(group, [100] * 20)
+        now = run_requests(group, [100] * 20)
         for _ in range(20):
             group.observe_rest(KIND, 40, 40 * 50, now)
         group.in_flight = 16
@@ -196,11 +204,11 @@
             group.observe_rest(KIND, 40, 40 * 150, now)
         self.assertLess(group.limit, before / 2)
 
-    def test_retry_of_a_refusal_grows_with_the_excess(self) -> None:
+    def test_retry_delay_grows_with_the_excess(self) -> None:
         group = concurrency.GroupLimit()
-        now = teach(group, [400] * 20)
+        now = run_requests(group, [400] * 20)
         retries = []
         for in_flight in (int(group.limit), 3 * int(group.limit)):
             group.in_flight = in_flight
-            retries.append(group.admit(ask(), now).retry_after_ms)
+            retries.append(group.admit(build_request(), now).retry_after_ms)
         self.assertLess(2 * retries[0], retries[1])
--- a/tests/domain/limits/test_messages.py
+++ b/tests/domain/limits/test_messages.py
@@ -1,4 +1,4 @@
-"""Tests of how limits travel between entries."""
+"""Tests of the messages about limits between entries."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 USUAL = messages.Amounts(12.3456, 4567.891, 17.0)
 
 
-def send(message):
+def transfer(message):
     """Encode and decode a message as between two entries."""
     data = msgspec.msgpack.encode(message)
     return msgspec.msgpack.decode(data, type=type(message))
 
 
-class WireTest(unittest.TestCase):
-    def test_shares_arrive_as_they_were_counted(self) -> None:
-        """An owner hands out fractions, and their holders use others.
+class EncodingTest(unittest.TestCase):
+    def test_shares_are_transferred_without_loss(self) -> None:
+        """A granted share is rounded by its encoding.
 
-        If a share changed on its way, the owner would count another sum
-        than its holders use, and callers of a workspace could get more
-        than its limit while each entry is right by itself.
+        The owner would then count a different sum of shares from the one
+        that the holders use. Callers of a workspace could exceed its limit
+        although each entry enforces its own share correctly.
         """
         draw = random.Random(20261202)
         ledger = shares.ShareLedger()
@@ -36,15 +36,15 @@
             holder = draw.choice(sorted(held))
             demand = messages.Amounts(*(draw.random() * 900 for _ in '...'))
             line = messages.WorkspaceDemand('w', now, demand, held[holder])
-            (arrived,) = messages.unpack_report(
-                send(messages.pack_report([line]))
+            (received,) = messages.unpack_report(
+                transfer(messages.pack_report([line]))
             )
-            self.assertEqual(held[holder], arrived.held)
-            self.assertEqual(now, arrived.sequence)
-            grant = ledger.grant(holder, arrived, LIMITS, 3, True, now)
+            self.assertEqual(held[holder], received.held)
+            self.assertEqual(now, received.sequence)
+            grant = ledger.grant(holder, received, LIMITS, 3, True, now)
             assert grant is not None
             reply = messages.pack_reply(now, grant.ttl_ms, [grant])
-            self.assertEqual((grant,), messages.unpack_reply(send(reply)))
+            self.assertEqual((grant,), messages.unpack_reply(transfer(reply)))
             held[holder] = grant.share
 
     def test_share_is_never_rounded_up(self) -> None:
@@ -56,23 +56,23 @@
                 self.assertAlmostEqual(value, rounded.tokens_per_s, delta=1e-3)
 
     def test_empty_report_has_no_lines(self) -> None:
-        report = send(messages.pack_report([]))
+        report = transfer(messages.pack_report([]))
         self.assertEqual((), messages.unpack_report(report))
 
     def test_lines_are_small(self) -> None:
-        """Reports grow until control needs more than its bandwidth.
+        """Reports grow until control messages exceed their bandwidth.
 
-        An operator sees traffic between entries that carry no requests.
+        The operator sees traffic between entries that serve no requests.
         """
         line = messages.WorkspaceDemand('workspace-12345', 1, USUAL, USUAL)
         grant = messages.WorkspaceGrant('workspace-12345', 1, USUAL, 5000)
         one = messages.pack_report([line])
         two = messages.pack_report([line, line])
-        self.assertLessEqual(_count(two) - _count(one), 45)
+        self.assertLessEqual(_measure_size(two) - _measure_size(one), 45)
         reply = messages.pack_reply(1, 5000, [grant])
         replies = messages.pack_reply(1, 5000, [grant, grant])
-        self.assertLessEqual(_count(replies) - _count(reply), 32)
+        self.assertLessEqual(_measure_size(replies) - _measure_size(reply), 32)
 
 
-def _count(message: object) -> int:
+def _measure_size(message: object) -> int:
     return len(msgspec.msgpack.encode(message))
--- a/tests/domain/limits/test_shares.py
+++ b/tests/domain/limits/test_shares.py
@@ -1,4 +1,4 @@
-"""Tests of the ledger by which limits are shared out."""
+"""Tests of the ledger of granted shares."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @attrs.define
 class Reporter:
-    """An entry that applies only the reply to its latest report."""
+    """Entry that applies only the reply to its latest report."""
 
     share: messages.Amounts = attrs.field(factory=messages.Amounts)
     expires_at: int = 0
@@ -31,7 +31,7 @@
 
 
 class SharesMachine(stateful.RuleBasedStateMachine):
-    """Oracle: what all entries may use together is within the limits."""
+    """Invariant: the shares of all entries together are within the limits."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -46,13 +46,13 @@
         reporter = self.reporters[index]
         reporter.sequence = self.now
         held = self._find_share(reporter)
-        wanted = messages.Amounts(demand, 0.0, demand)
-        line = messages.WorkspaceDemand('w', self.now, wanted, held)
+        amounts = messages.Amounts(demand, 0.0, demand)
+        line = messages.WorkspaceDemand('w', self.now, amounts, held)
         self.pending.append((index, line))
 
     @stateful.rule(place=strategies.integers(0, 5), lost=strategies.booleans())
     def receive_report(self, place: int, lost: bool) -> None:
-        """Answer any report on its way; its reply may be lost."""
+        """Answer any pending report; the reply may be lost."""
         if place >= len(self.pending):
             return
         index, line = self.pending.pop(place)
@@ -70,15 +70,15 @@
         self.now += elapsed
 
     @stateful.invariant()
-    def stays_within_the_limits(self) -> None:
+    def shares_stay_within_the_limits(self) -> None:
         floor = shares.compute_floor(
             RATE, MEMBERS, shares.SPARSE_REQUESTS_PER_S
         )
         found = [self._find_share(one) for one in self.reporters]
         rate = sum(max(floor, one.requests_per_s) for one in found)
-        assert rate <= RATE + 1e-6, f'{rate} requests/s shared out'
+        assert rate <= RATE + 1e-6, f'{rate} requests/s granted'
         count = sum(one.concurrency for one in found)
-        assert count <= COUNT, f'{count} in flight shared out'
+        assert count <= COUNT, f'{count} in flight granted'
 
     def _find_share(self, reporter: Reporter) -> messages.Amounts:
         if reporter.expires_at <= self.now:
@@ -93,11 +93,12 @@
 
 
 class ShareLedgerTest(unittest.TestCase):
-    def test_new_owner_hands_out_equal_parts_at_most(self) -> None:
-        """The owner of a limit has just changed.
+    def test_new_owner_grants_at_most_equal_shares(self) -> None:
+        """The owner of a workspace has just changed.
 
-        What the former one handed out is still in use; until it has ended,
-        the new one may not give all of the limit to the first that asks.
+        The shares that the previous owner granted are still in use. Until
+        they expire, a grant of the whole limit to the first reporter would
+        exceed the limit.
         """
         demand = messages.Amounts(1000.0, 0.0, 1000.0)
         line = messages.WorkspaceDemand('w', 1, demand, messages.Amounts())
