--- a/src/thornspool/domain/objectives/__init__.py
+++ b/src/thornspool/domain/objectives/__init__.py
@@ -1,1 +1,1 @@
-"""Service-level objectives: what was kept, what was missed, how fast."""
+"""Service-level objectives: event counts and error budget burn rates."""
--- a/src/thornspool/domain/objectives/burn.py
+++ b/src/thornspool/domain/objectives/burn.py
@@ -1,8 +1,8 @@
-"""How fast an error budget is used up, over several windows.
+"""Burn rates of error budgets over several windows.
 
 A burn rate of 1 uses the budget of 30 days in 30 days. The pairs of windows
 and their thresholds are the usual ones of multi-window alerts: the long
-window shows that it matters, the short one that it still goes on.
+window shows that the burn is significant, the short window that it continues.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 if typing.TYPE_CHECKING:
     from thornspool.domain.configuration import documents
 
-_MINUTE = objective_counts.MINUTE_MS
-_HOUR = objective_counts.HOUR_MS
+_MINUTE_MS = objective_counts.MINUTE_MS
+_HOUR_MS = objective_counts.HOUR_MS
 
 
 class Severity(enum.Enum):
-    """What an operator should do about a burn."""
+    """Alert severity of a burn rate."""
 
     NONE = 'none'
     TICKET = 'ticket'
@@ -30,7 +30,7 @@
 
 
 class Indicator(enum.Enum):
-    """What an objective measures."""
+    """Indicator that an objective measures."""
 
     AVAILABILITY = 'availability'
     FIRST_TOKEN = 'first_token'  # noqa: S105
@@ -40,7 +40,17 @@
 
 @attrs.frozen
 class Rule:
-    """Both windows must burn at the threshold or faster."""
+    """Alert rule; it holds if both windows reach the threshold.
+
+    Attributes
+    ----------
+    long_ms, short_ms : int
+        Lengths of the two windows, in milliseconds.
+    threshold : float
+        Minimum burn rate.
+    severity : Severity
+        Severity of the alert.
+    """
 
     long_ms: int
     short_ms: int
@@ -49,31 +59,31 @@
 
 
 RULES = (
-    Rule(_HOUR, 5 * _MINUTE, 14.4, Severity.PAGE),
-    Rule(6 * _HOUR, 30 * _MINUTE, 6.0, Severity.PAGE),
-    Rule(72 * _HOUR, 6 * _HOUR, 1.0, Severity.TICKET),
+    Rule(_HOUR_MS, 5 * _MINUTE_MS, 14.4, Severity.PAGE),
+    Rule(6 * _HOUR_MS, 30 * _MINUTE_MS, 6.0, Severity.PAGE),
+    Rule(72 * _HOUR_MS, 6 * _HOUR_MS, 1.0, Severity.TICKET),
 )
 WINDOWS_MS = (
-    5 * _MINUTE,
-    30 * _MINUTE,
-    _HOUR,
-    6 * _HOUR,
-    72 * _HOUR,
+    5 * _MINUTE_MS,
+    30 * _MINUTE_MS,
+    _HOUR_MS,
+    6 * _HOUR_MS,
+    72 * _HOUR_MS,
 )
 
 
 @attrs.frozen
 class Subject:
-    """What an objective is about.
+    """Service or model of a workspace, and an indicator, with an objective.
 
     Attributes
     ----------
     workspace : str
         Name of the workspace.
     name : str
-        Name of the service, or of the model.
+        Name of the service or of the model.
     indicator : Indicator
-        What is measured.
+        Indicator that is measured.
     """
 
     workspace: str
@@ -83,7 +93,7 @@
 
 @attrs.frozen
 class WindowCounts:
-    """Counts of one window, in milliseconds."""
+    """Counts of one window, whose length is in milliseconds."""
 
     window_ms: int
     counts: objective_counts.Counts
@@ -91,20 +101,20 @@
 
 @attrs.frozen
 class Burn:
-    """Burn of one subject.
+    """Error budget burn of one subject.
 
     Attributes
     ----------
     subject : Subject
-        What it is about.
+        Subject of the objective.
     objective : float
-        Share of events that must be good.
+        Required share of good events.
     rates : tuple of float
         Burn rate for each of ``WINDOWS_MS``; 0 without events.
     events : tuple of int
-        Events in each of ``WINDOWS_MS``.
+        Number of events in each of ``WINDOWS_MS``.
     severity : Severity
-        The most severe rule that holds.
+        Severity of the most severe rule that holds.
     """
 
     subject: Subject
@@ -115,14 +125,14 @@
 
 
 def compute_rate(counts: objective_counts.Counts, objective: float) -> float:
-    """Return how many times faster than allowed the budget is used.
+    """Return the burn rate: the ratio of the bad share to the allowed share.
 
     Parameters
     ----------
     counts : objective_counts.Counts
         Events of a window.
     objective : float
-        Share of events that must be good, under 1.
+        Required share of good events, less than 1.
     """
     total = counts.good + counts.bad
     if total == 0:
@@ -135,14 +145,14 @@
     objective: float,
     windows: tuple[WindowCounts, ...],
 ) -> Burn:
-    """Work out the burn of a subject.
+    """Compute the burn rates and the severity of a subject.
 
     Parameters
     ----------
     subject : Subject
-        What it is about.
+        Subject of the objective.
     objective : float
-        Share of events that must be good.
+        Required share of good events.
     windows : tuple of WindowCounts
         Counts for each of ``WINDOWS_MS``, summed over entries.
     """
@@ -160,15 +170,19 @@
         for window_ms in WINDOWS_MS
     )
     return Burn(
-        subject, objective, tuple(rates.values()), events, _judge(rates)
+        subject,
+        objective,
+        tuple(rates.values()),
+        events,
+        _find_severity(rates),
     )
 
 
-def _judge(rates: dict[int, float]) -> Severity:
+def _find_severity(rates: dict[int, float]) -> Severity:
     """Return the severity of the first rule that holds."""
     for rule in RULES:
-        slower = min(rates[rule.long_ms], rates[rule.short_ms])
-        if slower >= rule.threshold:
+        lower_rate = min(rates[rule.long_ms], rates[rule.short_ms])
+        if lower_rate >= rule.threshold:
             return rule.severity
     return Severity.NONE
 
@@ -176,12 +190,18 @@
 def list_checks(
     objective: documents.Objective,
 ) -> tuple[tuple[Indicator, float, int | None], ...]:
-    """Return indicator, share and bound in ms of each part of an objective.
+    """Return the indicators of an objective with their shares and bounds.
 
     Parameters
     ----------
     objective : documents.Objective
         Objective of a workspace or a service.
+
+    Returns
+    -------
+    tuple of tuple of (Indicator, float, int or None)
+        Indicator, required share of good events, and bound in milliseconds;
+        the bound of the availability is None.
     """
     share = objective.latency_share
     checks: list[tuple[Indicator, float, int | None]] = [
--- a/src/thornspool/domain/objectives/counts.py
+++ b/src/thornspool/domain/objectives/counts.py
@@ -11,8 +11,8 @@
 HOUR_MS = 60 * MINUTE_MS
 FINE_SLOTS = 60
 COARSE_SLOTS = 73
-_NUMBER = 'Q'
-_WIDTH = 3
+_TYPE_CODE = 'Q'
+_NUMBERS_PER_SLOT = 3
 
 if typing.TYPE_CHECKING:
     Slots = array.array[int]
@@ -20,46 +20,47 @@
 
 @attrs.frozen
 class Counts:
-    """Events that met an objective and events that did not."""
+    """Numbers of events that met an objective and of those that did not."""
 
     good: int = 0
     bad: int = 0
 
     def add(self, other: Counts) -> Counts:
-        """Return the sum of both."""
+        """Return the sum of both counts."""
         return Counts(self.good + other.good, self.bad + other.bad)
 
 
 class SlidingCounts:
-    """Counts by minute for an hour and by hour for three days.
+    """Counts per minute for one hour and per hour for three days.
 
-    A window of up to an hour is exact to the minute, a longer one to the
-    hour. Only slots in which something happened are held, each as three
-    numbers (slot, good, bad) of one flat array: an entry of a large fleet
-    sees every workspace within three days, and an object for each slot
-    would cost it ten times the memory.
+    A window of up to one hour is accurate to the minute, a longer one to the
+    hour. Only slots with events are stored, each as three numbers (slot,
+    good, bad) in one flat array. An entry of a large fleet serves every
+    workspace within three days, and one object per slot would need ten times
+    the memory.
     """
 
     __slots__ = ('_hours', '_minutes')
 
     def __init__(self) -> None:
-        self._minutes = array.array(_NUMBER)
-        self._hours = array.array(_NUMBER)
+        self._minutes = array.array(_TYPE_CODE)
+        self._hours = array.array(_TYPE_CODE)
 
     def add(self, now: int, good: int, bad: int) -> None:
-        """Count events.
+        """Add events to the current slots and drop expired slots.
 
         Parameters
         ----------
         now : int
             Monotonic milliseconds.
         good, bad : int
-            Events of either kind.
+            Number of events that met the objective, and of those that did
+            not.
         """
         _add_to(self._minutes, now // MINUTE_MS, good, bad)
-        _drop_before(self._minutes, now // MINUTE_MS - FINE_SLOTS)
+        _drop_through(self._minutes, now // MINUTE_MS - FINE_SLOTS)
         _add_to(self._hours, now // HOUR_MS, good, bad)
-        _drop_before(self._hours, now // HOUR_MS - COARSE_SLOTS)
+        _drop_through(self._hours, now // HOUR_MS - COARSE_SLOTS)
 
     def read(self, now: int, window_ms: int) -> Counts:
         """Return the counts of the window that ends now.
@@ -69,7 +70,7 @@
         now : int
             Monotonic milliseconds.
         window_ms : int
-            Length of the window, at most three days.
+            Length of the window in milliseconds, at most three days.
         """
         if window_ms <= HOUR_MS:
             return _sum_after(self._minutes, (now - window_ms) // MINUTE_MS)
@@ -77,25 +78,27 @@
 
 
 def _add_to(slots: Slots, slot: int, good: int, bad: int) -> None:
-    """Add to the newest slot, or begin another."""
-    if not slots or slots[-_WIDTH] != slot:
+    """Add to the last slot, or append a new one."""
+    if not slots or slots[-_NUMBERS_PER_SLOT] != slot:
         slots.extend((slot, 0, 0))
     slots[-2] += good
     slots[-1] += bad
 
 
-def _drop_before(slots: Slots, last: int) -> None:
-    """Drop the slots up to one."""
+def _drop_through(slots: Slots, last: int) -> None:
+    """Drop the slots up to and including the last one given."""
     while slots and slots[0] <= last:
-        del slots[:_WIDTH]
+        del slots[:_NUMBERS_PER_SLOT]
 
 
 def _sum_after(slots: Slots, start: int) -> Counts:
-    """Add up the slots after one."""
+    """Return the sum of the slots after the start slot."""
     good = bad = 0
-    for place in range(len(slots) - _WIDTH, -1, -_WIDTH):
-        if slots[place] <= start:
+    for offset in range(
+        len(slots) - _NUMBERS_PER_SLOT, -1, -_NUMBERS_PER_SLOT
+    ):
+        if slots[offset] <= start:
             break
-        good += slots[place + 1]
-        bad += slots[place + 2]
+        good += slots[offset + 1]
+        bad += slots[offset + 2]
     return Counts(good, bad)
--- a/tests/domain/objectives/__init__.py
+++ b/tests/domain/objectives/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package domain objectives."""
+"""Tests of the package domain.objectives."""
--- a/tests/domain/objectives/test_burn.py
+++ b/tests/domain/objectives/test_burn.py
@@ -1,4 +1,4 @@
-"""Tests of counts over windows and of burn rates."""
+"""Tests of sliding window counts and of burn rates."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 HOUR = counts.HOUR_MS
 SUBJECT = burn.Subject('swan-coast', 'slots', burn.Indicator.AVAILABILITY)
 
-# Share of bad events in the windows of 5 min, 30 min, 1 h, 6 h and 72 h for
-# an objective of 0.99, and the severity that follows.
+# Shares of bad events in the windows of 5 min, 30 min, 1 h, 6 h and 72 h for
+# an objective of 0.99, and the expected severity.
 SEVERITIES = (
     ((0.0, 0.0, 0.0, 0.0, 0.0), burn.Severity.NONE),
     ((0.2, 0.2, 0.2, 0.0, 0.0), burn.Severity.PAGE),
@@ -39,7 +39,7 @@
         ),
         strategies.sampled_from([5, 30, 60]),
     )
-    def test_windows_agree_with_a_list_of_events(self, steps, minutes):
+    def test_windows_match_a_list_of_events(self, steps, minutes):
         sliding = counts.SlidingCounts()
         events = []
         now = 0
@@ -64,7 +64,7 @@
 
 
 class BurnTest(unittest.TestCase):
-    def test_severity_follows_from_both_windows(self) -> None:
+    def test_severity_requires_both_windows(self) -> None:
         for shares, severity in SEVERITIES:
             with self.subTest(shares=shares):
                 windows = tuple(
@@ -78,14 +78,14 @@
                         burn.WINDOWS_MS, shares, strict=True
                     )
                 )
-                seen = burn.assess_burn(SUBJECT, 0.99, windows)
-                self.assertEqual(severity, seen.severity)
+                assessed = burn.assess_burn(SUBJECT, 0.99, windows)
+                self.assertEqual(severity, assessed.severity)
 
-    def test_no_events_burn_nothing(self) -> None:
-        seen = burn.assess_burn(SUBJECT, 0.99, ())
-        self.assertEqual((0.0,) * len(burn.WINDOWS_MS), seen.rates)
+    def test_burn_rate_without_events_is_zero(self) -> None:
+        assessed = burn.assess_burn(SUBJECT, 0.99, ())
+        self.assertEqual((0.0,) * len(burn.WINDOWS_MS), assessed.rates)
 
-    def test_only_the_stated_bounds_are_checked(self) -> None:
+    def test_only_configured_bounds_are_checked(self) -> None:
         objective = documents.Objective(first_token_ms=840)
         self.assertEqual(
             [burn.Indicator.AVAILABILITY, burn.Indicator.FIRST_TOKEN],
