--- a/src/thornspool/domain/targets/__init__.py
+++ b/src/thornspool/domain/targets/__init__.py
@@ -1,1 +1,1 @@
-"""Which targets may be given new work, and how loaded they are."""
+"""Readiness and load of targets."""
--- a/src/thornspool/domain/targets/availability.py
+++ b/src/thornspool/domain/targets/availability.py
@@ -1,4 +1,4 @@
-"""Whether a target may be given new work."""
+"""Availability of a target for new requests."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 FIRST_BACKOFF_MS = 500
 MAX_BACKOFF_MS = 4000
 RECHECK_MS = 4000
-LOST_POLLS = 2
+FAILURES_TO_FAIL = 2
 
 
 @attrs.frozen
 class Availability:
-    """What is known of one target.
+    """Observed state of one target.
 
     Attributes
     ----------
     is_leaving : bool
-        Whether its own last word was that it leaves.
+        Whether the target last reported that it is leaving.
     failures : int
-        Failures since it last answered.
+        Failures since its last answer.
     is_failed : bool
-        Whether the failures keep it from new work.
+        Whether it gets no new requests because of the failures.
     check_at : int
-        Monotonic milliseconds from which it may be asked again whether it
-        takes work; of no use while it does.
+        Monotonic milliseconds from which an unavailable target may be
+        probed again; ignored while the target is available.
     """
 
     is_leaving: bool = False
@@ -38,87 +38,90 @@
 
     @property
     def is_usable(self) -> bool:
-        """Whether neither its own word nor failures speak against it."""
+        """Whether the target is neither leaving nor failed."""
         return not self.is_leaving and not self.is_failed
 
 
 def hear_word(
-    known: Availability, readiness: Readiness, now: int
+    current: Availability, readiness: Readiness, now: int
 ) -> Availability:
-    """Take in what the target said itself, in an answer or to a poll.
+    """Apply the readiness from an answer or a poll of the target.
 
-    A leaving target is one that answers, so its failures are forgotten in
-    either case.
+    A target that reports that it is leaving did answer, so its failures are
+    reset in either case.
     """
     if readiness is Readiness.UNREACHABLE:
-        return known
+        return current
     if readiness is Readiness.READY:
         return Availability()
     return Availability(is_leaving=True, check_at=now + RECHECK_MS)
 
 
 def hear_news(
-    known: Availability, readiness: Readiness, now: int
+    current: Availability, readiness: Readiness, now: int
 ) -> Availability:
-    """Take in what another entry heard the target say.
+    """Apply the readiness of a target that another entry reported.
 
-    The count of failures stays: when the target cannot be reached from
-    here, though the other entry can, the next failure is followed by a
-    longer wait instead of the shortest.
+    The failure count is kept: if only the other entry can reach the
+    target, the next local failure continues the backoff instead of
+    starting again with the shortest delay.
     """
     if readiness is not Readiness.READY:
-        return hear_word(known, readiness, now)
-    return attrs.evolve(known, is_leaving=False, is_failed=False)
+        return hear_word(current, readiness, now)
+    return attrs.evolve(current, is_leaving=False, is_failed=False)
 
 
 def note_failure(
-    known: Availability, now: int, jitter: float, is_certain: bool = True
+    current: Availability, now: int, jitter: float, is_certain: bool = True
 ) -> Availability:
-    """Take in that a call of the target failed.
+    """Record a failed call to the target.
 
     Parameters
     ----------
-    known : Availability
-        What is known.
+    current : Availability
+        State before the failure.
     now : int
         Monotonic milliseconds.
     jitter : float
-        Random number from 0 to 1 that spreads the checks of entries which
-        noticed the same failure at the same time.
+        Random number from 0 to 1. It spreads the checks of entries that
+        detected the same failure at the same time.
     is_certain : bool, optional
-        False for a poll without an answer, which may be lost by chance or
-        late under load; two of them in a row count.
+        False for a poll without an answer, which may have been lost or
+        delayed by load; the target fails after `FAILURES_TO_FAIL` failures in
+        a row.
 
     Returns
     -------
     Availability
-        With the time of the next check after exponential backoff.
+        State with the time of the next check, after exponential backoff.
     """
-    failures = known.failures + 1
+    failures = current.failures + 1
     backoff = min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** min(failures - 1, 8))
     return attrs.evolve(
-        known,
+        current,
         failures=failures,
-        is_failed=known.is_failed or is_certain or failures >= LOST_POLLS,
+        is_failed=current.is_failed
+        or is_certain
+        or failures >= FAILURES_TO_FAIL,
         check_at=now + int(backoff * (0.5 + jitter / 2)),
     )
 
 
 def decide(
-    known: Availability, is_configured_leaving: bool, is_host_leaving: bool
+    current: Availability, is_configured_leaving: bool, is_host_leaving: bool
 ) -> Readiness:
-    """Decide whether a target may be given new work.
+    """Return whether a target may receive new requests.
 
-    The operator, the platform's list and the target itself may each know
-    first that it leaves, and any of them is enough.
+    The configuration, the platform's host list or the target itself may be
+    the first to state that it is leaving; any of them is sufficient.
     """
-    if is_configured_leaving or is_host_leaving or known.is_leaving:
+    if is_configured_leaving or is_host_leaving or current.is_leaving:
         return Readiness.LEAVING
-    if known.is_failed:
+    if current.is_failed:
         return Readiness.UNREACHABLE
     return Readiness.READY
 
 
-def postpone(known: Availability, now: int) -> Availability:
-    """Put the next check off while one is on its way."""
-    return attrs.evolve(known, check_at=now + RECHECK_MS)
+def postpone(current: Availability, now: int) -> Availability:
+    """Postpone the next check while one is in progress."""
+    return attrs.evolve(current, check_at=now + RECHECK_MS)
--- a/src/thornspool/domain/targets/messages.py
+++ b/src/thornspool/domain/targets/messages.py
@@ -1,4 +1,4 @@
-"""Typed messages about targets."""
+"""Messages about targets."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Readiness(enum.Enum):
-    """Whether a target may be given new work."""
+    """Whether a target may receive new requests."""
 
     READY = 'ready'
     LEAVING = 'leaving'
@@ -18,24 +18,24 @@
 
 @attrs.frozen
 class LoadReport:
-    """What a target says of its own load; it lags.
+    """Load that a target reports of itself; it lags behind the actual load.
 
     Attributes
     ----------
     target : str
         Name of the target.
     received_at : int
-        Monotonic milliseconds at which this entry received it.
+        Monotonic milliseconds at which this entry received the report.
     readiness : Readiness
-        What the target says of itself.
+        Readiness that the target reports.
     running : int
         Requests in its batch.
     waiting : int
         Requests in its queue.
     max_batch : int
-        Largest batch.
+        Maximum number of requests in its batch.
     step_ms : float
-        Time of one step of its batch, in milliseconds.
+        Duration of one step of its batch, in milliseconds.
     """
 
     target: str
@@ -48,27 +48,27 @@
 
 
 class TargetView(typing.Protocol):
-    """What this entry believes of targets."""
+    """Readiness and load of targets as this entry observes them."""
 
     def read_readiness(self, target: str) -> Readiness:
-        """Return whether a target may be given new work now."""
+        """Return whether a target may receive new requests now."""
         ...
 
     def read_load(self, target: str) -> LoadReport | None:
-        """Return the last load report of a target, None before the first."""
+        """Return the last load report of a target; None before the first."""
         ...
 
 
 @attrs.frozen
 class TargetNews:
-    """Told between entries: what targets have said of themselves.
+    """State update between entries: readiness that targets reported.
 
     Attributes
     ----------
     leaving : tuple of str
-        Names of targets that said they leave.
+        Names of the targets that reported that they are leaving.
     ready : tuple of str
-        Names of targets that are ready again.
+        Names of the targets that are ready again.
     """
 
     leaving: tuple[str, ...] = ()
@@ -77,12 +77,12 @@
 
 @attrs.frozen
 class HostNews:
-    """Told between entries: the platform's list has changed.
+    """State update between entries: the platform's host list has changed.
 
     Attributes
     ----------
     leaving : tuple of str
-        All hosts that the list has as leaving, sorted.
+        All hosts that the list marks as leaving, sorted.
     """
 
     leaving: tuple[str, ...] = ()
--- a/tests/domain/targets/__init__.py
+++ b/tests/domain/targets/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package domain targets."""
+"""Tests of the package domain.targets."""
