--- a/src/thornspool/domain/membership/__init__.py
+++ b/src/thornspool/domain/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which entries are alive, from gossip."""
+"""Membership of entries, maintained by gossip."""
--- a/src/thornspool/domain/membership/broadcasts.py
+++ b/src/thornspool/domain/membership/broadcasts.py
@@ -1,4 +1,4 @@
-"""Updates waiting to be sent along, each a bounded number of times."""
+"""Queue of updates for broadcast, each sent a bounded number of times."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 
 class Broadcasts:
-    """Members with news to spread.
+    """Members whose state is queued for broadcast.
 
-    The news itself is made from the table when it is sent, so a newer state
-    replaces an older one that still waits.
+    The update is built from the member table when it is sent, so a newer
+    state replaces an older one that is still queued.
 
     Parameters
     ----------
     transmissions : int
-        Times that an update is sent, for each decimal digit of the number
+        How often an update is sent, for each decimal digit of the number
         of members.
     """
 
@@ -35,45 +35,48 @@
         return len(self._waiting)
 
     def add(self, incarnation: str, with_identity: bool) -> None:
-        """Spread news of a member from the start.
+        """Queue the state of a member, with its send count at zero.
 
         Parameters
         ----------
         incarnation : str
-            The member.
+            Incarnation of the member.
         with_identity : bool
-            Whether receivers may not know it.
+            Whether the identity is sent, for receivers that lack it.
         """
-        waiting = self._waiting.get(incarnation)
-        if waiting is not None:
-            with_identity = with_identity or waiting.with_identity
+        queued = self._waiting.get(incarnation)
+        if queued is not None:
+            with_identity = with_identity or queued.with_identity
         self._waiting[incarnation] = _Broadcast(0, with_identity)
 
-    def note_heard(self, incarnation: str) -> None:
-        """Note that another member knew the news already.
+    def record_duplicate(self, incarnation: str) -> None:
+        """Record that another member sent an update already held here.
 
-        It counts as sent once more, so that news stops sooner when most
-        have it (Demers et al.: "Epidemic Algorithms for Replicated Database
-        Maintenance", 1987, section 1.4).
+        It counts as one more transmission, so that a broadcast stops sooner
+        when most members have it (Demers et al.: "Epidemic Algorithms for
+        Replicated Database Maintenance", 1987, section 1.4).
         """
-        waiting = self._waiting.get(incarnation)
-        if waiting is not None:
-            waiting.sent += 1
+        queued = self._waiting.get(incarnation)
+        if queued is not None:
+            queued.sent += 1
 
-    def take(self, count: int, members: int) -> list[tuple[str, bool]]:
-        """Take the news that was sent least often.
+    def select(self, count: int, members: int) -> list[tuple[str, bool]]:
+        """Select the updates that were sent least often.
+
+        Each selected update counts as sent once more, and is removed when
+        it reaches its number of transmissions.
 
         Parameters
         ----------
         count : int
-            Most to take.
+            Maximum number of updates.
         members : int
             Number of live members.
 
         Returns
         -------
         list of tuple of str and bool
-            Incarnation, and whether its identity has to be told.
+            Incarnation, and whether its identity has to be sent.
         """
         if not self._waiting:
             return []
--- a/src/thornspool/domain/membership/drains.py
+++ b/src/thornspool/domain/membership/drains.py
@@ -1,4 +1,4 @@
-"""When an entry that leaves may exit."""
+"""Drain of an entry: when it may exit."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Phase(enum.Enum):
-    """How far an entry is on its way out."""
+    """Phase of a drain."""
 
     SERVING = 'serving'
     UNLISTED = 'unlisted'
@@ -24,7 +24,7 @@
     began_at : int or None
         Monotonic milliseconds; None while the entry serves.
     in_flight : int
-        Requests that have not got their whole answer.
+        Requests whose response is not complete.
     """
 
     began_at: int | None = None
@@ -32,10 +32,10 @@
 
 
 def begin(drain: Drain, now: int) -> Drain:
-    """Start to leave.
+    """Start the drain.
 
-    A second order changes nothing: neither is the wait begun again, nor is
-    anything in flight cut off.
+    A second call changes nothing: it neither restarts the wait nor aborts
+    in-flight requests.
     """
     if drain.began_at is not None:
         return drain
@@ -43,24 +43,24 @@
 
 
 def decide_phase(drain: Drain, linger_ms: int, now: int) -> Phase:
-    """Decide how far an entry is.
+    """Decide the phase of a drain.
 
     Parameters
     ----------
     drain : Drain
-        State.
+        State of the drain.
     linger_ms : int
-        How long callers may still come with the address. An entry that
-        exits sooner leaves them with a refused connection, of which they
-        cannot tell whether it is a fault, instead of "not run, use these".
+        How long callers may still use the address, in milliseconds. If the
+        entry exits sooner they get a refused connection, which looks like a
+        fault, instead of the response "not run, use these".
     now : int
         Monotonic milliseconds.
 
     Returns
     -------
     Phase
-        ``DRAINED`` only when nothing is in flight. No time limit overrules
-        this: each request has its own deadline, and that bounds the wait.
+        ``DRAINED`` only when no request is in flight. There is no further
+        time limit: the deadline of each request bounds the wait.
     """
     if drain.began_at is None:
         return Phase.SERVING
--- a/src/thornspool/domain/membership/machine.py
+++ b/src/thornspool/domain/membership/machine.py
@@ -1,8 +1,8 @@
-"""Membership by gossip: probing, suspicion, refutation and spreading.
+"""Membership by gossip: probing, suspicion, refutation and broadcast.
 
-After SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent
-Infection-style Process Group Membership Protocol", 2002). Differences and
-their reasons stand in docs/design/membership.md.
+Based on SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent
+Infection-style Process Group Membership Protocol", 2002). The differences
+and their reasons are described in docs/design/membership.md.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 
 import attrs
 
-from thornspool.domain.membership import beliefs
 from thornspool.domain.membership import messages
 from thornspool.domain.membership import partners
 from thornspool.domain.membership import probes
 from thornspool.domain.membership import records
 from thornspool.domain.membership import settings as settings_module
+from thornspool.domain.membership import state
 from thornspool.domain.membership import views
 
 if typing.TYPE_CHECKING:
@@ -25,22 +25,24 @@
     import random as randoms
 
 
-_MAX_POLLED = 64
+_MAX_POLLED_MEMBERS = 64
 
 
 class Machine:
-    """One member of the gossip; pure but for its own state.
+    """Gossip protocol of one member, without I/O.
+
+    Methods return the commands to execute.
 
     Parameters
     ----------
     identity : Identity
-        This process.
+        Identity of this process.
     now : int
         Monotonic milliseconds.
     random : random.Random
-        Source of every choice.
+        Source of all random choices.
     settings : Settings, optional
-        Periods, timeouts and bounds.
+        Periods, timeouts and limits.
     """
 
     def __init__(
@@ -51,76 +53,78 @@
         settings: settings_module.Settings | None = None,
     ) -> None:
         self.settings = settings or settings_module.Settings()
-        self._beliefs = beliefs.Beliefs(identity, self.settings)
+        self._beliefs = state.MembershipState(identity, self.settings)
         self._random = random
         self._probes = probes.Probes(self.settings, random)
         self._seeds: tuple[str, ...] = ()
         self._join_tries = self.settings.join_tries
         self._last_tick = now
-        # The first probe falls at a random point of the period, or members
-        # that start together would all send at the same moments.
+        # The first probe is sent at a random point of the period; otherwise
+        # members that start together would all send at the same moments.
         self._probe_at = now + random.randrange(self.settings.period_ms)
         self._sync_at = now
         self._compare_at = now
         self._push_at: int | None = None
         self._pushed_at = now - self.settings.push_interval_ms
-        self._reported = (0, now)
+        self._last_report = (0, now)
         self._commands: list[messages.Command] = []
 
     @property
     def view(self) -> views.View:
-        """The table of members."""
+        """The member table."""
         return self._beliefs.view
 
     @property
     def is_settled(self) -> bool:
-        """Whether there is no news left to spread."""
+        """Whether no update is waiting to be broadcast."""
         return self._beliefs.is_settled
 
     @property
     def own(self) -> records.Record:
-        """What this process says of itself."""
+        """Record of this process."""
         return self._beliefs.own
 
     def set_seeds(self, addresses: Iterable[str]) -> None:
-        """Replace the addresses at which other members may be found."""
+        """Replace the addresses at which other members may run."""
         own = self.own.identity.peer_address
         self._seeds = tuple(a for a in addresses if a != own)
 
     def set_version(self, version: int) -> list[messages.Command]:
-        """Note the configuration version in force here and spread it."""
+        """Record the configuration version in force and broadcast it."""
         if version <= self.own.version:
             return []
         self._beliefs.set_version(version)
         self._push(partners.list_behind(self.view, version))
-        return self._take_commands()
+        return self._pop_commands()
 
     def poll_versions(self, version: int, now: int) -> list[messages.Command]:
-        """Ask members not known to be at a version, 64 at a time."""
+        """Probe members not known to have a version, at most 64 a call."""
         behind = partners.list_behind(self.view, version)
-        for record in partners.sample(behind, _MAX_POLLED, self._random):
+        for record in partners.sample(
+            behind, _MAX_POLLED_MEMBERS, self._random
+        ):
             self._ping(record, self._probes.start(record.incarnation, now))
-        return self._take_commands()
+        return self._pop_commands()
 
     def leave(self) -> list[messages.Command]:
-        """Say that this process leaves; it stays a member until it quits."""
+        """Announce that this process leaves; it remains a member."""
         self._beliefs.leave(messages.Status.ALIVE)
         self._push(partners.list_live_others(self.view))
-        return self._take_commands()
+        return self._pop_commands()
 
     def quit(self) -> list[messages.Command]:
-        """Say that this process is gone, so that nobody has to find out."""
+        """Announce the exit of this process, to save its detection."""
         self._beliefs.leave(messages.Status.LEFT)
         self._push(partners.list_live_others(self.view))
-        return self._take_commands()
+        return self._pop_commands()
 
     def tick(self, now: int) -> list[messages.Command]:
-        """Do what is due; called several times in each period."""
+        """Run the work that is due; called several times a period."""
         if not self.own.is_live:
             return []
-        self._check_pause(now)
+        self._handle_suspension(now)
         self._relay_slow_probes(now)
-        for incarnation in self._probes.take_failed(now):
+        for incarnation in self._probes.pop_failed(now):
             self._beliefs.suspect(incarnation, now)
         self._beliefs.expire(now)
         if now >= self._probe_at:
@@ -128,31 +132,31 @@
             self._probe(now)
         if now >= self._sync_at:
             self._sync(now)
-        self._push_news(now)
-        return self._take_commands()
+        self._push_updates(now)
+        return self._pop_commands()
 
     def receive(
         self, sender: str, message: messages.Message, now: int
     ) -> list[messages.Command]:
-        """Take a message in.
+        """Handle a message.
 
         Parameters
         ----------
         sender : str
             Incarnation of the sending process.
         message : Message
-            What it sent.
+            The message.
         now : int
             Monotonic milliseconds.
 
         Returns
         -------
         list of Command
-            What is to be done.
+            Commands to execute.
         """
         if not self.own.is_live or sender == self.own.incarnation:
             return []
-        size = len(self.view.list_live())
+        live_count = len(self.view.list_live())
         self._hear(sender, message.gossip, now)
         match message:
             case messages.Ping():
@@ -160,37 +164,38 @@
             case messages.Ack():
                 self._pass_on(message)
             case messages.PingRequest():
-                self._probe_for(message, now)
+                self._probe_on_behalf(message, now)
             case messages.SyncRequest():
                 self._answer_sync(sender, message)
             case messages.SyncReply():
-                self._take_sync(sender, message, size, now)
-        return self._take_commands()
+                self._apply_sync(sender, message, live_count, now)
+        return self._pop_commands()
 
-    # Hearing.
+    # Receiving.
 
     def _hear(self, sender: str, gossip: messages.Gossip, now: int) -> None:
-        own_word = messages.Update(
+        own_update = messages.Update(
             sender,
             messages.Status.ALIVE,
             gossip.counter,
             version=gossip.version,
         )
-        self._beliefs.merge(own_word, now)
+        self._beliefs.merge(own_update, now)
         for update in gossip.updates:
             self._beliefs.merge(update, now)
-        self._beliefs.hear_applied(gossip.applied)
+        self._beliefs.apply_versions(gossip.applied)
         self._report_version(sender, gossip, now)
         self._compare_views(sender, gossip, now)
 
     def _compare_views(
         self, sender: str, gossip: messages.Gossip, now: int
     ) -> None:
-        """Compare tables soon with a member that lists others as live.
+        """Request a sync from a member whose list of live members differs.
 
-        Gossip reaches nearly all. The few that miss news would go on with
-        their old list until the next regular comparison, seconds later.
-        While there is news on its way lists differ anyhow.
+        Gossip reaches nearly all members. The few that miss an update would
+        keep an outdated list until the next periodic sync, seconds later.
+        While updates are still being broadcast the lists differ in any
+        case, so no sync is requested then.
         """
         view = self.view.summarize_versions().view
         if gossip.applied.view == view or not self._beliefs.is_settled:
@@ -207,14 +212,14 @@
         version = max(gossip.version, gossip.applied.version)
         if version <= self.own.version:
             return
-        reported, reported_at = self._reported
-        is_recent = now - reported_at < self.settings.renotify_ms
-        if version <= reported and is_recent:
+        reported, reported_at = self._last_report
+        was_recent = now - reported_at < self.settings.renotify_ms
+        if version <= reported and was_recent:
             return
         source = self._find_source(sender, gossip, version)
         if source is None:
             return
-        self._reported = (version, now)
+        self._last_report = (version, now)
         address = source.identity.peer_address
         self._commands.append(messages.ReportVersion(address, version))
 
@@ -235,27 +240,29 @@
             self._ping(record, self._probes.start(record.incarnation, now))
 
     def _ping(self, record: records.Record, sequence: int) -> None:
-        gossip = self._beliefs.tell(record.incarnation)
+        gossip = self._beliefs.build_gossip(record.incarnation)
         address = self.own.identity.peer_address
-        target = views.shorten(record.incarnation)
+        target = views.compute_short_digest(record.incarnation)
         self._send(record, messages.Ping(sequence, address, target, gossip))
 
     def _answer_ping(self, sender: str, ping: messages.Ping) -> None:
-        if ping.target != views.shorten(self.own.incarnation):
+        if ping.target != views.compute_short_digest(self.own.incarnation):
             return
-        ack = messages.Ack(ping.sequence, self._beliefs.tell(sender))
+        ack = messages.Ack(ping.sequence, self._beliefs.build_gossip(sender))
         self._send_to(ping.address, ack)
         if self.view.find(sender) is None:
             self._request_sync(ping.address)
 
     def _pass_on(self, ack: messages.Ack) -> None:
-        relay = self._probes.settle(ack.sequence)
+        relay = self._probes.complete(ack.sequence)
         if relay is None:
             return
-        passed = messages.Ack(relay.sequence, self._beliefs.tell())
-        self._send_to(relay.address, passed)
+        relayed = messages.Ack(relay.sequence, self._beliefs.build_gossip())
+        self._send_to(relay.address, relayed)
 
-    def _probe_for(self, request: messages.PingRequest, now: int) -> None:
+    def _probe_on_behalf(
+        self, request: messages.PingRequest, now: int
+    ) -> None:
         record = self.view.find(request.target)
         if record is None:
             return
@@ -271,35 +278,35 @@
             for relay in partners.sample(
                 others, self.settings.relays, self._random
             ):
-                gossip = self._beliefs.tell(relay.incarnation)
+                gossip = self._beliefs.build_gossip(relay.incarnation)
                 request = messages.PingRequest(
                     sequence, address, probe.target, gossip
                 )
                 self._send(relay, request)
 
-    def _check_pause(self, now: int) -> None:
-        """Give everybody the time back that this process slept.
+    def _handle_suspension(self, now: int) -> None:
+        """Extend all timers by the time that this process was suspended.
 
-        A process that was frozen finds all its timers overdue when it
-        wakes, while the acknowledgements and refutations still wait in its
-        sockets. It would hold others for dead who did nothing wrong, and
-        say so to everybody. After so long a sleep that others may have
-        forgotten their dead, it would even bring these back, so it starts
-        over with nothing but addresses.
+        A process that was suspended finds all its timers overdue when it
+        resumes, while acknowledgements and refutations are still unread in
+        its sockets. Without the extension it would declare healthy members
+        dead and broadcast that. After a suspension so long that others may
+        have removed their dead members, it would even bring those back, so
+        it then drops all records and keeps only the addresses.
         """
-        gap = now - self._last_tick
+        elapsed_ms = now - self._last_tick
         self._last_tick = now
-        if gap < self.settings.pause_ms:
+        if elapsed_ms < self.settings.pause_ms:
             return
         self._probes.clear()
-        self._beliefs.postpone(gap)
+        self._beliefs.postpone_expiry(elapsed_ms)
         self._sync_at = now
-        if gap >= self.settings.dead_memory_ms:
-            addresses = self._beliefs.start_over()
+        if elapsed_ms >= self.settings.dead_memory_ms:
+            addresses = self._beliefs.reset()
             self.set_seeds(dict.fromkeys([*self._seeds, *addresses]))
             self._join_tries = self.settings.join_tries
 
-    # The comparison of whole tables.
+    # Sync of whole tables.
 
     def _sync(self, now: int) -> None:
         period = self.settings.sync_period_ms
@@ -309,26 +316,26 @@
             period = self.settings.period_ms
         jitter = self._random.randrange(period // 2)
         self._sync_at = now + period * 3 // 4 + jitter
-        address = partners.choose_to_sync(
+        address = partners.choose_sync_address(
             self.view, self._seeds, self._random, prefers_lost=is_joining
         )
         if address is not None:
             self._request_sync(address)
 
     def _is_joining(self) -> bool:
-        # Entries that start together find each other first and would rest
-        # as small islands, each with its own list, until the next regular
-        # comparison. So a new member goes on with its seeds for a while.
+        # Entries that start together find each other first and would remain
+        # in small separate groups, each with its own list, until the next
+        # periodic sync. So a new member syncs with its seeds repeatedly.
         if len(self.view.list_live()) == 1:
             return True
         if self._join_tries <= 0:
             return False
-        return bool(partners.list_lost(self.view, self._seeds))
+        return bool(partners.list_lost_addresses(self.view, self._seeds))
 
     def _request_sync(self, address: str) -> None:
-        own_word = records.describe(self.own, with_identity=True)
-        gossip = self._beliefs.tell()
-        gossip = attrs.evolve(gossip, updates=(own_word, *gossip.updates))
+        own_update = records.describe(self.own, with_identity=True)
+        gossip = self._beliefs.build_gossip()
+        gossip = attrs.evolve(gossip, updates=(own_update, *gossip.updates))
         request = messages.SyncRequest(
             self.own.identity.peer_address, self.view.pack_digests(), gossip
         )
@@ -338,14 +345,14 @@
         buckets = self.view.compare_digests(request.digests)
         self._send_records(sender, request.address, buckets, buckets)
 
-    def _take_sync(
-        self, sender: str, reply: messages.SyncReply, size: int, now: int
+    def _apply_sync(
+        self, sender: str, reply: messages.SyncReply, live_count: int, now: int
     ) -> None:
-        # Who has just joined learns everything here that all others know;
-        # spread from here, it would be told to each of them many times.
-        is_spread = 2 * size > len(reply.records)
+        # A member that has just joined receives records that all others
+        # already have; broadcasting them would send each of them many times.
+        should_broadcast = 2 * live_count > len(reply.records)
         for update in reply.records:
-            self._beliefs.merge(update, now, is_spread)
+            self._beliefs.merge(update, now, should_broadcast)
         record = self.view.find(sender)
         if record is not None:
             address = record.identity.peer_address
@@ -362,22 +369,22 @@
             return
         updates = tuple(
             records.describe(record, with_identity=True)
-            for record in self.view.list_buckets(buckets)
+            for record in self.view.list_bucket_records(buckets)
         )
-        gossip = self._beliefs.tell(receiver)
+        gossip = self._beliefs.build_gossip(receiver)
         reply = messages.SyncReply(wanted, updates, gossip)
         self._send_to(address, reply)
 
     # Sending.
 
-    def _push_news(self, now: int) -> None:
-        if self._beliefs.has_news and self._push_at is None:
+    def _push_updates(self, now: int) -> None:
+        if self._beliefs.has_updates and self._push_at is None:
             earliest = self._pushed_at + self.settings.push_interval_ms
             delayed = now + self.settings.push_delay_ms
             self._push_at = max(delayed, earliest)
         if self._push_at is None or now < self._push_at:
             return
-        self._beliefs.has_news = False
+        self._beliefs.has_updates = False
         self._push_at = None
         self._pushed_at = now
         self._push(partners.list_live_others(self.view))
@@ -385,7 +392,7 @@
     def _push(self, members: Sequence[records.Record]) -> None:
         count = self.settings.push_fanout
         for record in partners.sample(members, count, self._random):
-            gossip = self._beliefs.tell(record.incarnation)
+            gossip = self._beliefs.build_gossip(record.incarnation)
             self._send(record, messages.News(gossip))
 
     def _send(self, record: records.Record, message: messages.Message) -> None:
@@ -394,6 +401,6 @@
     def _send_to(self, address: str, message: messages.Message) -> None:
         self._commands.append(messages.Send(address, message))
 
-    def _take_commands(self) -> list[messages.Command]:
+    def _pop_commands(self) -> list[messages.Command]:
         commands, self._commands = self._commands, []
         return commands
--- a/src/thornspool/domain/membership/messages.py
+++ b/src/thornspool/domain/membership/messages.py
@@ -1,4 +1,4 @@
-"""Messages between entries about who is alive, and the commands that result.
+"""Membership messages between entries, and commands of the protocol.
 
 Every message carries a :class:`Gossip`: the sender's state and a bounded
 number of updates.
@@ -12,7 +12,7 @@
 
 
 class Status(enum.IntEnum):
-    """What is believed of a member; a higher one wins at equal counters."""
+    """Status of a member; the higher one wins at equal counters."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -22,14 +22,14 @@
 
 @attrs.frozen
 class Identity:
-    """What never changes during the life of one process.
+    """Constant attributes of one process.
 
     Attributes
     ----------
     incarnation : str
-        Names the process.
+        Unique name of the process.
     host, failure_domain, region : str
-        Where it runs.
+        Where the process runs.
     peer_address : str
         ``tcp://ip:port`` for messages between entries.
     caller_url : str
@@ -46,22 +46,22 @@
 
 @attrs.frozen
 class Update:
-    """News of one member.
+    """State update of one member.
 
     Attributes
     ----------
     incarnation : str
-        The member.
+        Incarnation of the member.
     status : Status
-        What is believed of it.
+        Its status.
     counter : int
-        Raised by the member itself, and by nobody else, to refute.
+        Raised only by the member itself, to refute a suspicion.
     leaving : bool
-        Whether it has said that it leaves; never taken back.
+        Whether it has announced that it leaves; never reset.
     version : int
-        Configuration version last known to be in force there.
+        Highest configuration version known to be in force there.
     identity : Identity or None
-        Given where receivers may not know the member.
+        Set when receivers may have no record of the member.
     """
 
     incarnation: str
@@ -76,13 +76,14 @@
 class Applied:
     """Which members have a configuration version in force.
 
-    One bit a member is enough for those that hold the same list of live
-    members, so the cost of a message hardly grows with the fleet.
+    Entries with the same list of live members need only one bit a member,
+    so the size of a message hardly grows with the fleet.
 
     Attributes
     ----------
     version : int
-        Highest version that the sender knows to be in force anywhere.
+        Highest version that, as far as the sender knows, is in force on
+        any member.
     view : int
         Digest of the sender's sorted live members, 64 bits.
     bits : bytes
@@ -97,7 +98,7 @@
 
 @attrs.frozen
 class Gossip:
-    """What every message carries.
+    """State that every message carries.
 
     Attributes
     ----------
@@ -106,9 +107,9 @@
     version : int
         Configuration version in force at the sender.
     applied : Applied
-        Where the highest version is in force.
+        Members on which the highest version is in force.
     updates : tuple of Update
-        Bounded, the least often sent first.
+        A bounded number, the least often sent first.
     """
 
     counter: int
@@ -119,18 +120,18 @@
 
 @attrs.frozen
 class Ping:
-    """Asks one process for an :class:`Ack` to ``address``.
+    """Probe: requests an :class:`Ack` to ``address`` from one process.
 
     Attributes
     ----------
     sequence : int
-        Number of the probe.
+        Sequence number of the probe.
     address : str
-        Where to answer.
+        Peer address for the response.
     target : int
-        Short digest of the incarnation that is probed. A process that
-        restarts keeps its address; were it to answer for its predecessor,
-        that one would be listed for ever.
+        Short digest of the probed incarnation. A restarted process has the
+        address of its predecessor; if it answered probes of that one, the
+        predecessor would never be removed.
     gossip : Gossip
         As in every message.
     """
@@ -143,7 +144,7 @@
 
 @attrs.frozen
 class Ack:
-    """Answers the ping of that sequence number."""
+    """Response to the ping with that sequence number."""
 
     sequence: int
     gossip: Gossip
@@ -151,7 +152,7 @@
 
 @attrs.frozen
 class PingRequest:
-    """Asks a member to probe another and to pass its Ack on."""
+    """Requests that a member probe another and relay its Ack."""
 
     sequence: int
     address: str
@@ -161,23 +162,23 @@
 
 @attrs.frozen
 class News:
-    """Updates sent at once instead of with the next probe."""
+    """State updates sent immediately instead of with the next probe."""
 
     gossip: Gossip
 
 
 @attrs.frozen
 class SyncRequest:
-    """Asks for all that differs.
+    """Requests all records that differ.
 
     Attributes
     ----------
     address : str
-        Where to answer.
+        Peer address for the response.
     digests : bytes
         Digests of the sender's live records by bucket, 8 bytes each.
     gossip : Gossip
-        Holds the sender's own record.
+        Includes the sender's own record.
     """
 
     address: str
@@ -192,7 +193,7 @@
     Attributes
     ----------
     buckets : tuple of int
-        Buckets of which the sender wants the receiver's records.
+        Buckets whose records the sender requests from the receiver.
     records : tuple of Update
         The sender's records of the buckets that differ, with identities.
     gossip : Gossip
@@ -226,12 +227,12 @@
 
 @attrs.frozen
 class ReportVersion:
-    """Command: a higher configuration version is in force elsewhere.
+    """Command: report a higher configuration version in force elsewhere.
 
     Attributes
     ----------
     address : str
-        Peer address of a member that has it.
+        Peer address of a member with that version.
     version : int
         The version.
     """
--- a/src/thornspool/domain/membership/partners.py
+++ b/src/thornspool/domain/membership/partners.py
@@ -1,4 +1,4 @@
-"""Choice of the members that are spoken to."""
+"""Selection of the members to exchange messages with."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 def sample(
     members: Sequence[records.Record], count: int, random: randoms.Random
 ) -> list[records.Record]:
-    """Choose some members, fewer when there are not as many."""
+    """Return ``count`` random members, or all if there are fewer."""
     return random.sample(members, min(count, len(members)))
 
 
 def list_live_others(
     view: views.View, excluded: str = ''
 ) -> list[records.Record]:
-    """Return the live members without this process and one other."""
+    """Return the live members except this process and ``excluded``."""
     names = (view.own.incarnation, excluded)
     return [
         record
@@ -37,17 +37,18 @@
 
 
 def list_behind(view: views.View, version: int) -> list[records.Record]:
-    """Return the live others not known to have a version in force."""
+    """Return live other members not known to have a version in force."""
     return [r for r in list_live_others(view) if r.version < version]
 
 
-def list_lost(view: views.View, seeds: Iterable[str]) -> list[str]:
-    """Return addresses that may lead to members believed gone or unknown.
+def list_lost_addresses(view: views.View, seeds: Iterable[str]) -> list[str]:
+    """Return addresses where dead or unknown members may run.
 
     Returns
     -------
     list of str
-        The seeds and the remembered dead, without the live members; sorted.
+        Sorted addresses of the seeds and of dead members, except those of
+        live members.
     """
     lost = set(seeds)
     lost.update(
@@ -61,36 +62,36 @@
     return sorted(lost)
 
 
-def choose_to_sync(
+def choose_sync_address(
     view: views.View,
     seeds: Iterable[str],
     random: randoms.Random,
     prefers_lost: bool = False,
 ) -> str | None:
-    """Choose the address to compare tables with.
+    """Choose the address of the member to sync with.
 
-    Both sides of a long cut hold each other for dead and would never speak
-    again. So the remembered dead, and addresses of the platform's list
-    where no live member is known, get a share of the choices.
+    After a long network partition both sides list each other as dead and
+    would never exchange messages again. So the addresses of dead members,
+    and of seeds without a live member, get a share of the choices.
 
     Parameters
     ----------
     view : View
-        The table.
+        The member table.
     seeds : iterable of str
-        Peer addresses of the platform's list.
+        Peer addresses from the platform.
     random : random.Random
         Source of the choice.
     prefers_lost : bool, optional
-        Whether they come first instead of getting a share.
+        Whether these addresses are always chosen while there are any.
 
     Returns
     -------
     str or None
-        None when there is nobody.
+        None when there is no other member.
     """
     live = [r.identity.peer_address for r in list_live_others(view)]
-    lost = list_lost(view, seeds)
+    lost = list_lost_addresses(view, seeds)
     if lost and (not live or prefers_lost or random.random() < _LOST_SHARE):
         return random.choice(lost)
     return random.choice(live) if live else None
--- a/src/thornspool/domain/membership/probes.py
+++ b/src/thornspool/domain/membership/probes.py
@@ -1,4 +1,4 @@
-"""Probes in flight, own ones and those made for others."""
+"""Pending probes, both local and relayed for other members."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
     Attributes
     ----------
     target : str
-        Incarnation that is probed.
+        Incarnation of the probed member.
     started : int
         Monotonic milliseconds.
     is_indirect : bool
-        Whether others were asked to probe as well.
+        Whether relays have been requested to probe it as well.
     """
 
     target: str
@@ -37,14 +37,14 @@
 
 @attrs.frozen
 class Relay:
-    """A probe made for another member.
+    """A probe made on behalf of another member.
 
     Attributes
     ----------
     address : str
-        Peer address of who asked for it.
+        Peer address of the requesting member.
     sequence : int
-        Number that it gave the probe.
+        Sequence number that the requesting member assigned.
     started : int
         Monotonic milliseconds.
     """
@@ -55,7 +55,7 @@
 
 
 class Probes:
-    """Order of probing and probes without an answer yet.
+    """Probe order and pending probes.
 
     Parameters
     ----------
@@ -76,7 +76,7 @@
         self._relays: dict[int, Relay] = {}
 
     def choose_target(self, view: views.View) -> records.Record | None:
-        """Return the next member to probe, each once before any twice.
+        """Return the next member to probe, in random round-robin order.
 
         Returns
         -------
@@ -94,44 +94,48 @@
         return None
 
     def start(self, target: str, now: int) -> int:
-        """Note a probe and return its sequence number."""
+        """Record a probe and return its sequence number."""
         self._sequence += 1
         self._probes[self._sequence] = Probe(target, now)
         return self._sequence
 
     def start_relay(self, address: str, sequence: int, now: int) -> int:
-        """Note a probe for another member and return its own number."""
+        """Record a relayed probe and return its local sequence number."""
         self._sequence += 1
         self._relays[self._sequence] = Relay(address, sequence, now)
         return self._sequence
 
-    def settle(self, sequence: int) -> Relay | None:
-        """Take an answer in; return the relay that it is to be passed to."""
+    def complete(self, sequence: int) -> Relay | None:
+        """Remove an answered probe; return its relay if it has one."""
         self._probes.pop(sequence, None)
         return self._relays.pop(sequence, None)
 
     def list_slow(self, now: int) -> list[tuple[int, Probe]]:
-        """Return the probes that others are to help with from now on."""
-        bound = now - self._settings.direct_timeout_ms
+        """Return the overdue direct probes and mark them as indirect."""
+        started_before = now - self._settings.direct_timeout_ms
         slow = [
             (sequence, probe)
             for sequence, probe in self._probes.items()
-            if not probe.is_indirect and probe.started <= bound
+            if not probe.is_indirect and probe.started <= started_before
         ]
         for _, probe in slow:
             probe.is_indirect = True
         return slow
 
-    def take_failed(self, now: int) -> list[str]:
-        """Remove the probes whose time is up and return their targets."""
-        bound = now - self._settings.probe_timeout_ms
-        failed = [s for s, p in self._probes.items() if p.started <= bound]
-        stale = [s for s, r in self._relays.items() if r.started <= bound]
+    def pop_failed(self, now: int) -> list[str]:
+        """Remove the probes that timed out and return their targets."""
+        started_before = now - self._settings.probe_timeout_ms
+        failed = [
+            s for s, p in self._probes.items() if p.started <= started_before
+        ]
+        stale = [
+            s for s, r in self._relays.items() if r.started <= started_before
+        ]
         for sequence in stale:
             del self._relays[sequence]
         return [self._probes.pop(sequence).target for sequence in failed]
 
     def clear(self) -> None:
-        """Forget every probe in flight."""
+        """Drop all pending probes."""
         self._probes.clear()
         self._relays.clear()
--- a/src/thornspool/domain/membership/records.py
+++ b/src/thornspool/domain/membership/records.py
@@ -1,9 +1,10 @@
-"""What is known of one member, and how news of it is merged.
+"""Record of one member, and how updates are merged into it.
 
-The merge takes the greater of two beliefs in a fixed order, so it does not
-matter in which order or how often news arrives: members that have heard the
-same news hold the same belief, but that one may still suspect whom the other
-already holds for dead, until its timer has run out too.
+The merge takes the greater of two states in a fixed order, so the order and
+the number of times in which updates arrive do not matter: members that have
+received the same updates hold the same state. The one exception is that a
+member may still be suspected in one table and already dead in another, until
+the timer of the first expires too.
 """
 
 from __future__ import annotations
@@ -17,18 +18,18 @@
 
 @attrs.frozen
 class Record:
-    """What is known of one member.
+    """State of one member.
 
     Attributes
     ----------
     identity : Identity
-        Who it is.
+        Identity of the member.
     status : Status
-        What is believed.
+        Its status.
     counter : int
-        The member's counter that the belief is about.
+        The member's counter that the status refers to.
     leaving : bool
-        Whether it leaves; never taken back.
+        Whether it is leaving; never reset.
     version : int
         Highest configuration version known to be in force there.
     """
@@ -41,73 +42,74 @@
 
     @property
     def incarnation(self) -> str:
-        """Name of the process."""
+        """Incarnation of the process."""
         return self.identity.incarnation
 
     @property
     def is_live(self) -> bool:
-        """Whether it is believed to run, suspects included."""
+        """Whether it is alive or suspected."""
         return self.status <= Status.SUSPECT
 
 
-def merge(known: Record, update: messages.Update) -> Record:
-    """Merge news into what is known.
+def merge(current: Record, update: messages.Update) -> Record:
+    """Merge an update into a record.
 
-    Another member's word that this one is dead counts as a suspicion only.
-    When a cut heals, each side says so of all members of the other, and of
-    members whom its own side sees alive; taken at its word, every list
-    would be half empty until all had refuted. As a suspicion it leaves
-    them the time to do so.
+    A reported death counts as a suspicion only. When a network partition
+    heals, each side reports all members of the other as dead, although
+    these see each other alive. If the reports were applied directly, every
+    list would be half empty until all members had refuted. A suspicion
+    leaves them the time to refute.
 
     Parameters
     ----------
-    known : Record
-        What is known.
+    current : Record
+        The present record.
     update : Update
-        News of the same member.
+        Update of the same member.
 
     Returns
     -------
     Record
-        The same object when there is nothing new.
+        The same object when nothing changes.
     """
     status = update.status
-    if status is Status.DEAD and known.is_live:
+    if status is Status.DEAD and current.is_live:
         status = Status.SUSPECT
     merged = attrs.evolve(
-        known,
-        leaving=known.leaving or update.leaving,
-        version=max(known.version, update.version),
+        current,
+        leaving=current.leaving or update.leaving,
+        version=max(current.version, update.version),
     )
-    if _rank(status, update.counter) > _rank(known.status, known.counter):
+    if _rank(status, update.counter) > _rank(current.status, current.counter):
         merged = attrs.evolve(merged, status=status, counter=update.counter)
-    return known if merged == known else merged
+    return current if merged == current else merged
 
 
 def _rank(status: Status, counter: int) -> tuple[int, int]:
-    # A member raises its counter no more once it has left, so that it has
-    # left is the highest belief about it that can ever be held.
+    # A member that has left never raises its counter again, so LEFT ranks
+    # above every other state of it.
     return (counter, status)
 
 
 def differs(one: Record, other: Record) -> bool:
     """Return whether two records differ in more than the version.
 
-    Versions are spread by :class:`messages.Applied`; passing each on as
-    news would cost an update a member for every publication.
+    Versions are propagated by :class:`messages.Applied`; broadcasting each
+    change would cost one update a member for every publication.
     """
     return attrs.evolve(one, version=other.version) != other
 
 
-def accept(update: messages.Update) -> Record | None:
-    """Make the first record of a member from news.
+def create_record(update: messages.Update) -> Record | None:
+    """Create the first record of a member from an update.
 
     Returns
     -------
     Record or None
-        None when the news does not say who it is, or that it is gone.
-        Members hand each other records of the dead; if these were taken up
-        by who does not know them, they would never be forgotten.
+        None when the update has no identity, or says that the member is
+        dead or has left. Members send each other records of dead members;
+        if receivers without such a record created it anew, it would never
+        be removed from all tables.
     """
     if update.identity is None or update.status >= Status.DEAD:
         return None
@@ -121,7 +123,7 @@
 
 
 def describe(record: Record, with_identity: bool) -> messages.Update:
-    """Put a record into news."""
+    """Build the update that describes a record."""
     return messages.Update(
         record.incarnation,
         record.status,
--- a/src/thornspool/domain/membership/settings.py
+++ b/src/thornspool/domain/membership/settings.py
@@ -1,4 +1,4 @@
-"""Settings of gossip; docs/design/membership.md gives the figures."""
+"""Settings of gossip; docs/design/membership.md derives the values."""
 
 from __future__ import annotations
 
@@ -7,43 +7,44 @@
 
 @attrs.frozen
 class Settings:
-    """Periods, timeouts and bounds; all times in milliseconds.
+    """Periods, timeouts and limits; all times in milliseconds.
 
     Attributes
     ----------
     period_ms : int
-        One member is probed in each period.
+        Period in which one member is probed.
     direct_timeout_ms : int
-        Wait for the acknowledgement before others are asked to probe.
+        Timeout of the direct probe, after which relays are requested.
     probe_timeout_ms : int
-        Wait from the start of a probe until the member is suspected.
+        Time from the start of a probe until the member is suspected.
     relays : int
-        Members asked to probe in one's place.
+        Number of members requested to probe indirectly.
     suspicion_ms : int
-        Time a suspect has to refute; longer than two spreads of gossip.
+        Time in which a suspect can refute; longer than it takes gossip to
+        reach all members twice.
     dead_memory_ms : int
-        How long a dead member is remembered.
+        How long the record of a dead member is retained.
     sync_period_ms : int
-        Period of the full comparison with one member.
+        Period of the full sync with one member.
     compare_ms : int
-        Least time between comparisons made because lists differ.
+        Minimum time between syncs requested because lists differ.
     join_tries : int
-        Comparisons with seeds, one a period, after the start.
+        Number of syncs with seeds after the start, one a period.
     push_fanout : int
-        Members that news is sent to at once.
+        Number of members that an update is pushed to.
     push_delay_ms : int
-        Wait that gathers news into one message.
+        Delay that batches updates into one message.
     push_interval_ms : int
-        Least time between two such messages to the same number of members.
+        Minimum time between two pushes.
     max_updates : int
-        Most updates in one message, but for the full comparison.
+        Maximum number of updates in one message, except in a full sync.
     transmissions : int
-        Times that an update is sent, for each decimal digit of the number
+        How often an update is sent, for each decimal digit of the number
         of members.
     pause_ms : int
-        A gap between two ticks over this shows that the process was paused.
+        A longer time between two ticks means that the process was suspended.
     renotify_ms : int
-        Least time before the same higher version is reported again.
+        Minimum time before the same higher version is reported again.
     """
 
     period_ms: int = 1000
--- a/src/thornspool/domain/membership/views.py
+++ b/src/thornspool/domain/membership/views.py
@@ -1,4 +1,4 @@
-"""The table of known members with what is derived from it."""
+"""The member table, with cached digests and summaries."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
     Parameters
     ----------
     own : Record
-        This process.
+        Record of this process.
 
     Attributes
     ----------
     revision : int
-        Grows with each change.
+        Incremented with each change.
     """
 
     def __init__(self, own: records.Record) -> None:
@@ -52,7 +52,7 @@
         return iter(self._records.values())
 
     def find(self, incarnation: str) -> records.Record | None:
-        """Return the record of a member."""
+        """Return the record of a member, if there is one."""
         return self._records.get(incarnation)
 
     def put(self, record: records.Record) -> None:
@@ -67,14 +67,14 @@
             self._live = None
 
     def remove(self, incarnation: str) -> None:
-        """Forget a member."""
+        """Remove a member."""
         self._count(self._records.pop(incarnation))
         self._live = None
         self._applied = None
         self.revision += 1
 
     def list_live(self) -> tuple[str, ...]:
-        """Return the incarnations believed to run, sorted."""
+        """Return the sorted incarnations of live members."""
         if self._live is None:
             self._live = tuple(
                 sorted(record.incarnation for record in self if record.is_live)
@@ -87,41 +87,41 @@
         return _DIGESTS.pack(*self._digests)
 
     def compare_digests(self, packed: bytes) -> tuple[int, ...]:
-        """Return the buckets in which another table differs.
+        """Return the buckets that differ from another table.
 
         Parameters
         ----------
         packed : bytes
-            Digests of the other table. Anything of another length counts as
-            different throughout.
+            Digests of the other table. With any other length, all buckets
+            count as different.
         """
         if len(packed) != _DIGESTS.size:
             return tuple(range(BUCKETS))
         pairs = zip(self._digests, _DIGESTS.unpack(packed), strict=True)
         return tuple(i for i, (own, other) in enumerate(pairs) if own != other)
 
-    def list_buckets(
+    def list_bucket_records(
         self, buckets: tuple[int, ...]
     ) -> tuple[records.Record, ...]:
-        """Return the records of some buckets."""
+        """Return the records in the given buckets."""
         wanted = frozenset(buckets)
         return tuple(
             record for record in self if _choose_bucket(record) in wanted
         )
 
     def summarize_versions(self) -> messages.Applied:
-        """Return where the highest known version is in force."""
+        """Return the members on which the highest version is in force."""
         if self._applied is None:
-            self._applied = self._make_applied()
+            self._applied = self._build_applied()
         return self._applied
 
-    def list_applied(self, applied: messages.Applied) -> tuple[str, ...]:
-        """Return the members that another's summary says are up to date.
+    def list_up_to_date(self, applied: messages.Applied) -> tuple[str, ...]:
+        """Return the members that another's summary marks as up to date.
 
         Returns
         -------
         tuple of str
-            Empty when the other holds another list of live members.
+            Empty when the other's list of live members differs.
         """
         live = self.list_live()
         if applied.view != self._digest:
@@ -131,7 +131,7 @@
         bits = int.from_bytes(applied.bits, 'little')
         return tuple(name for i, name in enumerate(live) if bits >> i & 1)
 
-    def _make_applied(self) -> messages.Applied:
+    def _build_applied(self) -> messages.Applied:
         live = self.list_live()
         versions = [self._records[name].version for name in live]
         highest = max(versions, default=0)
@@ -150,8 +150,8 @@
         self._digests[_choose_bucket(record)] ^= _digest(record)
 
 
-def shorten(incarnation: str) -> int:
-    """Return a digest of an incarnation, 32 bits."""
+def compute_short_digest(incarnation: str) -> int:
+    """Return a 32-bit digest of an incarnation."""
     return _hash(incarnation) & _SHORT_MASK
 
 
--- a/tests/domain/membership/builders.py
+++ b/tests/domain/membership/builders.py
@@ -1,4 +1,4 @@
-"""A network of pure machines in memory, for the tests of this package."""
+"""In-memory network of gossip members, for the tests of this package."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 def build_identity(
     host: str = 'entry-1', process: int = 1
 ) -> messages.Identity:
-    """Build an identity whose addresses follow from the host."""
+    """Build an identity with addresses derived from the host name."""
     return messages.Identity(
         f'{host}-{process}',
         host,
@@ -30,10 +30,10 @@
 
 @attrs.define
 class Node:
-    """One process; a frozen one keeps what arrives until it is thawed."""
+    """One process; while suspended it keeps its messages unread."""
 
     machine: machine.Machine
-    is_frozen: bool = False
+    is_suspended: bool = False
     inbox: list[tuple[str, messages.Message]] = attrs.field(factory=list)
     reports: list[messages.ReportVersion] = attrs.field(factory=list)
 
@@ -50,7 +50,7 @@
 
 
 class Network:
-    """Machines, the messages between them, and the faults on the way."""
+    """Members, the messages in transit between them, and link faults."""
 
     def __init__(
         self, seed: int = 1, settings: settings_module.Settings | None = None
@@ -63,17 +63,17 @@
         self.cuts: set[frozenset[str]] = set()
         self._settings = settings
         self._random = random.Random(seed)
-        self._flying: list[tuple[int, str, str, messages.Message]] = []
+        self._in_transit: list[tuple[int, str, str, messages.Message]] = []
         self._processes = 0
 
     def start(self, host: str) -> Node:
-        """Start a process on a host; a former one there must be gone."""
+        """Start a process on a host that runs none."""
         self._processes += 1
         identity = build_identity(host, self._processes)
-        made = machine.Machine(
+        member = machine.Machine(
             identity, self.now, self._random, self._settings
         )
-        node = Node(made)
+        node = Node(member)
         self.seeds.add(node.address)
         self.nodes[node.address] = node
         for other in self.nodes.values():
@@ -81,45 +81,47 @@
         return node
 
     def start_many(self, count: int) -> list[Node]:
-        """Start processes on hosts of their own and let them meet."""
+        """Start one process a host and run until they know each other."""
         nodes = [self.start(f'host-{i}') for i in range(count)]
         self.run(5000)
         return nodes
 
     def kill(self, node: Node) -> None:
-        """End a process without a word."""
+        """End a process without an announcement."""
         del self.nodes[node.address]
 
     def quit(self, node: Node) -> None:
-        """End a process in order."""
-        self.carry_out(node, node.machine.quit())
+        """End a process that announces its exit."""
+        self.execute(node, node.machine.quit())
         self.kill(node)
 
     def cut(self, one: list[Node], other: list[Node]) -> None:
-        """Lose every message between two groups."""
+        """Drop every message between two groups."""
         self.cuts.update(
             frozenset((a.address, b.address)) for a in one for b in other
         )
 
     def run(self, milliseconds: int) -> None:
-        """Let time pass."""
+        """Advance the time by many ticks."""
         for _ in range(milliseconds // TICK_MS):
             self.step()
 
     def step(self) -> None:
-        """Let one tick pass."""
+        """Advance the time by one tick."""
         self.now += TICK_MS
-        due = [item for item in self._flying if item[0] <= self.now]
-        self._flying = [item for item in self._flying if item[0] > self.now]
+        due = [item for item in self._in_transit if item[0] <= self.now]
+        self._in_transit = [
+            item for item in self._in_transit if item[0] > self.now
+        ]
         for _, sender, address, message in due:
             if address in self.nodes:
                 self.nodes[address].inbox.append((sender, message))
         for node in list(self.nodes.values()):
-            if not node.is_frozen:
+            if not node.is_suspended:
                 self._advance(node)
 
-    def carry_out(self, node: Node, commands: list[messages.Command]) -> None:
-        """Put messages on their way and keep reports."""
+    def execute(self, node: Node, commands: list[messages.Command]) -> None:
+        """Send messages and record reports."""
         for command in commands:
             if isinstance(command, messages.ReportVersion):
                 node.reports.append(command)
@@ -127,12 +129,12 @@
                 self._send(node, command)
 
     def _advance(self, node: Node) -> None:
-        # A process that wakes looks at its timers before its sockets.
-        self.carry_out(node, node.machine.tick(self.now))
+        # A resumed process handles its timers before its sockets.
+        self.execute(node, node.machine.tick(self.now))
         inbox, node.inbox = node.inbox, []
         for sender, message in inbox:
             commands = node.machine.receive(sender, message, self.now)
-            self.carry_out(node, commands)
+            self.execute(node, commands)
 
     def _send(self, node: Node, command: messages.Send) -> None:
         if frozenset((node.address, command.address)) in self.cuts:
@@ -140,4 +142,6 @@
         if self._random.random() < self.loss:
             return
         due = self.now + self._random.randint(0, self.delay)
-        self._flying.append((due, node.name, command.address, command.message))
+        self._in_transit.append(
+            (due, node.name, command.address, command.message)
+        )
--- a/tests/domain/membership/test_machine.py
+++ b/tests/domain/membership/test_machine.py
@@ -35,14 +35,14 @@
         record = node.machine.view.find(name)
         return None if record is None else record.status
 
-    def test_members_meet_through_seeds(self) -> None:
+    def test_members_find_each_other_through_seeds(self) -> None:
         self.assert_agreed()
 
-    def test_islands_that_form_at_the_start_join_soon(self) -> None:
-        """All entries start at once, each with few addresses.
+    def test_groups_that_form_at_the_start_merge_soon(self) -> None:
+        """All entries start at once, each with a few seed addresses.
 
-        Those that meet first must not rest with lists of their own, which
-        their callers would take for all there is.
+        The first ones to find each other must not stay in separate groups,
+        whose incomplete lists their callers would use.
         """
         for seed in range(5):
             with self.subTest(seed=seed):
@@ -55,10 +55,10 @@
                 self.network.run(6000)
                 self.assert_agreed()
 
-    def test_killed_member_is_found_out(self) -> None:
+    def test_killed_member_is_detected(self) -> None:
         """A host loses power.
 
-        Its address must leave the list that callers get, or they go on
+        Its address must be removed from the list for callers, or they keep
         trying it.
         """
         self.network.kill(self.nodes.pop())
@@ -66,41 +66,42 @@
         self.assert_agreed()
 
     def test_member_behind_one_bad_link_stays(self) -> None:
-        """The link between two members breaks, others reach both.
+        """The link between two members fails while others reach both.
 
-        Taken for dead, a working entry would lose its callers.
+        If one of them were listed as dead, a working entry would lose its
+        callers.
         """
         self.network.cut(self.nodes[:1], self.nodes[1:2])
         for _ in range(300):
             self.network.step()
             self.assert_agreed()
 
-    def test_frozen_member_refutes_and_accuses_nobody(self) -> None:
-        """A process is stopped for a while and goes on.
+    def test_suspended_member_refutes_and_suspects_nobody(self) -> None:
+        """A process is suspended for a while and resumes.
 
-        It must be listed again under the same incarnation, and on waking
-        must not take the others for dead because its own timers are late.
+        It must be listed again under the same incarnation, and must not
+        declare the others dead because its own timers are overdue.
         """
-        for frozen_ms in (2000, 5000, 60_000):
-            with self.subTest(frozen_ms=frozen_ms):
-                frozen = self.nodes[0]
-                frozen.is_frozen = True
-                self.network.run(frozen_ms)
+        for suspended_ms in (2000, 5000, 60_000):
+            with self.subTest(suspended_ms=suspended_ms):
+                suspended = self.nodes[0]
+                suspended.is_suspended = True
+                self.network.run(suspended_ms)
                 counters = [n.machine.own.counter for n in self.nodes[1:]]
-                frozen.is_frozen = False
+                suspended.is_suspended = False
                 self.network.step()
-                self.assertEqual(self.list_names(), frozen.list_live())
+                self.assertEqual(self.list_names(), suspended.list_live())
                 self.network.run(DETECTION_MS)
                 self.assert_agreed()
                 self.assertEqual(
                     counters, [n.machine.own.counter for n in self.nodes[1:]]
                 )
 
-    def test_healed_cut_empties_no_list(self) -> None:
-        """Two regions lose each other for a minute and meet again.
+    def test_healed_partition_removes_no_member_of_a_side(self) -> None:
+        """A network partition between two regions heals after a minute.
 
-        Each side holds the other for dead and says so. Taken at its word,
-        every list would lose members that were never gone.
+        Each side reports the members of the other as dead. If those reports
+        were applied directly, every list would lose running members.
         """
         one, other = self.nodes[:3], self.nodes[3:]
         self.network.cut(one, other)
@@ -117,16 +118,17 @@
         self.assert_agreed()
 
     def test_leaving_member_stays_leaving(self) -> None:
-        """A host is drained while members accuse it and it refutes.
+        """A draining host is suspected and refutes.
 
-        Listed as staying again, it would get new callers until its end.
+        If the refutation reset its leaving state, it would get new callers
+        until it exits.
         """
         leaving = self.nodes[0]
-        self.network.carry_out(leaving, leaving.machine.leave())
+        self.network.execute(leaving, leaving.machine.leave())
         self.network.run(1000)
-        leaving.is_frozen = True
+        leaving.is_suspended = True
         self.network.run(8000)
-        leaving.is_frozen = False
+        leaving.is_suspended = False
         for _ in range(200):
             self.network.step()
             for node in self.nodes:
@@ -134,50 +136,50 @@
                 self.assertTrue(record and record.leaving)
         self.assert_agreed()
 
-    def test_member_that_quit_never_comes_back(self) -> None:
-        """Messages of a stopped process arrive after its farewell."""
-        gone = self.nodes.pop()
-        late = gone.machine.leave()
-        self.network.quit(gone)
+    def test_member_that_quit_is_never_listed_again(self) -> None:
+        """Messages of an exited process arrive after its LEFT update."""
+        exited = self.nodes.pop()
+        late = exited.machine.leave()
+        self.network.quit(exited)
         self.network.run(1000)
         self.assert_agreed()
-        self.network.carry_out(gone, late)
+        self.network.execute(exited, late)
         self.network.run(1000)
         self.assert_agreed()
 
-    def test_restarted_member_is_another(self) -> None:
+    def test_restarted_process_is_a_new_member(self) -> None:
         old = self.nodes.pop()
         self.network.kill(old)
         self.nodes.append(self.network.start('host-5'))
         self.network.run(DETECTION_MS)
         self.assert_agreed()
 
-    def test_version_reaches_all_and_is_known_to_be(self) -> None:
+    def test_version_reaches_all_and_the_origin_knows(self) -> None:
         origin = self.nodes[0]
         commands = origin.machine.set_version(5)
-        self.network.carry_out(origin, commands)
+        self.network.execute(origin, commands)
         self.network.run(2000)
         for node in self.nodes[1:]:
             self.assertEqual(5, node.reports[0].version)
             self.assertEqual(origin.address, node.reports[0].address)
-            self.network.carry_out(node, node.machine.set_version(5))
+            self.network.execute(node, node.machine.set_version(5))
         commands = origin.machine.poll_versions(5, self.network.now)
-        self.network.carry_out(origin, commands)
+        self.network.execute(origin, commands)
         self.network.run(500)
         versions = {r.version for r in origin.machine.view}
         self.assertEqual({5}, versions)
 
-    def test_long_sleeper_forgets_what_others_forgot(self) -> None:
-        """A process sleeps for so long that others forgot their dead.
+    def test_member_drops_its_records_after_a_long_suspension(self) -> None:
+        """A suspension lasts until others have removed a dead member.
 
-        It still holds one of them for alive. Passed on, the dead member
-        would be listed everywhere once more.
+        The suspended process still lists that member as alive. If it
+        broadcast its record, all others would list the dead member again.
         """
-        sleeper, victim = self.nodes[0], self.nodes.pop()
-        sleeper.is_frozen = True
+        suspended, victim = self.nodes[0], self.nodes.pop()
+        suspended.is_suspended = True
         self.network.kill(victim)
         self.network.run(settings.Settings().dead_memory_ms + DETECTION_MS)
-        sleeper.is_frozen = False
+        suspended.is_suspended = False
         for _ in range(100):
             self.network.step()
             for node in self.nodes[1:]:
@@ -185,12 +187,12 @@
         self.network.run(SETTLE_MS)
         self.assert_agreed()
 
-    def test_dead_are_forgotten(self) -> None:
-        """Hosts are replaced for months.
+    def test_dead_members_are_removed(self) -> None:
+        """Hosts are replaced continuously.
 
-        Each member that starts hears of the dead from others. If it kept
-        them for a while of its own and told others in turn, the table would
-        grow for ever.
+        Each new member receives records of dead members. If it retained
+        them for the full time and sent them to others in turn, the table
+        would grow without limit.
         """
         short = settings.Settings(dead_memory_ms=SHORT_MEMORY_MS)
         self.network = builders.Network(settings=short)
@@ -205,7 +207,7 @@
 
 
 class MembershipFuzz(stateful.RuleBasedStateMachine):
-    """Members under faults against a plain list of what was done."""
+    """Compares members under faults with a list of executed actions."""
 
     @stateful.initialize(
         seed=strategies.integers(0, 2**16),
@@ -222,9 +224,9 @@
         self.seen_leaving: set[tuple[str, str]] = set()
         self.highest = 0
         for number in range(4):
-            self.note(self.network.start(f'host-{number}'))
+            self.record_start(self.network.start(f'host-{number}'))
 
-    def note(self, node: builders.Node) -> None:
+    def record_start(self, node: builders.Node) -> None:
         self.started[node.name] = node
 
     def choose(self, number: int) -> builders.Node | None:
@@ -243,7 +245,7 @@
         former = self.network.nodes.get(address)
         if former is not None:
             self.network.kill(former)
-        self.note(self.network.start(f'host-{number}'))
+        self.record_start(self.network.start(f'host-{number}'))
 
     @stateful.rule(number=strategies.integers(0, 5))
     def kill(self, number: int) -> None:
@@ -252,22 +254,22 @@
             self.network.kill(node)
 
     @stateful.rule(number=strategies.integers(0, 5))
-    def freeze_or_thaw(self, number: int) -> None:
+    def suspend_or_resume(self, number: int) -> None:
         node = self.choose(number)
         if node is not None:
-            node.is_frozen = not node.is_frozen
+            node.is_suspended = not node.is_suspended
 
     @stateful.rule(number=strategies.integers(0, 5))
     def leave(self, number: int) -> None:
         node = self.choose(number)
-        if node is not None and not node.is_frozen:
-            self.network.carry_out(node, node.machine.leave())
+        if node is not None and not node.is_suspended:
+            self.network.execute(node, node.machine.leave())
             self.leaving.add(node.name)
 
     @stateful.rule(number=strategies.integers(0, 5))
     def quit(self, number: int) -> None:
         node = self.choose(number)
-        if node is None or node.is_frozen or len(self.network.nodes) <= 2:
+        if node is None or node.is_suspended or len(self.network.nodes) <= 2:
             return
         self.network.quit(node)
         self.quitted.add(node.name)
@@ -275,10 +277,10 @@
     @stateful.rule(number=strategies.integers(0, 5))
     def apply_version(self, number: int) -> None:
         node = self.choose(number)
-        if node is not None and not node.is_frozen:
+        if node is not None and not node.is_suspended:
             self.highest += 1
             commands = node.machine.set_version(self.highest)
-            self.network.carry_out(node, commands)
+            self.network.execute(node, commands)
 
     @stateful.rule(split=strategies.integers(1, 5))
     def cut(self, split: int) -> None:
@@ -306,16 +308,16 @@
         name = record.incarnation
         pair = (viewer, name)
         subject = self.started[name].machine.own
-        assert record.version <= subject.version, 'version made up'
-        assert record.counter <= subject.counter, 'counter made up'
+        assert record.version <= subject.version, 'version never set'
+        assert record.counter <= subject.counter, 'counter never reached'
         known = self.versions.get(pair, 0)
-        assert record.version >= known, 'version went back'
+        assert record.version >= known, 'version decreased'
         self.versions[pair] = record.version
         if record.leaving:
             assert name in self.leaving | self.quitted, 'never left'
             self.seen_leaving.add(pair)
         elif record.is_live:
-            assert pair not in self.seen_leaving, 'leaving taken back'
+            assert pair not in self.seen_leaving, 'leaving was reset'
 
     def teardown(self) -> None:
         if not hasattr(self, 'network'):
@@ -323,15 +325,15 @@
         self.network.cuts.clear()
         self.network.loss = 0.0
         for node in self.network.nodes.values():
-            node.is_frozen = False
+            node.is_suspended = False
         self.wait(SETTLE_MS)
         self.check_agreement()
 
     def check_agreement(self) -> None:
         nodes = self.network.nodes.values()
-        truth = tuple(sorted(node.name for node in nodes))
+        expected = tuple(sorted(node.name for node in nodes))
         for node in nodes:
-            assert node.list_live() == truth, (node.name, 'differs')
+            assert node.list_live() == expected, (node.name, 'differs')
             for other in nodes:
                 record = node.machine.view.find(other.name)
                 assert record is not None
--- a/tests/domain/membership/test_records.py
+++ b/tests/domain/membership/test_records.py
@@ -1,4 +1,4 @@
-"""Tests of how news of a member is merged."""
+"""Tests of merging updates into the record of a member."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 
 
 class MergeTest(unittest.TestCase):
-    def test_which_belief_wins(self) -> None:
+    def test_precedence_of_states(self) -> None:
         """Old and new messages arrive in any order.
 
-        If an old one won, a member would be listed that is gone, or be
-        taken for dead though it has refuted.
+        If an old update replaced a newer state, a member that has exited
+        would be listed, or one that has refuted would count as dead.
         """
         table = (
             ((ALIVE, 1), (ALIVE, 0), (ALIVE, 1)),
@@ -55,15 +55,15 @@
             ((LEFT, 1), (ALIVE, 1), (LEFT, 1)),
             ((LEFT, 1), (DEAD, 1), (LEFT, 1)),
         )
-        for known, news, expected in table:
-            with self.subTest(known=known, news=news):
+        for known, update, expected in table:
+            with self.subTest(known=known, update=update):
                 merged = records.merge(
-                    build_record(*known), build_update(*news)
+                    build_record(*known), build_update(*update)
                 )
                 self.assertEqual(expected, (merged.status, merged.counter))
 
-    def test_leaving_and_version_never_go_back(self) -> None:
-        """A message from before a member's farewell or update is late."""
+    def test_leaving_and_version_never_decrease(self) -> None:
+        """A message from before a leave or a new version arrives late."""
         known = records.merge(
             build_record(ALIVE, 0), build_update(ALIVE, 0, True, 7)
         )
@@ -72,16 +72,17 @@
             merged = records.merge(known, late)
             self.assertEqual((True, 7), (merged.leaving, merged.version))
 
-    def test_order_of_news_does_not_matter(self) -> None:
-        """Two members hear the same news in another order.
+    def test_order_of_updates_does_not_matter(self) -> None:
+        """Two members receive the same updates in a different order.
 
-        They must end with the same belief. One may still suspect whom the
-        other holds for dead; its timer settles that. A farewell carries the
-        highest counter, since the member raises it no more.
+        They must end with the same state. One may still suspect a member
+        that is dead for the other, until its own timer expires. A LEFT
+        update carries the highest counter, since a member that has left
+        never raises it again.
         """
         source = random.Random(SEED)
         for _ in range(200):
-            news = [
+            updates = [
                 build_update(
                     source.choice((ALIVE, SUSPECT, DEAD)),
                     source.randrange(3),
@@ -90,9 +91,9 @@
                 )
                 for _ in range(4)
             ]
-            news.append(build_update(source.choice((ALIVE, LEFT)), 2))
+            updates.append(build_update(source.choice((ALIVE, LEFT)), 2))
             outcomes = set()
-            for order in itertools.permutations(news):
+            for order in itertools.permutations(updates):
                 record = build_record(ALIVE, 0)
                 for update in order:
                     record = records.merge(record, update)
@@ -101,14 +102,14 @@
                 outcomes.add(record)
             self.assertEqual(1, len(outcomes))
 
-    def test_repeated_news_is_no_news(self) -> None:
+    def test_repeated_update_changes_nothing(self) -> None:
         known = build_record(SUSPECT, 2)
         update = records.describe(known, with_identity=False)
         self.assertIs(known, records.merge(known, update))
 
-    def test_first_record_is_of_a_named_live_member(self) -> None:
-        self.assertIsNotNone(records.accept(build_update(SUSPECT, 0)))
-        self.assertIsNone(records.accept(build_update(DEAD, 0)))
-        self.assertIsNone(records.accept(build_update(LEFT, 0)))
-        unnamed = messages.Update('entry-1-1', ALIVE, 0)
-        self.assertIsNone(records.accept(unnamed))
+    def test_first_record_needs_an_identity_and_a_live_status(self) -> None:
+        self.assertIsNotNone(records.create_record(build_update(SUSPECT, 0)))
+        self.assertIsNone(records.create_record(build_update(DEAD, 0)))
+        self.assertIsNone(records.create_record(build_update(LEFT, 0)))
+        anonymous = messages.Update('entry-1-1', ALIVE, 0)
+        self.assertIsNone(records.create_record(anonymous))
--- a/tests/domain/membership/test_rendezvous.py
+++ b/tests/domain/membership/test_rendezvous.py
@@ -12,11 +12,11 @@
 
 
 class AssignmentTest(unittest.TestCase):
-    def test_changes_give_what_a_fresh_choice_gives(self) -> None:
-        """Members come and go in many orders.
+    def test_incremental_assignment_equals_a_fresh_one(self) -> None:
+        """Members are added and removed in many orders.
 
-        Were the outcome to depend on the order, two entries would poll one
-        target and none another.
+        If the assignment depended on the order, two entries would poll the
+        same target and no entry another one.
         """
         source = random.Random(SEED)
         names = [f'entry-{i}' for i in range(12)]
@@ -38,7 +38,7 @@
         self.assertEqual({'a', 'b'}, assignment.set_members(['a', 'b']))
         self.assertEqual({'c'}, assignment.set_members(['b', 'c']))
 
-    def test_tasks_are_spread(self) -> None:
+    def test_tasks_are_balanced(self) -> None:
         members = [f'entry-{i}' for i in range(10)]
         counts = collections.Counter(
             rendezvous.choose(f'target-{i}', members, 1)[0]
