--- a/src/thornspool/application/generation/__init__.py
+++ b/src/thornspool/application/generation/__init__.py
@@ -1,1 +1,1 @@
-"""Use cases of generated text: a stream of tokens over a path of engines."""
+"""Use cases of text generation: token streams through model engines."""
--- a/src/thornspool/application/generation/attachments.py
+++ b/src/thornspool/application/generation/attachments.py
@@ -1,4 +1,4 @@
-"""Files that come with a request for generated text."""
+"""Files attached to a request for generated text."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 @attrs.frozen
 class Attachment:
-    """A file that the model sees along with the prompt.
+    """A file that the model processes along with the prompt.
 
     Attributes
     ----------
     kind : str
-        What it is to the model, as the caller names it; ``photo``.
+        Kind of input for the model, set by the caller, such as ``photo``.
     media_type : str
         Media type (RFC 6838) of the file.
     reference : str
-        Where the engine finds it; empty when ``data`` holds it.
+        Where the engine loads the file from; empty when ``data`` holds it.
     data : str
-        The file in base64 (RFC 4648); empty when it is referred to.
+        The file in base64 (RFC 4648); empty when ``reference`` is set.
     """
 
     kind: str
--- a/src/thornspool/application/generation/attempts.py
+++ b/src/thornspool/application/generation/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt of a request: sent, followed, blamed, cancelled."""
+"""One attempt of a request: sending, streaming, faults and cancellation."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from thornspool.application.generation import (
     exceptions as generation_exceptions,
 )
-from thornspool.application.generation import flights as generation_flights
+from thornspool.application.generation import in_flight as generation_in_flight
 from thornspool.application.generation import trials as generation_trials
 from thornspool.domain.pipelines import affinity
 from thornspool.domain.pipelines import messages
@@ -34,13 +34,13 @@
     from thornspool.domain.pipelines import frames as frames_module
 
 _CANCEL_TIMEOUT_MS = 2_000
-_WAITS = frozenset({messages.Reason.STALLED, messages.Reason.SLOWED})
+_STALL_REASONS = frozenset({messages.Reason.STALLED, messages.Reason.SLOWED})
 
 
 def fingerprint_request(
     request: generation_messages.GenerationRequest,
 ) -> str:
-    """Name a request's content, the same each time it is sent again."""
+    """Compute the fingerprint of a request, the same for each retry."""
     content = msgspec.json.encode((request.prompt, request.attachments))
     return fingerprints.compute_fingerprint(
         request.workspace, request.model, content
@@ -48,48 +48,48 @@
 
 
 def _ignore_failure(target: str, reason: messages.Reason) -> None:
-    """Take note of nothing."""
+    """Do nothing."""
 
 
 def _ignore_loads(loads: list[frames_module.StageLoad]) -> None:
-    """Take note of nothing."""
+    """Do nothing."""
 
 
-async def _hold_for_answering(target: str) -> bool:
-    """Take a target for one that answers."""
+async def _assume_responsive(target: str) -> bool:
+    """Return True without a probe."""
     return True
 
 
 @attrs.frozen
 class Hooks:
-    """What the use case asks and tells the rest of the entry.
+    """Callbacks to the other services of the entry.
 
     Attributes
     ----------
     take_retry : callable
-        Takes one retry from the budget; False when it is spent.
+        Takes one retry from the budget; returns False when it is exhausted.
     note_failure : callable
-        Told a target's name and why an attempt on it failed.
+        Called with a target's name and why an attempt on it failed.
     note_death : callable
-        Told a target's name and the fingerprints in flight on it, once for
-        each death.
+        Called with a target's name and the fingerprints in flight on it,
+        once for each crash of a target.
     note_loads : callable
-        Told the loads that stages sent along with an answer.
+        Called with the loads that stages reported in a stream.
     is_answering : coroutine function
-        Asks a target whether it answers.
+        Probes a target and returns whether it responds.
     fingerprint : callable
-        Names the content of a request.
+        Computes the fingerprint of a request's content.
     trials : generation_trials.Trials
-        Says whether a request may run, and is told of its runs.
+        Decides whether a request may run, and records its runs.
     """
 
     take_retry: Callable[[], bool] = lambda: True
     note_failure: Callable[[str, messages.Reason], None] = _ignore_failure
     note_death: Callable[[str, tuple[str, ...]], None] = (
-        generation_flights.ignore_death
+        generation_in_flight.ignore_crash
     )
     note_loads: Callable[[list[frames_module.StageLoad]], None] = _ignore_loads
-    is_answering: Callable[[str], Awaitable[bool]] = _hold_for_answering
+    is_answering: Callable[[str], Awaitable[bool]] = _assume_responsive
     fingerprint: Callable[[generation_messages.GenerationRequest], str] = (
         fingerprint_request
     )
@@ -99,7 +99,7 @@
 
 
 class Context:
-    """What all requests of an entry share.
+    """State shared by all requests of an entry.
 
     Parameters
     ----------
@@ -108,9 +108,9 @@
     engines : generation_messages.Engines
         Calls to engines.
     planning : generation_planning.Planning
-        What is known for planning routes.
+        Planner of routes.
     hooks : Hooks
-        What to tell the rest of the entry.
+        Callbacks to the other services of the entry.
     """
 
     def __init__(
@@ -124,127 +124,140 @@
         self.engines = engines
         self.planning = planning
         self.hooks = hooks
-        self.flights = generation_flights.Flights(hooks.note_death)
+        self.in_flight = generation_in_flight.InFlightAttempts(
+            hooks.note_death
+        )
         self.background: set[asyncio.Task[None]] = set()
         self.attempts: set[Attempt] = set()
 
-    def leave_suspects(self, fingerprints: frozenset[str]) -> None:
-        """Leave the attempts of requests under which a target died.
+    def abandon_suspects(self, fingerprints: frozenset[str]) -> None:
+        """Abandon the attempts of requests suspected of crashing a target.
 
-        What is in flight elsewhere of the same request would take the next
-        target with it. It goes on as a suspect, on trial.
+        Another attempt with the same content might crash the next target.
+        The request is retried as a suspect, on trial.
         """
         for attempt in tuple(self.attempts):
-            attempt.leave_suspect(fingerprints)
+            attempt.abandon_if_suspect(fingerprints)
 
-    def keep(self, task: asyncio.Task[None]) -> None:
-        """Hold a task until it ends; the loop alone would drop it."""
+    def hold_task(self, task: asyncio.Task[None]) -> None:
+        """Hold a reference to a task; the event loop keeps only a weak one."""
         self.background.add(task)
         task.add_done_callback(self.background.discard)
 
 
 class Attempt:
-    """One attempt in flight.
+    """One in-flight attempt.
 
     Parameters
     ----------
     context : Context
-        What all requests share.
+        State shared by all requests.
     call : generation_messages.GenerateCall
-        What to send.
-    tell : callable
-        Told each event of the stream.
+        The call to send.
+    put_event : callable
+        Called with each event of the stream.
     """
 
     def __init__(
         self,
         context: Context,
         call: generation_messages.GenerateCall,
-        tell: Callable[[messages.Event], None],
+        put_event: Callable[[messages.Event], None],
     ) -> None:
         self.nothing_ran = False
         self._context = context
         self._call = call
-        self._tell = tell
+        self._tell = put_event
         self._route = call.route
         self._started_at = context.clock.now()
-        self._seen_at = -1
-        self._meter = stage_times.PaceMeter()
+        self._last_token_at = -1
+        self._interval_meter = stage_times.PaceMeter()
         self._task: asyncio.Task[None] | None = None
         self._on_trial = False
-        self._flight = context.flights.start(
+        self._in_flight_attempt = context.in_flight.start(
             context.hooks.fingerprint(call.request),
             call.route.list_targets(),
         )
 
     def start(self) -> None:
-        """Send it."""
-        for target in self._flight.targets:
+        """Register the attempt and send it."""
+        for target in self._in_flight_attempt.targets:
             self._on_trial |= self._context.hooks.trials.start(
-                self._flight.fingerprint, target
+                self._in_flight_attempt.fingerprint, target
             )
         self._context.attempts.add(self)
         self._context.planning.start(self._route)
         self._task = asyncio.get_running_loop().create_task(self._run())
-        self._context.keep(self._task)
-
-    def leave_suspect(self, fingerprints: frozenset[str]) -> None:
-        """End it if it is one of these requests and not on trial."""
-        if self._flight.fingerprint in fingerprints and not self._on_trial:
+        self._context.hold_task(self._task)
+
+    def abandon_if_suspect(self, fingerprints: frozenset[str]) -> None:
+        """End it if its fingerprint is suspected and it is not on trial."""
+        if (
+            self._in_flight_attempt.fingerprint in fingerprints
+            and not self._on_trial
+        ):
             self._tell(
                 messages.StreamClosed(
                     self._call.attempt, messages.Reason.SUSPECTED
                 )
             )
 
-    def note_tokens(self, now: int) -> None:
-        """Learn from verified tokens."""
+    def record_tokens(self, now: int) -> None:
+        """Record the arrival of verified tokens."""
         planning = self._context.planning
-        if self._seen_at < 0:
+        if self._last_token_at < 0:
             prefix = affinity.compute_prefix(self._call.request.prompt)
-            planning.note_prefix(self._route, prefix, now)
-        self._seen_at = now
+            planning.record_prefix(self._route, prefix, now)
+        self._last_token_at = now
 
-    def check_stages(self) -> None:
-        """Ask all stages whether they answer, and tell when one does not."""
+    def probe_stages(self) -> None:
+        """Probe all stages and queue an event if one is unresponsive."""
         loop = asyncio.get_running_loop()
-        self._context.keep(loop.create_task(self._check_stages()))
+        self._context.hold_task(loop.create_task(self._probe_stages()))
 
-    async def _check_stages(self) -> None:
+    async def _probe_stages(self) -> None:
         is_answering = self._context.hooks.is_answering
-        answers = await asyncio.gather(
+        responses = await asyncio.gather(
             *(is_answering(target) for target in self._route.list_targets())
         )
-        if not all(answers):
-            self._tell(messages.StageSilent(self._call.attempt))
+        if not all(responses):
+            self._tell(messages.StageUnresponsive(self._call.attempt))
 
-    def blame(self, command: messages.Cancel) -> None:
-        """Tell who failed, and learn from a stall."""
+    def attribute_fault(self, command: messages.Cancel) -> None:
+        """Record a stall, and report the target that failed."""
         context = self._context
-        if command.reason in _WAITS and self._seen_at >= 0:
+        if command.reason in _STALL_REASONS and self._last_token_at >= 0:
             now = context.clock.now()
-            waited = now - self._seen_at
-            context.planning.note_stall(self._route, waited, now)
+            idle_ms = now - self._last_token_at
+            context.planning.record_stall(self._route, idle_ms, now)
         if not command.suspect:
             return
         context.hooks.note_failure(command.suspect, command.reason)
         if command.reason is messages.Reason.STAGE_LOST:
-            context.flights.report_death(command.suspect, self._flight)
+            context.in_flight.report_crash(
+                command.suspect, self._in_flight_attempt
+            )
 
     def stop(self, cancel: bool) -> None:
-        """Stop counting it, and cancel it at every stage unless it is done.
+        """Deregister the attempt, and cancel it unless it is complete.
+
+        It must be called after `attribute_fault`: a crash during a trial has
+        to be reported before the trial ends, or it would not be attributed
+        to the trial.
 
-        Comes after `blame`: a death under a trial has to be told before the
-        trial ends, or it would not count as the trial's.
+        Parameters
+        ----------
+        cancel : bool
+            Whether to cancel it; False when it is complete.
         """
         self._context.attempts.discard(self)
         self._context.planning.end(self._route)
-        self._context.flights.end(self._flight)
+        self._context.in_flight.end(self._in_flight_attempt)
         trials, fingerprint = (
             self._context.hooks.trials,
-            self._flight.fingerprint,
+            self._in_flight_attempt.fingerprint,
         )
-        for target in self._flight.targets:
+        for target in self._in_flight_attempt.targets:
             trials.finish(fingerprint, target, succeeded=not cancel)
         if not cancel:
             return
@@ -254,12 +267,12 @@
             return
         loop = asyncio.get_running_loop()
         for stage in self._route.stages:
-            self._context.keep(loop.create_task(self._cancel(stage.url)))
+            self._context.hold_task(loop.create_task(self._cancel(stage.url)))
 
     async def _cancel(self, url: str) -> None:
         request = self._call.request.request_id
-        # A stage that can't be told is dead, or finds out when its
-        # connection closes; nobody waits for it.
+        # A stage that can't be reached is dead, or notices when its
+        # connection closes; nothing depends on the result.
         with contextlib.suppress(exceptions.TargetError):
             await self._context.engines.cancel(
                 url, request, self._call.attempt, _CANCEL_TIMEOUT_MS
@@ -269,7 +282,7 @@
         self._tell(await self._follow())
 
     async def _follow(self) -> messages.StreamClosed:
-        """Run the stream to its end and say how it ended."""
+        """Run the stream to its end and return how it ended."""
         attempt, first = self._call.attempt, self._route.stages[0].target
         reasons = messages.Reason
         try:
@@ -295,7 +308,7 @@
         planning = self._context.planning
         if frames[-1].hops:
             planning.note_hops(self._route, frames[-1].hops, now)
-        pace = self._meter.count(len(frames), now)
-        if pace is not None:
-            planning.note_pace(self._route, pace, now)
+        interval_ms = self._interval_meter.count(len(frames), now)
+        if interval_ms is not None:
+            planning.note_pace(self._route, interval_ms, now)
         self._tell(messages.FramesReceived(self._call.attempt, frames))
--- a/src/thornspool/application/generation/events.py
+++ b/src/thornspool/application/generation/events.py
@@ -1,4 +1,4 @@
-"""Events of one request that wait to be handled, and the wait for them."""
+"""Event queue of one request, with a timeout that each token moves."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 class EventQueue:
-    """Events of one request, in their order.
+    """Events of one request, in order of arrival.
 
-    Each token moves the bound of the wait for the next one. A timer set and
-    cancelled for each shows in the entry's processor time, so one timer is
-    left to run out and set again for what is left of the bound.
+    Each token moves the timeout of the next one. Setting and cancelling a
+    timer for each token costs noticeable processor time on the entry. So one
+    timer is left to expire and is then set again for the remaining time.
 
     Parameters
     ----------
@@ -41,20 +41,20 @@
         self._wake()
 
     async def get(self, wake_at: int) -> messages.Event:
-        """Wait for the next event, no longer than to a bound.
+        """Wait for the next event, until a timeout.
 
         Parameters
         ----------
         wake_at : int
-            The bound, in monotonic milliseconds.
+            Time of the timeout, in monotonic milliseconds.
 
         Returns
         -------
         messages.Event
-            ``TimePassed`` when the bound was reached. Frames that wait
-            behind others are joined to them: tokens that came together go
-            to the caller in one write, and one system call for each was
-            most of the cost of an entry with a backlog.
+            ``TimePassed`` after a timeout. Consecutive queued frames are
+            merged, so that their tokens are sent to the caller in one
+            write: one system call for each token was most of the cost of
+            an entry with a backlog.
         """
         if not self._events:
             await self._wait(wake_at)
@@ -62,16 +62,16 @@
             return messages.TimePassed()
         event = self._events.popleft()
         if self._events and isinstance(event, messages.FramesReceived):
-            return self._join_frames(event)
+            return self._merge_frames(event)
         return event
 
     def close(self) -> None:
-        """Stop the timer, which would hold the request until its bound."""
+        """Cancel the timer, which would keep the request in memory."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _join_frames(
+    def _merge_frames(
         self, event: messages.FramesReceived
     ) -> messages.FramesReceived:
         frames = list(event.frames)
@@ -87,7 +87,7 @@
         return messages.FramesReceived(event.attempt, frames)
 
     async def _wait(self, wake_at: int) -> None:
-        """Wait until an event is there or the bound is reached."""
+        """Wait until an event arrives or the timeout is reached."""
         loop = asyncio.get_running_loop()
         self._wake_at = wake_at
         if self._timer is None or wake_at < self._timer_at:
@@ -103,11 +103,11 @@
         wait_ms = max(0, self._wake_at - self._clock.now())
         self._timer_at = self._wake_at
         self._timer = loop.call_later(
-            wait_ms / _MS_PER_S, self._check_bound, loop
+            wait_ms / _MS_PER_S, self._handle_timer, loop
         )
 
-    def _check_bound(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Wake whoever waits, or go on if tokens have moved the bound."""
+    def _handle_timer(self, loop: asyncio.AbstractEventLoop) -> None:
+        """Wake the waiter, or reset the timer if the timeout has moved."""
         self._timer = None
         if self._waiter is None:
             return
--- a/src/thornspool/application/generation/exceptions.py
+++ b/src/thornspool/application/generation/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the use case of generating text."""
+"""Errors of text generation."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class EngineRefused(exceptions.TargetError):
-    """The first engine answered that it does not take the work.
+    """The first engine refused the request.
 
-    Nothing of it ran there or behind it.
+    Nothing ran on it or on later stages.
     """
 
 
 class StreamMalformed(exceptions.TargetError):
-    """The engine's stream holds bytes that are no frame."""
+    """The engine's stream contains bytes that are not a frame."""
--- a/src/thornspool/application/generation/messages.py
+++ b/src/thornspool/application/generation/messages.py
@@ -1,4 +1,4 @@
-"""Requests, events and ports of the use case of generating text."""
+"""Requests, events and ports of text generation."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     Attributes
     ----------
     request_id : str
-        Unique; names the request towards engines.
+        Unique identifier of the request, also sent to engines.
     workspace : str
         Workspace of the caller.
     model : str
@@ -35,13 +35,13 @@
     prompt : str
         The prompt.
     max_tokens : int
-        Longest answer, in tokens.
+        Maximum length of the response, in tokens.
     priority : int
-        Higher goes first at the engines.
+        Engines process a higher priority first.
     deadline : int
-        Monotonic milliseconds at which the request is given up.
+        Monotonic milliseconds at which the request fails.
     attachments : tuple of generation_attachments.Attachment
-        Files that the model sees along with the prompt.
+        Files that the model processes along with the prompt.
     """
 
     request_id: str
@@ -55,7 +55,7 @@
 
 
 class Outcome(enum.Enum):
-    """What is known to have run when a request fails."""
+    """Whether a failed request may have run."""
 
     NOT_RUN = 'not run'
     UNKNOWN = 'unknown'
@@ -68,7 +68,7 @@
     Attributes
     ----------
     first_index : int
-        Position of the first of them in the answer.
+        Position of the first of them in the response.
     texts : tuple of str
         The tokens.
     """
@@ -79,12 +79,12 @@
 
 @attrs.frozen
 class Finished:
-    """The answer is whole.
+    """The response is complete.
 
     Attributes
     ----------
     count : int
-        Tokens in the answer.
+        Number of tokens in the response.
     """
 
     count: int
@@ -92,19 +92,19 @@
 
 @attrs.frozen
 class Failed:
-    """The request ends without its whole answer.
+    """The request failed before its response was complete.
 
     Attributes
     ----------
     reason : messages.Reason
-        Why.
+        Why it failed.
     outcome : Outcome
-        What ran: ``NOT_RUN`` only if no engine was sent a byte that it may
-        have acted on.
+        ``NOT_RUN`` only if no engine received a byte that it may have acted
+        on.
     retry_after_ms : int
-        When it is worth sending the request again.
+        Milliseconds after which a retry is useful.
     delivered : int
-        Tokens handed over before.
+        Number of tokens delivered before.
     """
 
     reason: messages.Reason
@@ -118,7 +118,7 @@
 
 @attrs.frozen
 class GenerateCall:
-    """One attempt, as it is sent to the first engine of its route.
+    """One attempt, sent to the first engine of its route.
 
     Attributes
     ----------
@@ -131,11 +131,11 @@
     route : routes.Route
         The stages.
     resume : tuple of str
-        Tokens verified so far; the engine goes on after them.
+        Tokens verified so far; the engine continues after them.
     timeout_ms : int
-        Longest time for the whole stream.
+        Timeout of the whole stream.
     tell : questions.Tell
-        What the engines are asked to tell along with it.
+        Reports that the engines add to the stream.
     """
 
     request: GenerationRequest
@@ -151,9 +151,9 @@
 class Engines(typing.Protocol):
     """Calls to model engines.
 
-    ``generate`` raises ``TargetNotReached`` when not one byte was written,
-    ``EngineRefused`` when the engine did not take the work,
-    ``StreamMalformed`` when it sent what is no frame, and
+    ``generate`` raises ``TargetNotReached`` when no byte was written,
+    ``EngineRefused`` when the engine refused the request,
+    ``StreamMalformed`` when it sent bytes that are not a frame, and
     ``TargetAnswerLost`` when the stream broke. Cancelling the coroutine
     closes the connection.
     """
@@ -163,11 +163,11 @@
         call: GenerateCall,
         deliver: Callable[[list[frames.Frame]], None],
     ) -> None:
-        """Run an attempt, handing over its frames in order as they come."""
+        """Run an attempt and pass its frames to ``deliver`` in order."""
         ...
 
     async def cancel(
         self, url: str, request_id: str, attempt: int, timeout_ms: int
     ) -> None:
-        """Stop an attempt at one engine; raises like ``generate``."""
+        """Cancel an attempt at one engine; raises like ``generate``."""
         ...
--- a/src/thornspool/application/generation/planning.py
+++ b/src/thornspool/application/generation/planning.py
@@ -1,4 +1,4 @@
-"""What an entry knows for planning routes, and what it learns on the way."""
+"""Route planning of an entry, with the costs that it learns from streams."""
 
 from __future__ import annotations
 
@@ -25,30 +25,31 @@
     from thornspool.domain.pipelines import routes
     from thornspool.domain.targets import messages as target_messages
 
-_PER_RANGE = 16
+_CANDIDATES_PER_RANGE = 16
 _PREFILL_MS = 200.0
-_SPREAD = 4.0
-_LOADS_AGE_MS = 2_000
-_HOPS_AGE_MS = 4_000
+_RANDOM_COST_FACTOR = 4.0
+_LOADS_MAX_AGE_MS = 2_000
+_HOPS_MAX_AGE_MS = 4_000
 
 
 @attrs.frozen
 class Wish:
-    """What a route is planned for.
+    """Request for a route.
 
     Attributes
     ----------
     model : documents.Model
-        The model, pinned for all attempts of a request.
+        The model, the same for all attempts of a request.
     prefix : int
         Digest of the prompt's prefix.
     tokens : int
-        Tokens still to generate.
+        Number of tokens still to generate.
     excluded, avoided : frozenset of str
-        Targets never to use, and to use only if nothing else will do.
+        Targets that must not be used, and targets to use only if no others
+        cover the layers.
     fingerprint : str
-        Of the request, by which all entries draw the same stages for it;
-        empty for draws at random.
+        Fingerprint of the request, by which all entries draw the same
+        stages for it; empty for random draws.
     """
 
     model: documents.Model
@@ -60,15 +61,15 @@
 
 
 @attrs.frozen
-class _Chosen:
-    """Candidates of a model and the document that they were chosen from."""
+class _Candidates:
+    """Candidate stages of a model, and the document they come from."""
 
     model: documents.Model
     stages: list[documents.Stage]
 
 
 class Planning:
-    """Plans routes from the present view of targets.
+    """Plans routes from the current state of the targets.
 
     Parameters
     ----------
@@ -79,13 +80,13 @@
     targets : target_messages.TargetView
         Readiness and loads.
     random_source : random.Random
-        Source of the draws.
+        Source of the random draws.
     link_times : links.LinkTimes, optional
-        Times of links to start from.
+        Initial link times.
     per_range : int
-        Candidate engines for each layer range.
+        Maximum number of candidate engines for each layer range.
     read_limits : callable, optional
-        Returns how often engines are asked to tell loads and times of links.
+        Returns the rate limits of requested load and link reports.
     """
 
     def __init__(
@@ -95,149 +96,163 @@
         targets: target_messages.TargetView,
         random_source: random.Random,
         link_times: links.LinkTimes | None = None,
-        per_range: int = _PER_RANGE,
+        per_range: int = _CANDIDATES_PER_RANGE,
         read_limits: Callable[[], questions.Limits] = questions.Limits,
     ) -> None:
         self.links = link_times or links.LinkTimes()
         self.affinity = affinity.PrefixAffinity()
-        self.own = loads.OwnRequests()
+        self.local_requests = loads.LocalRequests()
         self._stage_times = stage_times.StageTimes()
-        self._loads_asking = questions.Asking(_LOADS_AGE_MS)
-        self._hops_asking = questions.Asking(_HOPS_AGE_MS)
+        self._loads_limiter = questions.ReportLimiter(_LOADS_MAX_AGE_MS)
+        self._hops_limiter = questions.ReportLimiter(_HOPS_MAX_AGE_MS)
         self._read_limits = read_limits
         self._entry = entry
         self._snapshot = snapshot
         self._targets = targets
         self._random = random_source
         self._per_range = per_range
-        self._chosen: dict[str, _Chosen] = {}
+        self._candidates: dict[str, _Candidates] = {}
 
     def find_model(self, name: str) -> documents.Model | None:
         """Return a model of the configuration in force."""
         return self._snapshot().models.get(name)
 
     def list_candidates(self, model: documents.Model) -> list[documents.Stage]:
-        """Return the stages of a model that this entry considers."""
-        known = self._chosen.get(model.name)
-        if known is None or known.model is not model:
+        """Return the candidate stages of a model on this entry."""
+        cached = self._candidates.get(model.name)
+        if cached is None or cached.model is not model:
             stages = candidates.choose_candidates(
                 self._entry, model, self._per_range
             )
-            known = _Chosen(model, stages)
-            self._chosen[model.name] = known
-        return known.stages
+            cached = _Candidates(model, stages)
+            self._candidates[model.name] = cached
+        return cached.stages
 
-    def plan(self, wish: Wish, now: int) -> routes.Route:
-        """Plan a route, widening the choice until the layers are covered.
+    def plan(self, request: Wish, now: int) -> routes.Route:
+        """Plan a route, adding more targets until the layers are covered.
 
         Raises
         ------
         NoPipeline
             When no set of ready targets covers the model.
         """
-        shunned = wish.excluded | wish.avoided
-        chosen = self.list_candidates(wish.model)
-        for stages, left_out in (
-            (chosen, shunned),
-            (list(wish.model.stages), shunned),
+        unwanted = request.excluded | request.avoided
+        candidate_stages = self.list_candidates(request.model)
+        for stages, excluded in (
+            (candidate_stages, unwanted),
+            (list(request.model.stages), unwanted),
         ):
             try:
-                return self._plan(wish, stages, left_out, now)
+                return self._plan(request, stages, excluded, now)
             except exceptions.NoPipeline:
                 continue
-        return self._plan(wish, list(wish.model.stages), wish.excluded, now)
+        return self._plan(
+            request, list(request.model.stages), request.excluded, now
+        )
 
     def _plan(
         self,
-        wish: Wish,
+        request: Wish,
         stages: list[documents.Stage],
-        left_out: frozenset[str],
+        excluded: frozenset[str],
         now: int,
     ) -> routes.Route:
         targets = self._snapshot().targets
-        usable = planner.list_usable(stages, targets, self._targets, left_out)
-        if wish.fingerprint:
+        usable = planner.list_usable(stages, targets, self._targets, excluded)
+        if request.fingerprint:
             usable = candidates.draw_stages(
-                wish.fingerprint,
+                request.fingerprint,
                 usable,
                 targets,
-                lambda layers: self.affinity.find(wish.prefix, layers),
+                lambda layers: self.affinity.find(request.prefix, layers),
             )
         costs = planner.Costs(
-            stage=lambda stage: self._price(wish, stage, now),
+            stage=lambda stage: self._compute_cost(request, stage, now),
             link=functools.cache(
                 lambda first, second: self.links.read(first, second, now)
             ),
-            favourite=lambda layers: self.affinity.find(wish.prefix, layers),
+            preferred=lambda layers: self.affinity.find(
+                request.prefix, layers
+            ),
         )
         return planner.plan_route(
-            wish.model, usable, targets, costs, self._random
+            request.model, usable, targets, costs, self._random
         )
 
-    def _price(self, wish: Wish, stage: documents.Stage, now: int) -> float:
-        """Price a stage in milliseconds a token."""
+    def _compute_cost(
+        self, request: Wish, stage: documents.Stage, now: int
+    ) -> float:
+        """Compute the cost of a stage in milliseconds a token."""
         estimate = self._estimate(stage.target, now)
-        # Entries that read the same old report would all prefer the same
-        # stages until the next one, and their queues would grow while
-        # others stood idle. The older the report, the more is left to
-        # chance.
-        doubt = _SPREAD * estimate.doubt
-        time = estimate.time * (1 + doubt * self._draw(wish, stage))
+        # Entries that read the same outdated report would all prefer the
+        # same stages until the next one, and the queues there would grow
+        # while other stages were idle. So the random part of the cost grows
+        # with the age of the report.
+        random_factor = _RANDOM_COST_FACTOR * estimate.uncertainty
+        time = estimate.time * (1 + random_factor * self._draw(request, stage))
         layers = (stage.first_layer, stage.end_layer)
-        warm = self.affinity.read_weight(
-            wish.prefix, layers, stage.target, now
+        cached_weight = self.affinity.read_weight(
+            request.prefix, layers, stage.target, now
+        )
+        # The prefill runs once, so its cost is divided by the tokens.
+        return time + _PREFILL_MS * (1 - cached_weight) / max(
+            1, request.tokens
         )
-        # A prefix is worked through once, so a long answer weighs it less.
-        return time + _PREFILL_MS * (1 - warm) / max(1, wish.tokens)
 
     def _estimate(self, target: str, now: int) -> stage_times.Estimate:
         report = self._targets.read_load(target)
-        time = loads.estimate_time(report, self.own, target, now)
-        trust = loads.compute_trust(report, now)
-        return self._stage_times.refine(target, time, trust, now)
+        time = loads.estimate_time(report, self.local_requests, target, now)
+        report_weight = loads.compute_report_weight(report, now)
+        return self._stage_times.refine(target, time, report_weight, now)
 
-    def _draw(self, wish: Wish, stage: documents.Stage) -> float:
-        """Draw a number from 0 to 1, for a request the same everywhere."""
-        if not wish.fingerprint:
+    def _draw(self, request: Wish, stage: documents.Stage) -> float:
+        """Draw a number from 0 to 1, the same on every entry for a request."""
+        if not request.fingerprint:
             return self._random.random()
-        return rendezvous.draw(wish.fingerprint, stage.target)
+        return rendezvous.draw(request.fingerprint, stage.target)
 
     def start(self, route: routes.Route) -> None:
-        """Count an attempt on its targets."""
+        """Add an attempt to the request counts of its targets."""
         for target in route.list_targets():
-            self.own.add(target, 1)
+            self.local_requests.add(target, 1)
 
     def end(self, route: routes.Route) -> None:
-        """Stop counting an attempt on its targets."""
+        """Remove an attempt from the request counts of its targets."""
         for target in route.list_targets():
-            self.own.add(target, -1)
+            self.local_requests.add(target, -1)
 
-    def note_prefix(self, route: routes.Route, prefix: int, now: int) -> None:
-        """Remember where a prefix ran."""
+    def record_prefix(
+        self, route: routes.Route, prefix: int, now: int
+    ) -> None:
+        """Record on which targets a prefix ran."""
         for stage in route.stages:
             layers = (stage.first_layer, stage.end_layer)
-            self.affinity.note(prefix, layers, stage.target, now)
+            self.affinity.record(prefix, layers, stage.target, now)
 
     def choose_tell(self, route: routes.Route, now: int) -> questions.Tell:
-        """Choose what the engines of a route are asked to tell.
+        """Choose the reports to request from the engines of a route.
 
-        At the size to design for, loads with each answer and times of links
-        with one token in sixteen were several times all that control may
-        spend.
+        At the design size, loads in each response and link times with one
+        token in sixteen took several times the whole budget for control
+        messages.
         """
-        loads_known = [
+        load_reports = [
             (target, self._read_reported_at(target))
             for target in route.list_targets()
         ]
-        # Nobody times the way back to the first stage.
-        hops_known = [
-            (link, self.links.read_learnt_at(*link))
+        # The link back to the first stage is not measured.
+        hop_reports = [
+            (link, self.links.read_updated_at(*link))
             for link in route.list_links()[:-1]
         ]
         limits = self._read_limits()
         return questions.Tell(
-            self._loads_asking.ask(loads_known, limits.loads_per_s, now),
-            self._hops_asking.ask(hops_known, limits.hops_per_s, now),
+            self._loads_limiter.should_request(
+                load_reports, limits.loads_per_s, now
+            ),
+            self._hops_limiter.should_request(
+                hop_reports, limits.hops_per_s, now
+            ),
         )
 
     def _read_reported_at(self, target: str) -> int | None:
@@ -247,24 +262,26 @@
     def note_hops(
         self, route: routes.Route, hops: list[float], now: int
     ) -> None:
-        """Learn links from the times between stages, in milliseconds."""
+        """Learn link times from the times between stages, in milliseconds."""
         for link, time_ms in zip(route.list_links(), hops, strict=False):
-            self.links.note_hop(*link, time_ms, now)
+            self.links.record_hop(*link, time_ms, now)
 
-    def note_pace(self, route: routes.Route, pace: float, now: int) -> None:
-        """Learn stages from the milliseconds between tokens of a stream."""
+    def note_pace(
+        self, route: routes.Route, interval_ms: float, now: int
+    ) -> None:
+        """Learn stage times from the token interval in milliseconds."""
         expected = [
             (target, self._estimate(target, now).time)
             for target in route.list_targets()
         ]
-        between = sum(
+        links_ms = sum(
             self.links.read(first, second, now)
             for first, second in route.list_links()
         )
-        self._stage_times.note_pace(expected, pace - between, now)
+        self._stage_times.note_pace(expected, interval_ms - links_ms, now)
 
-    def note_stall(
-        self, route: routes.Route, waited_ms: float, now: int
+    def record_stall(
+        self, route: routes.Route, idle_ms: float, now: int
     ) -> None:
-        """Learn links from a wait without a token."""
-        self.links.note_stall(route, waited_ms, now)
+        """Learn link times from a stall, by its idle time."""
+        self.links.record_stall(route, idle_ms, now)
--- a/src/thornspool/application/generation/service.py
+++ b/src/thornspool/application/generation/service.py
@@ -1,4 +1,4 @@
-"""Serve a model request: plan, stream, verify, resume, and never cut."""
+"""Serves model requests: plans routes, verifies streams and resumes them."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
 
 @attrs.frozen
 class StreamBounds:
-    """Longest waits of an attempt, in milliseconds.
+    """Timeouts of an attempt, in milliseconds.
 
     Attributes
     ----------
     first_token_ms : int
-        Until its first token.
+        Timeout of the first token.
     between_tokens_ms : int
-        Between two tokens.
+        Timeout between two tokens.
     """
 
     first_token_ms: int = 5_000
@@ -56,11 +56,11 @@
     engines : generation_messages.Engines
         Calls to engines.
     planning : generation_planning.Planning
-        What is known for planning routes.
+        Planner of routes.
     hooks : generation_attempts.Hooks, optional
-        What to tell the rest of the entry.
+        Callbacks to the other services of the entry.
     bounds : StreamBounds, optional
-        Longest waits of an attempt.
+        Timeouts of an attempt.
     """
 
     def __init__(
@@ -77,13 +77,13 @@
         )
 
     def leave_suspects(self, fingerprints: frozenset[str]) -> None:
-        """Leave what is in flight of requests that a target died under."""
-        self._context.leave_suspects(fingerprints)
+        """Abandon the attempts of requests suspected of crashing a target."""
+        self._context.abandon_suspects(fingerprints)
 
     async def stream(
         self, request: generation_messages.GenerationRequest
     ) -> AsyncIterator[generation_messages.GenerationEvent]:
-        """Generate the answer of a request.
+        """Stream the response to a request.
 
         Parameters
         ----------
@@ -94,7 +94,7 @@
         ------
         generation_messages.GenerationEvent
             Tokens in order, then exactly one ``Finished`` or ``Failed``.
-            Closing the iterator cancels the work at every stage.
+            Closing the iterator cancels the attempt at every stage.
         """
         run = _Run(self._context, self._bounds, request)
         try:
@@ -104,13 +104,13 @@
             run.close()
 
     async def close(self) -> None:
-        """Wait until what goes on in the background has ended."""
+        """Wait until all background tasks have ended."""
         while self._context.background:
             await asyncio.wait(self._context.background)
 
 
 class _Run:
-    """One request on its way through one or more attempts."""
+    """One request, run in one or more attempts."""
 
     def __init__(
         self,
@@ -142,7 +142,7 @@
     async def follow(
         self,
     ) -> AsyncIterator[generation_messages.GenerationEvent]:
-        """Yield the events for the caller until the request is over."""
+        """Yield the events for the caller until the request has ended."""
         self._commands.extend(self._begin())
         while True:
             while self._commands:
@@ -153,21 +153,23 @@
                 event = self._carry_out(command)
                 if event is not None:
                     yield event
-            if self._verifier.over:
+            if self._verifier.is_finished:
                 return
-            event_in = await self._events.get(self._verifier.read_wake())
+            stream_event = await self._events.get(
+                self._verifier.read_wake_time()
+            )
             now = self._context.clock.now()
-            self._commands.extend(self._verifier.handle(event_in, now))
+            self._commands.extend(self._verifier.handle(stream_event, now))
 
     def close(self) -> None:
-        """Stop what still runs, when the caller left."""
+        """Cancel the current attempt, for instance after a disconnect."""
         self._events.close()
         self._stop(cancel=True)
 
     def _begin(self) -> list[messages.Command]:
         if self._model is None:
             reason = messages.Reason.UNKNOWN_MODEL
-            return self._verifier.give_up(reason)
+            return self._verifier.fail(reason)
         return [messages.Replan(0, frozenset(), frozenset())]
 
     def _carry_out(
@@ -178,25 +180,25 @@
         if isinstance(command, messages.Finish):
             self._stop(cancel=False)
             return generation_messages.Finished(command.count)
-        if isinstance(command, messages.GiveUp):
+        if isinstance(command, messages.Fail):
             return self._fail(command.reason)
-        if isinstance(command, messages.CheckStages):
-            self._check_stages()
+        if isinstance(command, messages.ProbeStages):
+            self._probe_stages()
             return None
         assert isinstance(command, messages.Cancel)
         self._leave(command)
         return None
 
-    def _check_stages(self) -> None:
+    def _probe_stages(self) -> None:
         if self._attempt is not None:
-            self._attempt.check_stages()
+            self._attempt.probe_stages()
 
     def _deliver(
         self, command: messages.Deliver
     ) -> generation_messages.GenerationEvent:
         if self._attempt is not None:
             now = self._context.clock.now()
-            self._attempt.note_tokens(now)
+            self._attempt.record_tokens(now)
         return generation_messages.Tokens(command.first_index, command.texts)
 
     def _fail(
@@ -218,7 +220,7 @@
         )
 
     def _leave(self, command: messages.Cancel) -> None:
-        """End the present attempt and tell who is to blame."""
+        """End the current attempt and attribute its failure."""
         attempt = self._attempt
         if attempt is None:
             return
@@ -229,11 +231,11 @@
             reason=command.reason.name,
             suspect=command.suspect,
         )
-        attempt.blame(command)
+        attempt.attribute_fault(command)
         self._stop(cancel=True)
 
     async def _start(self, command: messages.Replan) -> None:
-        """Plan and send the next attempt, or give up."""
+        """Plan and send the next attempt, or fail the request."""
         context, request = self._context, self._request
         resume = tuple(self._verifier.tokens)
         try:
@@ -259,9 +261,9 @@
     def _plan(
         self, command: messages.Replan, busy: frozenset[str]
     ) -> routes.Route:
-        """Plan a route; busy targets are used only if nothing else will do."""
+        """Plan a route; busy targets are used only if no others can be."""
         assert self._model is not None
-        wish = generation_planning.Wish(
+        route_request = generation_planning.Wish(
             self._model,
             self._prefix,
             self._request.max_tokens - len(self._verifier.tokens),
@@ -269,10 +271,12 @@
             command.avoided | busy,
             self._fingerprint,
         )
-        return self._context.planning.plan(wish, self._context.clock.now())
+        return self._context.planning.plan(
+            route_request, self._context.clock.now()
+        )
 
     def _give_up(self, reason: messages.Reason) -> None:
-        self._commands.extend(self._verifier.give_up(reason))
+        self._commands.extend(self._verifier.fail(reason))
 
     def _send(
         self, attempt: int, route: routes.Route, resume: tuple[str, ...]
--- a/src/thornspool/application/generation/trials.py
+++ b/src/thornspool/application/generation/trials.py
@@ -1,4 +1,4 @@
-"""Runs suspects of crashing targets apart from each other."""
+"""Runs requests suspected of crashing targets apart from each other."""
 
 from __future__ import annotations
 
@@ -15,69 +15,69 @@
     from thornspool import clock as clock_module
 
 POLL_MS = 100
-"""Between two tries to get a suspect's targets for it alone."""
+"""Interval between attempts to reserve targets for a suspect."""
 
 _MS_PER_S = 1000
 
 
 class Trials(typing.Protocol):
-    """Quarantine, as far as generation needs it."""
+    """Port to the quarantine of requests that crash targets."""
 
     def check(self, fingerprint: str) -> quarantine_messages.Verdict:
-        """Say whether a request may run."""
+        """Return whether a request may run."""
         ...
 
     async def may_run_on_all(
         self, fingerprint: str, targets: tuple[str, ...], longest_ms: int
     ) -> bool:
-        """Say whether a request may run on some targets now."""
+        """Return whether a request may run on all these targets now."""
         ...
 
     def start(self, fingerprint: str, target: str) -> bool:
-        """Note that a request starts on a target; True if on trial."""
+        """Record the start of a request on a target; True if on trial."""
         ...
 
     def finish(self, fingerprint: str, target: str, succeeded: bool) -> None:
-        """Note that a request ended on a target."""
+        """Record the end of a request on a target."""
         ...
 
 
 class NoTrials:
-    """Holds every request for harmless."""
+    """Quarantine that lets every request run."""
 
     def check(self, fingerprint: str) -> quarantine_messages.Verdict:
-        """Say that a request may run."""
+        """Return that the request may run."""
         return quarantine_messages.Clear()
 
     async def may_run_on_all(
         self, fingerprint: str, targets: tuple[str, ...], longest_ms: int
     ) -> bool:
-        """Say that a request may run."""
+        """Return that the request may run."""
         return True
 
     def start(self, fingerprint: str, target: str) -> bool:
-        """Say that the request is on no trial."""
+        """Return that the request is not on trial."""
         return False
 
     def finish(self, fingerprint: str, target: str, succeeded: bool) -> None:
-        """Take note of nothing."""
+        """Do nothing."""
 
 
 @attrs.frozen
 class Condemned:
-    """The request crashed what ran it and may not run.
+    """The request crashed the targets that ran it and may not run.
 
     Attributes
     ----------
     retry_after_ms : int
-        When the verdict expires, in milliseconds.
+        Time until the quarantine expires, in milliseconds.
     """
 
     retry_after_ms: int
 
 
 class Placement(typing.Protocol):
-    """Targets that a request would run on, as a route is."""
+    """A set of targets that would run a request, such as a route."""
 
     def list_targets(self) -> tuple[str, ...]:
         """Return the names of the targets."""
@@ -88,7 +88,7 @@
 
 
 class TimeSpent(Exception):
-    """The deadline came before the request's targets were free."""
+    """The deadline passed before the request's targets were available."""
 
 
 async def find_route(
@@ -99,33 +99,34 @@
     deadline: int,
     keep_ms: int = 0,
 ) -> Placed | Condemned:
-    """Plan a route that a request may run on now, or wait for one.
+    """Plan a route on which a request may run, and wait for it if needed.
 
     Parameters
     ----------
     trials : Trials
-        Knows the suspects.
+        Quarantine with the suspected requests.
     fingerprint : str
-        The request's.
+        Fingerprint of the request.
     plan : callable
-        Plans a route that avoids some targets if it can.
+        Plans a route that avoids the given targets if possible.
     clock : clock_module.Clock
         Source of time.
     deadline : int
         Monotonic milliseconds after which the wait ends.
     keep_ms : int, optional
-        Least time for which the request and its targets are kept, for
-        runs that may outlast the deadline.
+        Minimum time in milliseconds for which the targets are reserved,
+        for runs that may continue after the deadline.
 
     Returns
     -------
     Placement or Condemned
-        What was planned; `finish` must follow for each target of it.
+        The planned route, or the quarantine of the request. After a route,
+        `finish` must be called for each of its targets.
 
     Raises
     ------
     TimeSpent
-        No route came free before the deadline.
+        No route became available before the deadline.
     """
     verdict = trials.check(fingerprint)
     if isinstance(verdict, quarantine_messages.Clear):
@@ -148,7 +149,7 @@
     deadline: int,
     keep_ms: int,
 ) -> Placed | Condemned:
-    """Try until the request is alone on a route, or condemned."""
+    """Retry until a route is reserved or the request is quarantined."""
     busy: frozenset[str] = frozenset()
     while True:
         verdict = trials.check(fingerprint)
--- a/src/thornspool/domain/pipelines/affinity.py
+++ b/src/thornspool/domain/pipelines/affinity.py
@@ -1,7 +1,8 @@
-"""Which targets are likely to hold the cache of a prompt's prefix.
+"""Estimates which targets hold the cache of a prompt's prefix.
 
-Cache events come late and with gaps, so a memory of where a prefix last ran
-loses weight with time instead of being trusted until an event denies it.
+Cache events arrive late and incompletely. So a record of where a prefix last
+ran loses weight with time, instead of counting fully until an event
+contradicts it.
 """
 
 from __future__ import annotations
@@ -13,8 +14,8 @@
 
 PREFIX_CHARACTERS = 256
 
-_HALF_LIFE_MS = 30_000
-_LONGEST = 4_096
+_WEIGHT_HALF_LIFE_MS = 30_000
+_MAX_PREFIXES = 4_096
 
 
 def compute_prefix(prompt: str) -> int:
@@ -23,40 +24,46 @@
 
 
 @attrs.frozen
-class _Sighting:
+class _PrefixUse:
     target: str
     at: int
 
 
 class PrefixAffinity:
-    """Where prefixes last ran, as seen by this entry; bounded."""
-
-    def __init__(self, longest: int = _LONGEST) -> None:
-        self._longest = longest
-        self._seen: collections.OrderedDict[
-            int, dict[tuple[int, int], _Sighting]
+    """Targets on which this entry last ran each prefix.
+
+    Parameters
+    ----------
+    max_prefixes : int, optional
+        Maximum number of prefixes; the least recently used are dropped.
+    """
+
+    def __init__(self, max_prefixes: int = _MAX_PREFIXES) -> None:
+        self._max_prefixes = max_prefixes
+        self._uses: collections.OrderedDict[
+            int, dict[tuple[int, int], _PrefixUse]
         ] = collections.OrderedDict()
 
-    def note(
+    def record(
         self, prefix: int, layers: tuple[int, int], target: str, now: int
     ) -> None:
-        """Remember that a target ran a layer range for a prefix."""
-        by_range = self._seen.setdefault(prefix, {})
-        by_range[layers] = _Sighting(target, now)
-        self._seen.move_to_end(prefix)
-        while len(self._seen) > self._longest:
-            self._seen.popitem(last=False)
+        """Record that a target ran a layer range for a prefix."""
+        by_range = self._uses.setdefault(prefix, {})
+        by_range[layers] = _PrefixUse(target, now)
+        self._uses.move_to_end(prefix)
+        while len(self._uses) > self._max_prefixes:
+            self._uses.popitem(last=False)
 
     def read_weight(
         self, prefix: int, layers: tuple[int, int], target: str, now: int
     ) -> float:
-        """Return how likely a target still holds a prefix, 0 to 1."""
-        sighting = self._seen.get(prefix, {}).get(layers)
-        if sighting is None or sighting.target != target:
+        """Return the weight, 0 to 1, of a prefix still being cached."""
+        last_use = self._uses.get(prefix, {}).get(layers)
+        if last_use is None or last_use.target != target:
             return 0.0
-        return float(0.5 ** ((now - sighting.at) / _HALF_LIFE_MS))
+        return float(0.5 ** ((now - last_use.at) / _WEIGHT_HALF_LIFE_MS))
 
     def find(self, prefix: int, layers: tuple[int, int]) -> str:
-        """Return the target that last ran a range, empty when unknown."""
-        sighting = self._seen.get(prefix, {}).get(layers)
-        return '' if sighting is None else sighting.target
+        """Return the target that last ran a layer range, empty if none."""
+        last_use = self._uses.get(prefix, {}).get(layers)
+        return '' if last_use is None else last_use.target
--- a/src/thornspool/domain/pipelines/candidates.py
+++ b/src/thornspool/domain/pipelines/candidates.py
@@ -1,10 +1,10 @@
-"""The engines that one entry considers: a bounded subset of the fleet.
+"""Candidate engines of one entry: a bounded subset of the fleet.
 
-With hundreds of entries before hundreds of engines, connections and load
-reports of every entry with every engine would grow with the product of the
-two. Each entry keeps a few engines for each layer range, chosen by
-rendezvous hashing (Thaler and Ravishankar, 1998): entries spread over the
-engines, and a change of one engine moves only the entries that had it.
+With hundreds of entries and hundreds of engines, the number of connections
+and load reports would grow with the product of the two if every entry used
+every engine. Each entry uses a few engines for each layer range, chosen by
+rendezvous hashing (Thaler and Ravishankar, 1998): entries are balanced over
+the engines, and a change of one engine affects only the entries that use it.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 
     from thornspool.domain.configuration import documents
 
-DRAWN = 2
-"""Stages that are compared of those that hold the same layers."""
+DRAWN_STAGES = 2
+"""Number of stages compared among those with the same layers."""
 
 
 def choose_candidates(
     entry: str, model: documents.Model, per_range: int
 ) -> list[documents.Stage]:
-    """Choose the stages of a model that an entry considers.
+    """Choose the candidate stages of a model for an entry.
 
     Parameters
     ----------
@@ -37,7 +37,7 @@
     model : documents.Model
         The model.
     per_range : int
-        Stages to keep for each layer range.
+        Maximum number of stages for each layer range.
 
     Returns
     -------
@@ -61,27 +61,27 @@
     fingerprint: str,
     usable: Iterable[documents.Stage],
     targets: dict[str, documents.Target],
-    favourite: Callable[[tuple[int, int]], str],
+    preferred: Callable[[tuple[int, int]], str],
 ) -> list[documents.Stage]:
-    """Draw the stages that a request is planned with, by its content.
+    """Draw the stages for planning a request, by a hash of its content.
 
-    A prompt that crashes engines may come through several entries at once,
-    before any can know of it. If each drew by itself, each would lose
-    another engine; so all draw the same ones. Prompts differ, so to the
-    engines it is as good as chance.
+    A prompt that crashes engines may arrive at several entries at once,
+    before the first crash is reported. If the entries drew independently,
+    each would crash a different engine; so all draw the same ones. As
+    prompts differ, the load on the engines is the same as with random draws.
 
     Parameters
     ----------
     fingerprint : str
-        The request's.
+        Fingerprint of the request's content.
     usable : iterable of documents.Stage
         Stages that may be used.
     targets : dict of str to documents.Target
         Targets by name.
-    favourite : callable
-        Returns the target that has the prompt's prefix for a layer range.
-        It may be another at each entry, and stays among the drawn: a
-        prompt with a prefix that ran is rarely one that crashes.
+    preferred : callable
+        Returns the target that has cached the prompt's prefix for a layer
+        range. It may differ between entries and is always included: a
+        prompt whose prefix has run before rarely crashes an engine.
     """
     groups: dict[tuple[int, int, str], list[documents.Stage]]
     groups = collections.defaultdict(list)
@@ -90,9 +90,9 @@
         groups[stage.first_layer, stage.end_layer, domain].append(stage)
     drawn: list[documents.Stage] = []
     for (first_layer, end_layer, _), stages in groups.items():
-        warm = favourite((first_layer, end_layer))
+        cached_target = preferred((first_layer, end_layer))
         chosen = heapq.nlargest(
-            DRAWN,
+            DRAWN_STAGES,
             stages,
             key=lambda stage: _compute_weight(fingerprint, stage.target),
         )
@@ -100,10 +100,10 @@
         drawn.extend(
             stage
             for stage in stages
-            if stage.target == warm and stage not in chosen
+            if stage.target == cached_target and stage not in chosen
         )
     return drawn
 
 
-def _compute_weight(entry: str, target: str) -> int:
-    return xxhash.xxh3_64_intdigest(f'{entry}\0{target}'.encode())
+def _compute_weight(key: str, target: str) -> int:
+    return xxhash.xxh3_64_intdigest(f'{key}\0{target}'.encode())
--- a/src/thornspool/domain/pipelines/exceptions.py
+++ b/src/thornspool/domain/pipelines/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the pipelines aggregate."""
+"""Errors of pipelines."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class PipelineError(exceptions.ThornspoolError):
-    """Base of the errors about pipelines."""
+    """Base class of the errors of pipelines."""
 
 
 class NoPipeline(PipelineError):
-    """The stages that may be used do not cover the model's layers."""
+    """The usable stages do not cover the layers of the model."""
 
 
 class MalformedFrame(PipelineError):
-    """Bytes of a token stream that are no frame."""
+    """A token stream contains bytes that are not a frame."""
--- a/src/thornspool/domain/pipelines/frames.py
+++ b/src/thornspool/domain/pipelines/frames.py
@@ -1,7 +1,7 @@
-"""Frames of an engine's token stream and how they are decoded.
+"""Frames of an engine's token stream, and their decoder.
 
-An engine answers with JSON objects, one a line. The shapes are those of
-``docs/standins/engine.md``.
+An engine responds with JSON objects, one a line. Their schema is described
+in ``docs/standins/engine.md``.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @attrs.frozen
 class StageLoad:
-    """What a stage says of its load inside an answer; saves a poll.
+    """Load that a stage reports in a stream, which saves a poll.
 
     Attributes
     ----------
@@ -26,9 +26,10 @@
     state : str
         ``ready`` or ``leaving``.
     running, waiting, max_batch : int
-        Requests in its batch, in its queue, and the largest batch.
+        Requests in the batch, requests in the queue, and the maximum size
+        of the batch.
     step_ms : float
-        Time of one step of its batch, in milliseconds.
+        Time of one step of the batch, in milliseconds.
     """
 
     target: str
@@ -43,33 +44,35 @@
 class Frame:
     """One line of a token stream: a token, an end or a failure.
 
-    It is not frozen because a frozen ``attrs`` class is made three times
-    slower, and one is made for each token.
+    The class is not frozen because creating an instance of a frozen
+    ``attrs`` class takes three times as long, and one is created for each
+    token.
 
     Attributes
     ----------
     request : str
-        Request that it belongs to.
+        Identifier of the request.
     attempt : int
-        Attempt that it belongs to.
+        Number of the attempt.
     index : int
-        Position of the token in the answer; ``NO_INDEX`` for other frames.
+        Position of the token in the response; ``NO_INDEX`` for other frames.
     token : str
         Text of the token.
     receipts : list of tuple
-        First layer, end layer and target of each stage that worked on the
-        token, in the order of the work.
+        First layer, end layer and target of each stage that processed the
+        token, in order.
     end : int
-        Tokens in the whole answer, resumed ones included; ``NO_INDEX`` for
-        other frames.
+        Number of tokens in the complete response, including those before a
+        resumption; ``NO_INDEX`` for other frames.
     failed : str
-        Why the attempt ends without a whole answer; empty otherwise.
+        Why the attempt failed; empty otherwise.
     target : str
-        Target that a failure names.
+        Target that a failure is attributed to.
     loads : list of StageLoad
         Loads of the route's stages, on frames that end an attempt.
     hops : list of float
-        Milliseconds of the way from each stage to the next, on some frames.
+        Transfer time from each stage to the next in milliseconds, on some
+        frames.
     """
 
     request: str = ''
@@ -85,39 +88,39 @@
 
 
 class FrameReader:
-    """Bytes of one stream that do not make a whole line yet."""
+    """Incremental decoder of the frames of one stream."""
 
     def __init__(self) -> None:
         self._decoder = msgspec.json.Decoder(Frame)
-        self._rest = b''
+        self._partial_line = b''
 
     def read(self, chunk: bytes) -> list[Frame]:
-        """Decode the whole lines of a chunk.
+        """Decode the lines that a chunk completes.
 
         Parameters
         ----------
         chunk : bytes
-            The next bytes of the stream, cut anywhere.
+            The next bytes of the stream, split at any position.
 
         Returns
         -------
         list of Frame
-            Frames whose last byte has come.
+            The frames that are complete.
 
         Raises
         ------
         MalformedFrame
-            When a line is no frame.
+            When a line is not a frame.
         """
-        whole, newline, rest = chunk.rpartition(_NEWLINE)
+        complete, newline, partial_line = chunk.rpartition(_NEWLINE)
         if not newline:
-            self._rest += chunk
+            self._partial_line += chunk
             return []
-        lines, self._rest = self._rest + whole, rest
+        lines, self._partial_line = self._partial_line + complete, partial_line
         try:
             return self._decoder.decode_lines(lines)
         except msgspec.MsgspecError as error:
             raise exceptions.MalformedFrame(
-                f'The stream holds a line that is no frame: {error}.',
-                'Compare the engine with docs/standins/engine.md.',
+                f'The stream contains a line that is not a frame: {error}.',
+                'See docs/standins/engine.md for the stream format.',
             ) from error
--- a/src/thornspool/domain/pipelines/links.py
+++ b/src/thornspool/domain/pipelines/links.py
@@ -1,9 +1,9 @@
-"""Link times between failure domains, learnt from what engines time.
+"""Link times between failure domains, learned from engine measurements.
 
-Engines time the way of their work to the next stage and say so now and then
-in their streams. A link that is found slow is avoided, and one that is
-avoided is not timed any more; so what was learnt fades towards the time that
-the link is known or guessed to have, and the link is tried again.
+Engines measure the transfer time to the next stage and report it now and then
+in their streams. A slow link is avoided, and a link that is avoided is not
+measured any more. So a learned time decays towards the configured or default
+time of the link, until the link is used again.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 
 Link = tuple[str, str]
 
-_SHARE = 0.2
+_SMOOTHING_FACTOR = 0.2
 _HALF_LIFE_MS = 15_000
-_SAME_DOMAIN_MS = 0.1
-_UNSEEN_MS = 0.5
+_SAME_DOMAIN_LINK_MS = 0.1
+_UNKNOWN_LINK_MS = 0.5
 
 
 @attrs.frozen
-class _Learnt:
-    """A learnt time and when it was learnt."""
+class _LearnedTime:
+    """A learned time and when it was last updated."""
 
     time: float
-    at: int
+    updated_at: int
 
 
 class LinkTimes:
@@ -36,56 +36,59 @@
 
     Parameters
     ----------
-    known : dict of (str, str) to float, optional
-        Times to start from, by pair of failure domains.
+    configured : dict of (str, str) to float, optional
+        Initial times, by pair of failure domains.
     """
 
-    def __init__(self, known: dict[Link, float] | None = None) -> None:
-        self._known: dict[Link, float] = dict(known or {})
-        self._learnt: dict[Link, _Learnt] = {}
+    def __init__(self, configured: dict[Link, float] | None = None) -> None:
+        self._configured: dict[Link, float] = dict(configured or {})
+        self._learned_times: dict[Link, _LearnedTime] = {}
 
     def read(self, first: str, second: str, now: int) -> float:
         """Return the time of a link in milliseconds."""
-        usual = self._read_usual(first, second)
-        learnt = self._learnt.get((first, second))
-        if learnt is None:
-            return usual
-        weight = 0.5 ** ((now - learnt.at) / _HALF_LIFE_MS)
-        return float(weight * learnt.time + (1 - weight) * usual)
-
-    def read_learnt_at(self, first: str, second: str) -> int | None:
-        """Return when the time of a link was learnt last."""
-        learnt = self._learnt.get((first, second))
-        return None if learnt is None else learnt.at
-
-    def note_hop(
+        baseline = self._read_baseline(first, second)
+        learned = self._learned_times.get((first, second))
+        if learned is None:
+            return baseline
+        weight = 0.5 ** ((now - learned.updated_at) / _HALF_LIFE_MS)
+        return float(weight * learned.time + (1 - weight) * baseline)
+
+    def read_updated_at(self, first: str, second: str) -> int | None:
+        """Return when the time of a link was last updated."""
+        learned = self._learned_times.get((first, second))
+        return None if learned is None else learned.updated_at
+
+    def record_hop(
         self, first: str, second: str, time_ms: float, now: int
     ) -> None:
-        """Take in a time that was measured on a link."""
-        before = self.read(first, second, now)
-        if (first, second) not in self._learnt:
-            before = time_ms
-        time = before + _SHARE * (time_ms - before)
-        self._learnt[first, second] = _Learnt(time, now)
-
-    def note_stall(
+        """Update the time of a link with a measurement."""
+        previous = self.read(first, second, now)
+        if (first, second) not in self._learned_times:
+            previous = time_ms
+        time = previous + _SMOOTHING_FACTOR * (time_ms - previous)
+        self._learned_times[first, second] = _LearnedTime(time, now)
+
+    def record_stall(
         self, route: routes.Route, waited_ms: float, now: int
     ) -> None:
-        """Take in that no token came along a route for so long.
+        """Record a stall: no token arrived on a route for some time.
 
-        Any link of the route may be the reason, and none is timed while
-        nothing arrives; so each is taken to need its part of the wait.
+        Any link of the route may be the cause, and none is measured while
+        nothing arrives. So each link is assigned at least an equal share of
+        the time.
         """
         links = route.list_links()
-        part = waited_ms / len(links)
+        share = waited_ms / len(links)
         for first, second in links:
-            time = max(part, self.read(first, second, now))
-            self._learnt[first, second] = _Learnt(time, now)
+            time = max(share, self.read(first, second, now))
+            self._learned_times[first, second] = _LearnedTime(time, now)
 
-    def _read_usual(self, first: str, second: str) -> float:
+    def _read_baseline(self, first: str, second: str) -> float:
         if first == second:
-            return _SAME_DOMAIN_MS
-        known = self._known.get((first, second))
-        if known is None:
-            known = self._known.get((second, first), _UNSEEN_MS)
-        return known
+            return _SAME_DOMAIN_LINK_MS
+        configured = self._configured.get((first, second))
+        if configured is None:
+            configured = self._configured.get(
+                (second, first), _UNKNOWN_LINK_MS
+            )
+        return configured
--- a/src/thornspool/domain/pipelines/loads.py
+++ b/src/thornspool/domain/pipelines/loads.py
@@ -1,8 +1,8 @@
-"""Expected time of a token in a stage, from old reports and own requests.
+"""Expected time of a token in a stage, from reports and local requests.
 
 A report is some hundred milliseconds old, and every entry reads the same
-one. An entry knows exactly what it has itself sent since, so that part is
-added, and the report loses weight as it ages.
+one. An entry has an exact count of the requests that it has sent itself since
+then. That count is added, and the report loses weight as it ages.
 """
 
 from __future__ import annotations
@@ -15,65 +15,70 @@
     from thornspool.domain.targets import messages
 
 
-_HALF_LIFE_MS = 2_000
-_UNREPORTED_STEP_MS = 20.0
-_REMEMBERED = 4_096
+_REPORT_HALF_LIFE_MS = 2_000
+_DEFAULT_STEP_MS = 20.0
+_MAX_TARGETS = 4_096
 
 
 @attrs.define
-class _Own:
-    """Own requests on one target now, and at the last report."""
+class _RequestCount:
+    """Local requests on one target, now and at the last report."""
 
     now: int = 0
     at_report: int = 0
     reported_at: int = -1
 
 
-class OwnRequests:
-    """Requests in flight of the entry itself, by target."""
+class LocalRequests:
+    """Number of in-flight requests of this entry, by target."""
 
     def __init__(self) -> None:
-        self._own: dict[str, _Own] = {}
+        self._counts: dict[str, _RequestCount] = {}
 
     def add(self, target: str, change: int) -> None:
-        """Add to the requests in flight on a target, or take off."""
-        own = self._own.setdefault(target, _Own())
-        own.now += change
-        if own.now == 0 and len(self._own) > _REMEMBERED:
-            del self._own[target]
+        """Change the number of in-flight requests on a target."""
+        local = self._counts.setdefault(target, _RequestCount())
+        local.now += change
+        if local.now == 0 and len(self._counts) > _MAX_TARGETS:
+            del self._counts[target]
 
     def read(self, target: str) -> int:
-        """Return the own requests in flight on a target."""
-        own = self._own.get(target)
-        return 0 if own is None else own.now
+        """Return the number of in-flight requests on a target."""
+        local = self._counts.get(target)
+        return 0 if local is None else local.now
 
-    def read_since(self, report: messages.LoadReport) -> int:
-        """Return how many more there are than when a report came."""
-        own = self._own.setdefault(report.target, _Own())
-        if own.reported_at != report.received_at:
-            own.reported_at = report.received_at
-            own.at_report = own.now
-        return own.now - own.at_report
+    def count_since(self, report: messages.LoadReport) -> int:
+        """Return the change in their number since a report arrived."""
+        local = self._counts.setdefault(report.target, _RequestCount())
+        if local.reported_at != report.received_at:
+            local.reported_at = report.received_at
+            local.at_report = local.now
+        return local.now - local.at_report
 
 
-def compute_trust(report: messages.LoadReport | None, now: int) -> float:
-    """Return how far a report still holds, 0 to 1."""
+def compute_report_weight(
+    report: messages.LoadReport | None, now: int
+) -> float:
+    """Return the weight of a report by its age, 0 to 1."""
     if report is None:
         return 0.0
-    return float(0.5 ** ((now - report.received_at) / _HALF_LIFE_MS))
+    return float(0.5 ** ((now - report.received_at) / _REPORT_HALF_LIFE_MS))
 
 
 def estimate_time(
-    report: messages.LoadReport | None, own: OwnRequests, target: str, now: int
+    report: messages.LoadReport | None,
+    local: LocalRequests,
+    target: str,
+    now: int,
 ) -> float:
-    """Estimate the time of one token in a stage, queue included.
+    """Estimate the time of one token in a stage, including the queue.
 
     Parameters
     ----------
     report : messages.LoadReport or None
         Last load report.
-    own : OwnRequests
-        Own requests in flight.
+    local : LocalRequests
+        In-flight requests of this entry.
     target : str
         Name of the target.
     now : int
@@ -85,9 +90,11 @@
         Milliseconds.
     """
     if report is None:
-        return _UNREPORTED_STEP_MS * (1 + own.read(target) / 16)
-    weight = compute_trust(report, now)
-    reported = report.running + report.waiting + own.read_since(report)
-    present = max(0.0, weight * reported + (1 - weight) * own.read(target))
-    batches = 1 + present / max(1, report.max_batch)
+        return _DEFAULT_STEP_MS * (1 + local.read(target) / 16)
+    weight = compute_report_weight(report, now)
+    reported = report.running + report.waiting + local.count_since(report)
+    request_count = max(
+        0.0, weight * reported + (1 - weight) * local.read(target)
+    )
+    batches = 1 + request_count / max(1, report.max_batch)
     return float(report.step_ms * batches)
--- a/src/thornspool/domain/pipelines/messages.py
+++ b/src/thornspool/domain/pipelines/messages.py
@@ -1,4 +1,4 @@
-"""Events and commands of the stream verifier."""
+"""Events that the stream verifier handles, and commands that it returns."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Reason(enum.Enum):
-    """Why an attempt or a whole request ended without its whole answer."""
+    """Why an attempt or a request ended without a complete response."""
 
     GAP = 'a token is missing from the stream'
     RECEIPTS = 'the receipts do not cover the layers once and in order'
@@ -35,7 +35,7 @@
 
 @attrs.frozen
 class Started:
-    """An attempt was planned; its route is what receipts must show.
+    """An attempt was started; its receipts must match the route.
 
     Attributes
     ----------
@@ -48,12 +48,12 @@
 
 @attrs.frozen
 class FramesReceived:
-    """Frames of a stream came in.
+    """Frames of a stream were received.
 
     Attributes
     ----------
     attempt : int
-        Attempt whose stream they came from.
+        Number of the attempt whose stream they belong to.
     frames : list of Frame
         In the order of the stream.
     """
@@ -64,16 +64,16 @@
 
 @attrs.frozen
 class StreamClosed:
-    """A stream is over.
+    """A stream was closed.
 
     Attributes
     ----------
     attempt : int
-        Attempt whose stream it was.
+        Number of the attempt that the stream belongs to.
     reason : Reason
-        What closed it; ``ENDED_SHORT`` for an orderly close.
+        Why it was closed; ``ENDED_SHORT`` for an orderly close.
     target : str
-        Target that is to blame, empty when nobody knows.
+        Target that the failure is attributed to, empty when unknown.
     """
 
     attempt: int
@@ -82,25 +82,25 @@
 
 
 @attrs.frozen
-class StageSilent:
-    """A stage of an attempt did not answer when it was checked."""
+class StageUnresponsive:
+    """A stage of an attempt did not respond to a probe."""
 
     attempt: int
 
 
 @attrs.frozen
 class TimePassed:
-    """Nothing happened until now."""
+    """A timeout of the verifier may have been reached."""
 
 
 @attrs.frozen
 class Deliver:
-    """Hand verified tokens to the caller.
+    """Send verified tokens to the caller.
 
     Attributes
     ----------
     first_index : int
-        Position of the first of them in the answer.
+        Position of the first of them in the response.
     texts : tuple of str
         The tokens.
     """
@@ -111,25 +111,25 @@
 
 @attrs.frozen
 class Finish:
-    """The answer is whole.
+    """Finish the request; its response is complete.
 
     Attributes
     ----------
     count : int
-        Tokens in the answer.
+        Number of tokens in the response.
     """
 
     count: int
 
 
 @attrs.frozen
-class GiveUp:
-    """The request ends without a whole answer.
+class Fail:
+    """Fail the request; its response is not complete.
 
     Attributes
     ----------
     reason : Reason
-        Why.
+        Why it failed.
     """
 
     reason: Reason
@@ -137,18 +137,18 @@
 
 @attrs.frozen
 class Cancel:
-    """Stop an attempt at every stage of its route.
+    """Cancel an attempt at every stage of its route.
 
     Attributes
     ----------
     attempt : int
-        The attempt.
+        Number of the attempt.
     route : routes.Route
         Its route.
     reason : Reason
-        Why.
+        Why it is cancelled.
     suspect : str
-        Target to blame, empty when nobody knows.
+        Target that the failure is attributed to, empty when unknown.
     """
 
     attempt: int
@@ -168,7 +168,7 @@
     excluded : frozenset of str
         Targets that must not be used.
     avoided : frozenset of str
-        Targets to use only where nothing else covers the layers.
+        Targets to use only when no others cover the layers.
     """
 
     attempt: int
@@ -177,9 +177,11 @@
 
 
 @attrs.frozen
-class CheckStages:
-    """Ask each stage of the present attempt whether it answers."""
+class ProbeStages:
+    """Probe each stage of the current attempt."""
 
 
-Event = Started | FramesReceived | StreamClosed | StageSilent | TimePassed
-Command = Deliver | Finish | GiveUp | Cancel | Replan | CheckStages
+Event = (
+    Started | FramesReceived | StreamClosed | StageUnresponsive | TimePassed
+)
+Command = Deliver | Finish | Fail | Cancel | Replan | ProbeStages
--- a/src/thornspool/domain/pipelines/planner.py
+++ b/src/thornspool/domain/pipelines/planner.py
@@ -1,12 +1,12 @@
-"""Plans routes: a shortest path over layer boundaries and failure domains.
-
-Stages that hold the same layers in the same failure domain are alike but for
-their load. Two of them are drawn and the better one is kept (the power of
-two choices; Mitzenmacher, 2001): every entry reads the same old load, and if
-each took the one best stage they would all rush to it. What is left is a
-layered graph of at most ranges times domains, in which the shortest path is
-found exactly by dynamic programming, once for each domain of the first stage
-because the token travels back there.
+"""Route planner: shortest path over layer boundaries and failure domains.
+
+Stages that hold the same layers in the same failure domain differ only in
+their load. Two of them are drawn and the better one is used (the power of
+two choices; Mitzenmacher, 2001): every entry reads the same outdated load,
+and if each chose the best stage, all would overload it. The result is a
+layered graph with at most one node for each pair of layer range and domain.
+Its shortest path is found exactly by dynamic programming, once for each
+domain of the first stage because the token returns there.
 """
 
 from __future__ import annotations
@@ -31,27 +31,27 @@
 
 @attrs.frozen
 class Costs:
-    """What the planner weighs, as functions of the present state.
+    """Cost functions of the planner for the current state.
 
     Attributes
     ----------
     stage : callable
-        From a stage document to the milliseconds of one token in it.
+        Returns the milliseconds of one token in a stage.
     link : callable
-        From two failure domains to the one-way milliseconds between them.
-    favourite : callable
-        From a layer range to a target that must be among those drawn,
+        Returns the one-way milliseconds between two failure domains.
+    preferred : callable
+        Returns the target that must be among those drawn for a layer range,
         empty for none.
     """
 
     stage: Callable[[documents.Stage], float]
     link: Callable[[str, str], float]
-    favourite: Callable[[tuple[int, int]], str] = lambda _layers: ''
+    preferred: Callable[[tuple[int, int]], str] = lambda _layers: ''
 
 
 @attrs.frozen
 class _Node:
-    """A drawn stage with its domain and cost."""
+    """A drawn stage with its failure domain and cost."""
 
     stage: documents.Stage
     domain: str
@@ -60,7 +60,7 @@
 
 @attrs.frozen
 class _Path:
-    """The cheapest way to a node, from a given first domain."""
+    """The cheapest path to a node from a given first domain."""
 
     cost: float
     nodes: tuple[_Node, ...]
@@ -72,7 +72,7 @@
     view: messages.TargetView,
     excluded: frozenset[str] = frozenset(),
 ) -> list[documents.Stage]:
-    """Return the stages whose target may be given new work."""
+    """Return the stages whose target accepts new requests."""
     return [
         stage
         for stage in stages
@@ -107,14 +107,14 @@
     targets : dict of str to documents.Target
         Targets by name.
     costs : Costs
-        Costs now.
+        Current costs.
     random_source : random.Random
-        Source of the draws.
+        Source of the random draws.
 
     Returns
     -------
     routes.Route
-        Covers every layer once, in order.
+        A route that covers every layer once, in order.
 
     Raises
     ------
@@ -163,30 +163,32 @@
     costs: Costs,
     random_source: random.Random,
 ) -> _Node:
-    drawn = random_source.sample(stages, min(candidates.DRAWN, len(stages)))
+    drawn = random_source.sample(
+        stages, min(candidates.DRAWN_STAGES, len(stages))
+    )
     layers = (stages[0].first_layer, stages[0].end_layer)
-    favourite = costs.favourite(layers)
-    if favourite:
-        drawn.extend(stage for stage in stages if stage.target == favourite)
-    priced = [(costs.stage(stage), stage) for stage in drawn]
-    cost, stage = min(priced, key=lambda pair: pair[0])
+    preferred = costs.preferred(layers)
+    if preferred:
+        drawn.extend(stage for stage in stages if stage.target == preferred)
+    candidate_costs = [(costs.stage(stage), stage) for stage in drawn]
+    cost, stage = min(candidate_costs, key=lambda pair: pair[0])
     return _Node(stage, domain, cost)
 
 
 def _find_path(
     layers: int, nodes: list[_Node], first_domain: str, costs: Costs
 ) -> _Path | None:
-    """Find the cheapest path that starts in a domain and returns there."""
-    # Nodes are sorted by first layer, so whatever ends at a boundary is
-    # settled before anything that starts there.
+    """Find the cheapest path that starts and ends in a domain."""
+    # Nodes are sorted by first layer, so all paths that end at a boundary
+    # are settled before any node that starts there is visited.
     settled: dict[int, dict[str, _Path]] = collections.defaultdict(dict)
     for node in nodes:
         path = _extend(settled, node, first_domain, costs)
         if path is None:
             continue
         ends = settled[node.stage.end_layer]
-        known = ends.get(node.domain)
-        if known is None or path.cost < known.cost:
+        cheapest = ends.get(node.domain)
+        if cheapest is None or path.cost < cheapest.cost:
             ends[node.domain] = path
     closed = [
         _Path(path.cost + costs.link(domain, first_domain), path.nodes)
--- a/src/thornspool/domain/pipelines/questions.py
+++ b/src/thornspool/domain/pipelines/questions.py
@@ -1,4 +1,4 @@
-"""What an entry asks engines to tell along with an answer, and how often."""
+"""Additional reports that an entry requests from engines, and their rate."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
     from collections.abc import Hashable
     from collections.abc import Sequence
 
-_REMEMBERED = 4_096
+_MAX_SUBJECTS = 4_096
 _MS_PER_S = 1000
 
 
 @attrs.frozen
 class Tell:
-    """What the engines of a route are asked to tell.
+    """Reports that the engines of a route add to their response.
 
     Attributes
     ----------
     loads : bool
-        The loads of the route's stages, at the end.
+        Whether the loads of the route's stages are reported at the end.
     hops : bool
-        The times of the ways between them, once.
+        Whether the transfer times between them are reported once.
     """
 
     loads: bool = False
@@ -36,88 +36,99 @@
 
 @attrs.frozen
 class Limits:
-    """How often an entry asks, over all answers.
+    """Rate limits of an entry over all its requests.
 
     Attributes
     ----------
     loads_per_s, hops_per_s : float
-        Answers a second that bring loads, and that bring times of links.
+        Responses a second that report loads, and that report link times.
     """
 
     loads_per_s: float = 0.25
     hops_per_s: float = 3.0
 
 
-_LOADS_PER_S_OF_ALL = 87.5
-_MOST_LOADS_PER_S = 2.0
+_FLEET_LOADS_PER_S = 87.5
+_MAX_LOADS_PER_S = 2.0
 
 
 def compute_limits(entries: int) -> Limits:
-    """Compute how often an entry asks, by the number of entries.
+    """Compute the rate limits of an entry from the number of entries.
 
-    Admission counts the queues that were told lately. Few entries ask more
-    often, since less of what control may spend goes to limits there.
+    Admission counts the queues that were reported recently. In a small
+    fleet each entry may request more reports, since the distribution of
+    limits uses less of the budget for control messages there.
     """
-    usual = Limits()
-    loads_per_s = min(_MOST_LOADS_PER_S, _LOADS_PER_S_OF_ALL / max(1, entries))
-    return attrs.evolve(usual, loads_per_s=max(usual.loads_per_s, loads_per_s))
+    default = Limits()
+    loads_per_s = min(_MAX_LOADS_PER_S, _FLEET_LOADS_PER_S / max(1, entries))
+    return attrs.evolve(
+        default, loads_per_s=max(default.loads_per_s, loads_per_s)
+    )
 
 
-class Asking:
-    """Decides which answers bring something along.
+class ReportLimiter:
+    """Limits how often one kind of report is requested.
 
     Parameters
     ----------
-    age_ms : int
-        Age from which what is known is asked for again.
+    max_age_ms : int
+        Age from which a report is outdated and requested again, in
+        milliseconds.
     """
 
-    def __init__(self, age_ms: int) -> None:
-        self._age_ms = age_ms
-        self._next_at = -math.inf
-        self._asked: dict[Hashable, int] = {}
+    def __init__(self, max_age_ms: int) -> None:
+        self._max_age_ms = max_age_ms
+        self._next_allowed_at = -math.inf
+        self._requested_at: dict[Hashable, int] = {}
 
-    def ask(
+    def should_request(
         self,
-        known: Sequence[tuple[Hashable, int | None]],
+        reports: Sequence[tuple[Hashable, int | None]],
         per_s: float,
         now: int,
     ) -> bool:
-        """Decide whether an answer is to tell of some subjects.
+        """Decide whether a response has to report on some subjects.
 
         Parameters
         ----------
-        known : sequence of (hashable, int or None)
-            The subjects and when each was heard of last.
+        reports : sequence of (hashable, int or None)
+            The subjects and the time of the last report on each.
         per_s : float
-            Most answers a second that are asked to bring it.
+            Maximum number of requested reports a second.
         now : int
             Monotonic milliseconds.
+
+        Returns
+        -------
+        bool
+            True if the report is requested.
         """
-        if now < self._next_at:
+        if now < self._next_allowed_at:
             return False
-        if not any(self._is_due(*each, now) for each in known):
+        if not any(self._is_due(*report, now) for report in reports):
             return False
-        self._next_at = now + _MS_PER_S / per_s
-        self._drop_old(now)
-        for subject, _ in known:
-            self._asked[subject] = now
+        self._next_allowed_at = now + _MS_PER_S / per_s
+        self._drop_outdated(now)
+        for subject, _ in reports:
+            self._requested_at[subject] = now
         return True
 
     def _is_due(
-        self, subject: Hashable, heard_at: int | None, now: int
+        self, subject: Hashable, reported_at: int | None, now: int
     ) -> bool:
-        # An answer takes many seconds, and may never come; until it is
-        # overdue, asking others for the same is wasted.
-        times = (heard_at, self._asked.get(subject))
-        last = max((time for time in times if time is not None), default=None)
-        return last is None or now - last >= self._age_ms
-
-    def _drop_old(self, now: int) -> None:
-        if len(self._asked) <= _REMEMBERED:
+        # A response takes many seconds and may be lost. Until it is overdue,
+        # a second request for the same report would be wasted.
+        times = (reported_at, self._requested_at.get(subject))
+        latest = max(
+            (time for time in times if time is not None), default=None
+        )
+        return latest is None or now - latest >= self._max_age_ms
+
+    def _drop_outdated(self, now: int) -> None:
+        if len(self._requested_at) <= _MAX_SUBJECTS:
             return
-        self._asked = {
-            subject: asked_at
-            for subject, asked_at in self._asked.items()
-            if now - asked_at < self._age_ms
+        self._requested_at = {
+            subject: requested_at
+            for subject, requested_at in self._requested_at.items()
+            if now - requested_at < self._max_age_ms
         }
--- a/src/thornspool/domain/pipelines/routes.py
+++ b/src/thornspool/domain/pipelines/routes.py
@@ -1,4 +1,4 @@
-"""Routes: the ordered stages that one attempt of a request runs through."""
+"""Routes: the ordered stages that run one attempt of a request."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
     url : str
         ``http://ip:port`` of the target.
     first_layer, end_layer : int
-        Its layers; the end is one past the last.
+        Range of its layers; the end is one past the last.
     failure_domain : str
-        Where the target stands.
+        Failure domain of the target.
     """
 
     target: str
@@ -30,14 +30,14 @@
 
 @attrs.frozen
 class Route:
-    """Stages whose layer ranges cover a model exactly once, in order.
+    """Stages whose layer ranges cover a model once, in order.
 
     Attributes
     ----------
     stages : tuple of RouteStage
-        The stages in the order of the layers.
+        The stages in the order of their layers.
     cost_ms : float
-        Expected time of one token through the route and back to its first
+        Expected time of one token through the route and back to the first
         stage, in milliseconds.
     """
 
@@ -49,14 +49,14 @@
         return tuple(stage.target for stage in self.stages)
 
     def build_receipts(self) -> list[tuple[int, int, str]]:
-        """Return the receipts that each token of this route must carry."""
+        """Return the receipts that each token of this route must have."""
         return [
             (stage.first_layer, stage.end_layer, stage.target)
             for stage in self.stages
         ]
 
     def list_links(self) -> tuple[tuple[str, str], ...]:
-        """Return the links that a token crosses, back to the first stage.
+        """Return the links that a token uses, including the one back.
 
         Returns
         -------
@@ -68,7 +68,7 @@
         return tuple(zip(domains, following, strict=True))
 
     def covers(self, layers: int) -> bool:
-        """Say whether every layer is run exactly once and in order."""
+        """Return whether every layer is covered once and in order."""
         boundary = 0
         for stage in self.stages:
             if stage.first_layer != boundary:
--- a/src/thornspool/domain/pipelines/stage_times.py
+++ b/src/thornspool/domain/pipelines/stage_times.py
@@ -1,9 +1,9 @@
-"""Times of stages, learnt from the pace of an entry's own streams.
+"""Times of stages, learned from the token intervals of local streams.
 
-The time between two tokens of a stream is the sum of its stages' times and
-of the ways between them. An entry sees it without a message, long before a
-load report of those engines comes; so it needs few reports, and what it knows
-is not what all other entries know as well.
+The interval between two tokens of a stream is the sum of the times of its
+stages and links. An entry measures it without any message, long before the
+next load report of those engines arrives. So it needs few reports, and its
+estimates differ from those of other entries.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Sequence
 
-_SHARE = 0.6
-_HALF_LIFE_MS = 5_000
-_TRUST = 0.7
-"""How far a time that was learnt just now holds; a report of now holds 1."""
+_SMOOTHING_FACTOR = 0.6
+_LEARNED_HALF_LIFE_MS = 5_000
+_LEARNED_TRUST = 0.7
+"""Trust in a time that was just learned; a report just received has 1."""
 
-_LEAST_MS = 0.1
-_TOKENS = 16
-_REMEMBERED = 4_096
+_MIN_STAGE_MS = 0.1
+_TOKENS_PER_SAMPLE = 16
+_MAX_TARGETS = 4_096
 
 
 @attrs.frozen
@@ -33,115 +33,122 @@
     ----------
     time : float
         Milliseconds.
-    doubt : float
-        0 if it is known for certain, 1 if it is a guess.
+    uncertainty : float
+        Uncertainty of the estimate, from 0 (certain) to 1 (a guess).
     """
 
     time: float
-    doubt: float
+    uncertainty: float
 
 
 @attrs.frozen
-class _Learnt:
-    """A learnt time and when it was learnt."""
+class _LearnedTime:
+    """A learned time and when it was last updated."""
 
     time: float
-    at: int
+    updated_at: int
 
 
 class PaceMeter:
-    """Reads the pace of one stream off the arrival of its tokens."""
+    """Measures the mean token interval of one stream."""
 
     def __init__(self) -> None:
         self._tokens = 0
-        self._since = -1
+        self._sample_started_at = -1
 
     def count(self, tokens: int, now: int) -> float | None:
-        """Count tokens that have arrived.
+        """Count received tokens.
 
-        The first ones are not timed: the prompt is worked through before.
+        The first chunk is not measured, as it includes the prefill time of
+        the prompt.
 
         Returns
         -------
         float or None
-            Milliseconds a token, now and then.
+            Milliseconds a token, once in 16 tokens; otherwise None.
         """
-        if self._since < 0:
-            self._since = now
+        if self._sample_started_at < 0:
+            self._sample_started_at = now
             return None
         self._tokens += tokens
-        if self._tokens < _TOKENS:
+        if self._tokens < _TOKENS_PER_SAMPLE:
             return None
-        pace = (now - self._since) / self._tokens
-        self._tokens, self._since = 0, now
-        return pace
+        interval_ms = (now - self._sample_started_at) / self._tokens
+        self._tokens, self._sample_started_at = 0, now
+        return interval_ms
 
 
 class StageTimes:
-    """Times of stages by target, in milliseconds a token."""
+    """Learned times of stages by target, in milliseconds a token."""
 
     def __init__(self) -> None:
-        self._learnt: dict[str, _Learnt] = {}
+        self._learned_times: dict[str, _LearnedTime] = {}
 
     def refine(
-        self, target: str, time: float, trust: float, now: int
+        self, target: str, time: float, report_weight: float, now: int
     ) -> Estimate:
-        """Refine a time by what was learnt, the more the less it is trusted.
+        """Combine a reported time with the learned one.
+
+        The learned time has more weight the lower the weight of the report.
 
         Parameters
         ----------
         target : str
             Name of the target.
         time : float
-            Milliseconds, by its load report.
-        trust : float
-            How far that holds, 0 to 1.
+            Milliseconds, according to its load report.
+        report_weight : float
+            Weight of the load report, 0 to 1.
         now : int
             Monotonic milliseconds.
         """
-        doubt = 1 - trust
-        learnt = self._learnt.get(target)
-        if learnt is None:
-            return Estimate(time, doubt)
-        fresh = 0.5 ** ((now - learnt.at) / _HALF_LIFE_MS)
-        weight = doubt * fresh
+        uncertainty = 1 - report_weight
+        learned = self._learned_times.get(target)
+        if learned is None:
+            return Estimate(time, uncertainty)
+        freshness = 0.5 ** ((now - learned.updated_at) / _LEARNED_HALF_LIFE_MS)
+        weight = uncertainty * freshness
         return Estimate(
-            (1 - weight) * time + weight * learnt.time,
-            doubt * (1 - _TRUST * fresh),
+            (1 - weight) * time + weight * learned.time,
+            uncertainty * (1 - _LEARNED_TRUST * freshness),
         )
 
     def note_pace(
-        self, expected: Sequence[tuple[str, float]], pace: float, now: int
+        self,
+        expected: Sequence[tuple[str, float]],
+        interval_ms: float,
+        now: int,
     ) -> None:
-        """Learn the times of the stages of a stream from its pace.
+        """Learn the times of the stages of a stream from its interval.
 
-        What is over or under is put down to each in proportion to its
-        time; streams on other routes tell the stages apart.
+        A deviation from the expected interval is attributed to the stages
+        in proportion to their times; streams on other routes separate the
+        stages.
 
         Parameters
         ----------
         expected : sequence of (str, float)
-            Targets of the route with the times that were expected now.
-        pace : float
-            Milliseconds a token, without the ways between the stages.
+            Targets of the route with their expected times.
+        interval_ms : float
+            Milliseconds a token, without the links between the stages.
         now : int
             Monotonic milliseconds.
         """
-        whole = sum(time for _, time in expected)
-        if whole <= 0:
+        total = sum(time for _, time in expected)
+        if total <= 0:
             return
-        factor = 1 + _SHARE * (pace / whole - 1)
+        factor = 1 + _SMOOTHING_FACTOR * (interval_ms / total - 1)
         for target, time in expected:
-            learnt = max(_LEAST_MS, factor * time)
-            self._learnt[target] = _Learnt(learnt, now)
-        self._drop_old(now)
+            learned = max(_MIN_STAGE_MS, factor * time)
+            self._learned_times[target] = _LearnedTime(learned, now)
+        self._drop_outdated(now)
 
-    def _drop_old(self, now: int) -> None:
-        if len(self._learnt) <= _REMEMBERED:
+    def _drop_outdated(self, now: int) -> None:
+        if len(self._learned_times) <= _MAX_TARGETS:
             return
-        oldest = now - _HALF_LIFE_MS
-        self._learnt = {
-            target: learnt
-            for target, learnt in self._learnt.items()
-            if learnt.at > oldest
+        oldest = now - _LEARNED_HALF_LIFE_MS
+        self._learned_times = {
+            target: learned
+            for target, learned in self._learned_times.items()
+            if learned.updated_at > oldest
         }
--- a/src/thornspool/domain/pipelines/verifier.py
+++ b/src/thornspool/domain/pipelines/verifier.py
@@ -1,10 +1,10 @@
-"""Checks a token stream and decides when to resume it elsewhere.
+"""Stream verifier: checks a token stream and decides when to fail over.
 
-A caller must get the whole answer of its own request. Streams may be cut,
-doubled, late or mixed up, so nothing is passed on that is not the next token
-of this request, from the current attempt, with receipts that show every
-layer once and in order. What fails the check is dropped, or ends the attempt
-and has the rest of the answer computed by another route.
+A caller must get the complete response to its own request. Streams may be
+broken, duplicated, late or mixed up. So the verifier delivers only the next
+token of this request, from the current attempt, with receipts that show every
+layer once and in order. A frame that fails the check is dropped, or ends the
+attempt, and another route computes the rest of the response.
 """
 
 from __future__ import annotations
@@ -21,57 +21,59 @@
     from thornspool.domain.pipelines import frames as frames_module
     from thornspool.domain.pipelines import routes
 
-_UNPAID = frozenset({messages.Reason.REFUSED, messages.Reason.NOT_REACHED})
-"""Nothing ran: another target may be tried without a retry."""
+_RETRY_FREE_REASONS = frozenset(
+    {messages.Reason.REFUSED, messages.Reason.NOT_REACHED}
+)
+"""Reasons after which nothing ran; trying another target costs no retry."""
 
-_FAILURES = {
+_REASONS_BY_FAILURE = {
     'leaving': messages.Reason.REFUSED,
     'not reached': messages.Reason.NOT_REACHED,
 }
-"""Failures that a first stage names and that cost no retry."""
+"""Reasons by the failure that a first stage reports; they cost no retry."""
 
 
 @attrs.frozen
 class Bounds:
-    """Bounds in time of one request.
+    """Timeouts of one request.
 
     Attributes
     ----------
     deadline : int
-        Monotonic milliseconds; the request is given up then.
+        Monotonic milliseconds at which the request fails.
     first_token_ms : int
-        Longest wait for the first frame of an attempt.
+        Timeout of the first frame of an attempt.
     between_tokens_ms : int
-        Longest wait for each further frame.
+        Timeout of each further frame.
     slow_token_ms : int
-        Wait for a further frame that is far too long, though tokens may
-        still come: eight times the objective of 49 ms.
-    check_first_ms, check_token_ms : int
-        Wait for the first and for a further frame after which the stages
-        are asked whether they answer, and twice as long each time after
-        that: some way into the objective of 840 ms, and three times that
-        of 49 ms.
+        Idle time after which a stream counts as slow, though tokens may
+        still arrive: eight times the objective of 49 ms.
+    probe_first_ms, probe_token_ms : int
+        Idle time before the first and before a further frame after which
+        the stages are probed; it doubles with each probe. The first is
+        below the objective of 840 ms, the second is three times the
+        objective of 49 ms.
     """
 
     deadline: int
     first_token_ms: int = 5_000
     between_tokens_ms: int = 1_000
     slow_token_ms: int = 400
-    check_first_ms: int = 500
-    check_token_ms: int = 150
+    probe_first_ms: int = 500
+    probe_token_ms: int = 150
 
 
 class Verifier:
-    """State of one request's answer.
+    """State of the response to one request.
 
     Parameters
     ----------
     request : str
         Identifier of the request.
     bounds : Bounds
-        When to give up and when to resume elsewhere.
+        Timeouts after which the request fails or another route is used.
     take_retry : callable
-        Takes one retry from the budget; False when it is spent.
+        Takes one retry from the budget; returns False when it is exhausted.
     """
 
     def __init__(
@@ -81,38 +83,38 @@
         self.attempt = 0
         self.tokens: list[str] = []
         self.route: routes.Route | None = None
-        self.over = False
+        self.is_finished = False
         self.dropped = 0
         self._bounds = bounds
         self._take_retry = take_retry
         self._receipts: list[tuple[int, int, str]] = []
         self._excluded: set[str] = set()
         self._avoided: set[str] = set()
-        self._stalled_at = bounds.deadline
+        self._stall_at = bounds.deadline
         self._slow_at: int | None = None
-        self._left_slow = False
-        self._check_at: int | None = None
-        self._check_ms = 0
-        self._is_checked = False
+        self._was_rerouted_slow = False
+        self._probe_at: int | None = None
+        self._probe_interval_ms = 0
+        self._was_probed = False
 
     def handle(
         self, event: messages.Event, now: int
     ) -> list[messages.Command]:
-        """Take one event.
+        """Handle one event.
 
         Parameters
         ----------
         event : messages.Event
-            What happened.
+            The event.
         now : int
             Monotonic milliseconds.
 
         Returns
         -------
         list of messages.Command
-            What to do, in order; nothing more once the request is over.
+            Commands to execute in order; none once the request has ended.
         """
-        if self.over:
+        if self.is_finished:
             return []
         if now >= self._bounds.deadline:
             return self._give_up(messages.Reason.DEADLINE)
@@ -122,60 +124,61 @@
             return self._close(event)
         if isinstance(event, messages.Started):
             return self._start(event.route, now)
-        if isinstance(event, messages.StageSilent):
+        if isinstance(event, messages.StageUnresponsive):
             return self._take_silence(event)
-        return self._check_time(now)
+        return self._check_timeouts(now)
 
-    def read_wake(self) -> int:
+    def read_wake_time(self) -> int:
         """Return when ``TimePassed`` is due, in monotonic milliseconds."""
-        due = min(self._stalled_at, self._bounds.deadline)
+        due = min(self._stall_at, self._bounds.deadline)
         if self._slow_at is not None:
             due = min(due, self._slow_at)
-        return due if self._check_at is None else min(due, self._check_at)
+        return due if self._probe_at is None else min(due, self._probe_at)
 
-    def give_up(self, reason: messages.Reason) -> list[messages.Command]:
-        """End the request, for instance when no route can be planned."""
-        if self.over:
+    def fail(self, reason: messages.Reason) -> list[messages.Command]:
+        """Fail the request, for instance when no route can be planned."""
+        if self.is_finished:
             return []
         return self._give_up(reason)
 
     def _start(self, route: routes.Route, now: int) -> list[messages.Command]:
         self.route = route
         self._receipts = route.build_receipts()
-        self._stalled_at = now + self._bounds.first_token_ms
-        self._check_ms = self._bounds.check_first_ms
-        self._check_at = now + self._check_ms
-        self._is_checked = False
+        self._stall_at = now + self._bounds.first_token_ms
+        self._probe_interval_ms = self._bounds.probe_first_ms
+        self._probe_at = now + self._probe_interval_ms
+        self._was_probed = False
         return []
 
     def _receive(
         self, event: messages.FramesReceived, now: int
     ) -> list[messages.Command]:
-        # An older attempt's stream may still run after its cancel: its
-        # tokens would reach the caller twice. Its number gives it away.
+        # The stream of an older attempt may still run after its cancellation,
+        # and its tokens would be delivered twice. The attempt number of the
+        # stream identifies it.
         if event.attempt != self.attempt or self.route is None:
             self.dropped += len(event.frames)
             return []
         first = len(self.tokens)
-        unpassed = self._take_tokens(event.frames)
+        rejected = self._accept_tokens(event.frames)
         commands: list[messages.Command] = []
         if len(self.tokens) > first:
-            self._stalled_at = now + self._bounds.between_tokens_ms
-            if not self._left_slow:
+            self._stall_at = now + self._bounds.between_tokens_ms
+            if not self._was_rerouted_slow:
                 self._slow_at = now + self._bounds.slow_token_ms
-            self._check_ms = self._bounds.check_token_ms
-            self._check_at = now + self._check_ms
-            self._is_checked = False
+            self._probe_interval_ms = self._bounds.probe_token_ms
+            self._probe_at = now + self._probe_interval_ms
+            self._was_probed = False
             texts = tuple(self.tokens[first:])
             commands.append(messages.Deliver(first, texts))
-        if unpassed is not None:
-            commands.extend(self._judge(unpassed))
+        if rejected is not None:
+            commands.extend(self._judge(rejected))
         return commands
 
-    def _take_tokens(
+    def _accept_tokens(
         self, received: list[frames_module.Frame]
     ) -> frames_module.Frame | None:
-        """Keep the tokens that pass and return the frame that stops it."""
+        """Accept valid tokens; return the first frame that is rejected."""
         request, attempt = self.request, self.attempt
         receipts, tokens = self._receipts, self.tokens
         expected = len(tokens)
@@ -194,22 +197,24 @@
         return None
 
     def _judge(self, frame: frames_module.Frame) -> list[messages.Command]:
-        """Decide on a frame of this attempt that is not the next token."""
+        """Handle a frame of this attempt that is not the next token."""
         assert self.route is not None
         if frame.failed:
-            reason = _FAILURES.get(frame.failed, messages.Reason.STAGE_LOST)
-            return self._resume(reason, frame.target)
+            reason = _REASONS_BY_FAILURE.get(
+                frame.failed, messages.Reason.STAGE_LOST
+            )
+            return self._fail_over(reason, frame.target)
         if frame.end == len(self.tokens):
-            self.over = True
+            self.is_finished = True
             return [messages.Finish(frame.end)]
         if frame.index == len(self.tokens):
-            suspect = self._find_false_receipt(frame)
-            return self._resume(messages.Reason.RECEIPTS, suspect)
+            suspect = self._find_invalid_receipt(frame)
+            return self._fail_over(messages.Reason.RECEIPTS, suspect)
         first_stage = self.route.stages[0].target
-        return self._resume(messages.Reason.GAP, first_stage)
+        return self._fail_over(messages.Reason.GAP, first_stage)
 
-    def _find_false_receipt(self, frame: frames_module.Frame) -> str:
-        """Return the stage whose receipt is the first that is not right."""
+    def _find_invalid_receipt(self, frame: frames_module.Frame) -> str:
+        """Return the target of the first receipt that is not valid."""
         for position, receipt in enumerate(self._receipts):
             if frame.receipts[position : position + 1] != [receipt]:
                 return receipt[2]
@@ -218,63 +223,64 @@
     def _close(self, event: messages.StreamClosed) -> list[messages.Command]:
         if event.attempt != self.attempt or self.route is None:
             return []
-        return self._resume(event.reason, event.target)
+        return self._fail_over(event.reason, event.target)
 
-    def _check_time(self, now: int) -> list[messages.Command]:
+    def _check_timeouts(self, now: int) -> list[messages.Command]:
         if self.route is None:
             return []
-        if now >= self._stalled_at:
-            return self._resume(messages.Reason.STALLED, '')
+        if now >= self._stall_at:
+            return self._fail_over(messages.Reason.STALLED, '')
         if self._slow_at is not None and now >= self._slow_at:
-            return self._leave_slow()
-        if self._check_at is not None and now >= self._check_at:
-            self._check_ms *= 2
-            self._check_at = now + self._check_ms
-            self._is_checked = True
-            return [messages.CheckStages()]
+            return self._reroute_slow()
+        if self._probe_at is not None and now >= self._probe_at:
+            self._probe_interval_ms *= 2
+            self._probe_at = now + self._probe_interval_ms
+            self._was_probed = True
+            return [messages.ProbeStages()]
         return []
 
     def _take_silence(
-        self, event: messages.StageSilent
+        self, event: messages.StageUnresponsive
     ) -> list[messages.Command]:
-        """Leave a route whose stage does not answer, if that is paid.
+        """Reroute when a stage is unresponsive, if a retry is available.
 
-        Unlike a slow one it may be left again: when a failure domain is
-        lost, the next route may have a silent stage, too. Each time takes a
-        retry, so that the budget bounds it when all targets are too busy to
-        answer.
+        Unlike for a slow route, this may happen again: when a failure domain
+        is lost, the next route may have an unresponsive stage too. Each time
+        takes a retry, so that the budget limits reroutes when all targets
+        are too busy to respond.
         """
-        # A token may have come since the check, and then all stages live.
+        # A token that arrived since the probe shows that all stages run.
         is_current = event.attempt == self.attempt and self.route is not None
-        if not (is_current and self._is_checked):
+        if not (is_current and self._was_probed):
             return []
         if not self._take_retry():
             return []
         return self._leave(messages.Reason.SILENT, '')
 
-    def _leave_slow(self) -> list[messages.Command]:
-        """Leave a route that slowed, once in a request and if it is paid.
+    def _reroute_slow(self) -> list[messages.Command]:
+        """Reroute a slow stream, once a request, if a retry is available.
 
-        Unlike a stall it ends no request: without a retry to spend, the
-        tokens that still come are better than none. Once, since a host that
-        is slow by itself would make all its requests wander.
+        Unlike a stall, slowness never fails the request: without a retry,
+        slow tokens are better than none. It happens only once, since a host
+        that is slow itself would cause repeated reroutes of all its
+        requests.
         """
         self._slow_at = None
-        self._left_slow = True
+        self._was_rerouted_slow = True
         if not self._take_retry():
             return []
         return self._leave(messages.Reason.SLOWED, '')
 
-    def _resume(
+    def _fail_over(
         self, reason: messages.Reason, suspect: str
     ) -> list[messages.Command]:
-        """Leave the attempt for another route, if that can be paid."""
+        """Reroute after a failure; fail the request without a retry."""
         assert self.route is not None
         if suspect not in self.route.list_targets():
             suspect = ''
-        # Each unpaid try excludes a target, so there are only so many.
-        paid = reason not in _UNPAID or not suspect
-        if paid and not self._take_retry():
+        # Each attempt without a retry excludes a target, which limits them.
+        needs_retry = reason not in _RETRY_FREE_REASONS or not suspect
+        if needs_retry and not self._take_retry():
             cancel = messages.Cancel(self.attempt, self.route, reason, suspect)
             return [cancel, *self._end(messages.Reason.NO_RETRY)]
         return self._leave(reason, suspect)
@@ -282,7 +288,7 @@
     def _leave(
         self, reason: messages.Reason, suspect: str
     ) -> list[messages.Command]:
-        """Have the rest computed by another route."""
+        """Cancel the attempt and replan the rest of the response."""
         assert self.route is not None
         cancel = messages.Cancel(self.attempt, self.route, reason, suspect)
         if suspect:
@@ -291,9 +297,9 @@
             self._avoided.update(self.route.list_targets())
         self.attempt += 1
         self.route = None
-        self._stalled_at = self._bounds.deadline
+        self._stall_at = self._bounds.deadline
         self._slow_at = None
-        self._check_at = None
+        self._probe_at = None
         excluded = frozenset(self._excluded)
         avoided = frozenset(self._avoided)
         return [cancel, messages.Replan(self.attempt, excluded, avoided)]
@@ -305,5 +311,5 @@
         return [cancel, *self._end(reason)]
 
     def _end(self, reason: messages.Reason) -> list[messages.Command]:
-        self.over = True
-        return [messages.GiveUp(reason)]
+        self.is_finished = True
+        return [messages.Fail(reason)]
--- a/tests/application/test_generation.py
+++ b/tests/application/test_generation.py
@@ -1,4 +1,4 @@
-"""Tests of serving model requests, with stand-in engines as processes."""
+"""Tests of serving model requests with stand-in engine processes."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 
 
 class RecordedTrials(generation_trials.NoTrials):
-    """Takes down what it is told; the first verdicts are put in."""
+    """Records the calls; returns the given verdicts first."""
 
     def __init__(self, *verdicts):
         self.verdicts = list(verdicts)
-        self.told = []
+        self.calls = []
 
     def check(self, fingerprint):
         if self.verdicts:
@@ -45,15 +45,15 @@
         return super().check(fingerprint)
 
     def start(self, fingerprint, target):
-        self.told.append(('start', target))
+        self.calls.append(('start', target))
         return False
 
     def finish(self, fingerprint, target, succeeded):
-        self.told.append(('finish', target, succeeded))
+        self.calls.append(('finish', target, succeeded))
 
 
 class GenerationCase(unittest.IsolatedAsyncioTestCase):
-    """Two engines for each half of a model; those of domain a are faster."""
+    """Two engines for engine half of a model; those of domain a are faster."""
 
     def setUp(self):
         self.engines = {}
@@ -72,7 +72,7 @@
             self.engines[name] = started
         for started in self.engines.values():
             started.wait()
-        urls = {name: each.url for name, each in self.engines.items()}
+        urls = {name: engine.url for name, engine in self.engines.items()}
         self.snapshot = builders.build_snapshot(stages, urls)
         self.view = builders.FakeTargetView()
         now = clock.Clock().now()
@@ -116,7 +116,7 @@
         )
 
     async def collect(self, service, request):
-        """Return the tokens that came, and the event that ended them."""
+        """Return the received tokens and the final event."""
         events = [event async for event in service.stream(request)]
         await service.close()
         texts = []
@@ -135,7 +135,7 @@
         self.assertEqual(last, generation_messages.Finished(len(expected)))
 
     def list_indexes(self, target, request_id):
-        """Return which tokens a target computed for a request."""
+        """Return the indexes of the tokens that a target computed."""
         return [
             index
             for count in self.engines[target].read_counts()
@@ -145,7 +145,7 @@
 
 
 class BacklogEngines:
-    """Hands over each token in a chunk of its own, all at once."""
+    """Delivers all tokens at once, engine in a separate chunk."""
 
     def __init__(self, breaks_at):
         self.breaks_at = breaks_at
@@ -173,11 +173,12 @@
 
 
 class BacklogTest(GenerationCase):
-    async def test_what_ends_a_backlog_is_not_lost(self):
-        """Tokens and the break of their stream wait for a busy entry.
+    async def test_stream_failure_after_a_backlog_is_handled(self):
+        """Tokens and the failure of their stream are queued on a busy entry.
 
-        The tokens go out together. Were the break joined to them or lost,
-        the caller would wait for a stream that is over, until its stall.
+        The tokens are delivered together. If the failure were merged with
+        them or lost, the caller would wait for the ended stream until the
+        stall timeout.
         """
         self.snapshot = builders.build_snapshot(STAGES)
         self.view = builders.FakeTargetView()
@@ -203,20 +204,21 @@
         )
         self.assertEqual(reasons, [REASONS.STAGE_LOST])
 
-    async def test_pace_is_learnt_from_each_attempt(self):
-        """Load reports are rare, so streams tell how engines do.
+    async def test_token_interval_is_learned_from_each_attempt(self):
+        """Load reports are rare, so engine speed is learned from streams.
 
-        The wait for a new route is no pace of the engines on it.
+        The wait for a new route must not count as a token interval of the
+        engines on it.
         """
         self.snapshot = builders.build_snapshot(STAGES)
         self.view = builders.FakeTargetView()
         service = self.build_service()
         service._context.engines = BacklogEngines(breaks_at=7)
-        learnt = []
-        self.planning.note_pace = lambda *told: learnt.append(told)
+        learned = []
+        self.planning.note_pace = lambda *arguments: learned.append(arguments)
         await self.check_whole_backlog(service, max_tokens=40)
-        self.assertEqual(len(learnt), 2)
-        for route, pace, _ in learnt:
+        self.assertEqual(len(learned), 2)
+        for route, pace, _ in learned:
             self.assertEqual(len(route.stages), 2)
             self.assertGreaterEqual(pace, 0)
 
@@ -228,23 +230,23 @@
 
 
 class GenerationServiceTest(GenerationCase):
-    async def test_whole_answer_through_two_stages(self):
+    async def test_complete_response_through_two_stages(self):
         self.start_engines()
         await self.check_whole(self.build_service(), self.build_request())
         for name in ('a-head', 'a-tail'):
             self.assertEqual(self.list_indexes(name, 'r'), list(range(12)))
 
-    async def test_link_times_are_learnt_from_a_stream(self):
+    async def test_link_times_are_learned_from_a_stream(self):
         self.start_engines()
         self.engines['a-head'].order(link_ms={'a-tail': 40})
         await self.check_whole(self.build_service(), self.build_request())
-        learnt = self.planning.links.read('a', 'a', clock.Clock().now())
-        self.assertGreater(learnt, 30)
+        learned = self.planning.links.read('a', 'a', clock.Clock().now())
+        self.assertGreater(learned, 30)
 
-    async def test_answers_of_requests_at_once_do_not_cross(self):
-        """Many callers ask at once; each must get its own answer.
+    async def test_responses_of_concurrent_requests_are_not_mixed_up(self):
+        """Many callers send requests concurrently.
 
-        If streams were mixed up, a caller would read another's text.
+        If streams were mixed up, a caller would get the text of another.
         """
         self.start_engines()
         service = self.build_service()
@@ -255,11 +257,11 @@
             )
         )
 
-    async def test_stage_that_dies_is_replaced(self):
-        """An engine's process dies around the work on a token.
+    async def test_crashed_stage_is_replaced(self):
+        """An engine process crashes before, during or after a token.
 
-        The caller notices a pause and then gets the rest of the answer; the
-        death is told once, with what was in flight there.
+        The caller sees a delay and then gets the rest of the response. The
+        crash is reported once, with the requests in flight on the engine.
         """
         for target in ('a-head', 'a-tail'):
             for moment in ('before', 'during', 'after'):
@@ -269,27 +271,27 @@
                     service = self.build_service()
                     request = self.build_request()
                     await self.check_whole(service, request)
-                    prints = (
+                    fingerprints = (
                         generation_attempts.fingerprint_request(request),
                     )
-                    self.assertEqual(self.deaths, [(target, prints)])
+                    self.assertEqual(self.deaths, [(target, fingerprints)])
 
-    async def test_death_is_told_before_the_end_of_its_trial(self):
-        """An engine dies under a request that runs on trial.
+    async def test_crash_is_reported_before_the_end_of_its_trial(self):
+        """An engine crashes while it runs a request on trial.
 
-        Told after the trial's end, the death would not count as the
-        trial's, and the request would go on to kill engines.
+        If the crash were reported after the end of the trial, it would not
+        be attributed to the trial, and the request would crash more engines.
         """
         self.start_engines()
         self.engines['a-tail'].order(die_after=5, die_when='before')
         trials = RecordedTrials()
         service = self.build_service(
             trials=trials,
-            note_death=lambda *death: trials.told.append(('death', death[0])),
+            note_death=lambda *death: trials.calls.append(('death', death[0])),
         )
         await self.check_whole(service, self.build_request())
         self.assertEqual(
-            trials.told[:5],
+            trials.calls[:5],
             [
                 ('start', 'a-head'),
                 ('start', 'a-tail'),
@@ -298,14 +300,14 @@
                 ('finish', 'a-tail', False),
             ],
         )
-        ends = [told for told in trials.told if told[0] == 'finish']
+        ends = [call for call in trials.calls if call[0] == 'finish']
         self.assertEqual([end[2] for end in ends], [False, False, True, True])
 
-    async def test_condemned_request_ends_in_its_retries(self):
-        """A request is condemned between two of its attempts.
+    async def test_request_quarantined_between_retries_fails(self):
+        """A request is quarantined between two of its attempts.
 
-        A further attempt would cost an engine. The caller is told at once
-        what came, and for how long the verdict stands.
+        Another attempt would crash an engine. The caller is immediately
+        informed how much was delivered and how long the quarantine lasts.
         """
         self.start_engines()
         self.engines['a-tail'].order(die_after=5, die_when='before')
@@ -327,11 +329,11 @@
         )
         self.assertEqual(self.list_indexes('b-head', 'r'), [])
 
-    async def test_death_under_many_requests_is_told_once(self):
-        """One engine dies with several requests in flight.
+    async def test_crash_during_many_requests_is_reported_once(self):
+        """One engine crashes with several requests in flight.
 
-        Each of their streams breaks. Counted once for each, a single death
-        would look like many and condemn requests that merely shared the
+        Each of their streams breaks. If each were reported, a single crash
+        would count as many and quarantine requests that only shared the
         target.
         """
         self.start_engines()
@@ -342,19 +344,19 @@
             *(self.check_whole(service, request) for request in requests)
         )
         self.assertEqual(len(self.deaths), 1)
-        target, prints = self.deaths[0]
+        target, fingerprints = self.deaths[0]
         self.assertEqual(target, 'a-tail')
         self.assertEqual(
-            set(prints),
+            set(fingerprints),
             set(map(generation_attempts.fingerprint_request, requests)),
         )
 
-    async def test_spoilt_frames_never_reach_the_caller(self):
-        """An engine spoils the frame of one token in some way.
+    async def test_corrupted_frames_never_reach_the_caller(self):
+        """An engine corrupts the frame of one token.
 
-        The caller must get the right text all the same: a doubled or late
-        frame is dropped, and after a lost or false one the rest is computed
-        by other engines.
+        The caller must still get the correct text: a duplicate or late
+        frame is dropped, and after a lost or invalid one other engines
+        compute the rest.
         """
         cases = (
             ('double', None),
@@ -372,16 +374,16 @@
                 await self.check_whole(service, self.build_request(kind))
                 reasons = [noted for _, noted in self.failures]
                 self.assertEqual(reasons, [reason] if reason else [])
-                # Nothing that the caller had is computed once more.
+                # No delivered token is computed again.
                 rest = list(range(4, 12)) if reason else []
                 if reason is not REASONS.RECEIPTS:
                     self.assertEqual(self.list_indexes('b-head', kind), rest)
 
-    async def test_slow_link_is_left_and_remembered(self):
-        """The link between two engines slows a hundredfold, without a loss.
+    async def test_slow_link_is_left_and_avoided_later(self):
+        """The link between two engines gets 100 times slower without a loss.
 
-        The tokens stop for longer than the bound. The answer goes on over
-        other engines, and the next request avoids the link from the start.
+        The tokens stop for longer than the timeout. Other engines continue
+        the response, and the next request avoids the link from the start.
         """
         self.start_engines()
         self.engines['a-head'].order(link_ms={'a-tail': 1_000})
@@ -390,8 +392,8 @@
         await self.check_whole(service, self.build_request('s'))
         computed = [
             (name, count['attempt'])
-            for name, each in self.engines.items()
-            for count in each.read_counts()
+            for name, engine in self.engines.items()
+            for count in engine.read_counts()
             if count['request'] == 's'
         ]
         self.assertEqual([attempt for _, attempt in computed], [0, 0])
@@ -399,11 +401,11 @@
             [name for name, _ in computed], ['a-head', 'a-tail']
         )
 
-    async def test_leaving_stage_gets_no_new_work(self):
-        """An engine is told to leave while its view here still says ready.
+    async def test_leaving_stage_gets_no_new_requests(self):
+        """An engine starts to leave while the entry still lists it as ready.
 
-        It answers that it is leaving; the request runs elsewhere, and no
-        retry is taken since nothing of it had run there.
+        It refuses the request, which then runs on another engine. This
+        takes no retry, since nothing had run.
         """
         for target in ('a-head', 'a-tail'):
             with self.subTest(target=target):
@@ -414,11 +416,11 @@
                 self.assertEqual(self.list_indexes(target, 'r'), [])
                 self.assertEqual(self.failures, [(target, REASONS.REFUSED)])
 
-    async def test_leaving_stage_finishes_what_is_in_flight(self):
-        """An engine is told to leave in the middle of an answer.
+    async def test_leaving_stage_finishes_in_flight_requests(self):
+        """An engine starts to leave in the middle of a response.
 
-        The answer must go on to its end there: a planned stop cuts off no
-        request in flight.
+        It must complete the response: a planned stop aborts no in-flight
+        request.
         """
         self.start_engines()
         service = self.build_service()
@@ -430,10 +432,10 @@
         self.assertEqual(events[-1], generation_messages.Finished(12))
         self.assertEqual(self.list_indexes('a-tail', 'r'), list(range(12)))
 
-    async def test_caller_that_leaves_stops_every_stage(self):
-        """A caller closes its connection in the middle of an answer.
+    async def test_disconnected_caller_stops_every_stage(self):
+        """A caller closes its connection in the middle of a response.
 
-        Engines that went on would spend their time on text for nobody.
+        Engines that continued would waste their time on unused text.
         """
         self.start_engines()
         service = self.build_service()
@@ -448,11 +450,11 @@
         self.assertEqual(self.list_indexes('a-head', 'r'), before)
         self.assertEqual(self.list_indexes('a-tail', 'r'), tail_before)
 
-    async def test_failure_is_explicit_when_nothing_is_left(self):
-        """The only engine of the second half dies and none can replace it.
+    async def test_failure_is_explicit_when_no_engine_is_left(self):
+        """The only engine of the second half crashes without a replacement.
 
-        The caller must be told that the answer is not whole, and how much
-        of it came, instead of a stream that just stops.
+        The caller must be informed that the response is incomplete, and how
+        much was delivered, instead of a stream that just stops.
         """
         self.start_engines({'a-head': (0, 8), 'a-tail': (8, 16)})
         self.engines['a-tail'].order(die_after=5, die_when='before')
@@ -463,11 +465,11 @@
         self.assertEqual(last.delivered, len(texts))
         self.assertEqual(len(texts), 4)
 
-    async def test_not_run_is_said_only_when_no_engine_took_it(self):
-        """Every engine of the first half has gone before the request.
+    async def test_not_run_is_reported_only_when_no_engine_accepted(self):
+        """Every engine of the first half has exited before the request.
 
         No connection could be made, so nothing ran and the caller may
-        safely send the request again.
+        safely retry the request.
         """
         self.start_engines()
         for name in ('a-head', 'b-head'):
@@ -480,14 +482,14 @@
         self.assertEqual(self.list_indexes('a-tail', 'r'), [])
 
     async def test_deadline_ends_the_request(self):
-        """The engines are too slow for the request's deadline.
+        """The engines are too slow for the deadline of the request.
 
-        The caller gets its final answer at the deadline, and the engines
-        are told to stop.
+        The caller gets the failure at the deadline, and the attempt is
+        cancelled on the engines.
         """
         self.start_engines()
-        for each in self.engines.values():
-            each.order(slow=50.0)
+        for engine in self.engines.values():
+            engine.order(slow=50.0)
         service = self.build_service()
         request = self.build_request(wait_ms=600)
         texts, last = await self.collect(service, request)
--- a/tests/application/test_generation_events.py
+++ b/tests/application/test_generation_events.py
@@ -1,4 +1,4 @@
-"""Tests of the events of one request that wait to be handled."""
+"""Tests of the event queue of timer request."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 def build_tokens(attempt, *indexes):
-    """Build the event of some tokens."""
+    """Build the event of received tokens."""
     received = [frames.Frame('r', attempt, index, 'a') for index in indexes]
     return messages.FramesReceived(attempt, received)
 
 
-# Events that wait, and what is handed over for them.
-WAITING = (
+# Queued events, and the events that the queue returns for them.
+QUEUED_AND_RETURNED = (
     ([CLOSED], [CLOSED]),
     (
         [build_tokens(0, 0), build_tokens(0, 1, 2), CLOSED],
@@ -44,10 +44,10 @@
     def run_virtual(self, scenario):
         fakes.run(self.clock, scenario)
 
-    def test_frames_of_one_attempt_are_joined_in_order(self):
-        for waiting, expected in WAITING:
-            with self.subTest(waiting=waiting):
-                for event in waiting:
+    def test_frames_of_one_attempt_are_merged_in_order(self):
+        for queued, expected in QUEUED_AND_RETURNED:
+            with self.subTest(queued=queued):
+                for event in queued:
                     self.queue.put(event)
 
                 async def scenario(expected=expected):
@@ -56,21 +56,20 @@
 
                 self.run_virtual(scenario())
 
-    def test_bound_is_kept_from_the_last_token(self):
-        """Tokens come, and then the engine hangs.
+    def test_timeout_counts_from_the_last_token(self):
+        """Tokens arrive, and then the engine hangs.
 
-        The bound counts from the last token: cut at the bound of an earlier
-        one, a stream that runs would be taken for stalled; without a bound,
-        the caller would wait for ever.
+        With the timeout of an earlier token, a running stream would count
+        as stalled; without a timeout, the caller would wait for ever.
         """
 
         async def scenario():
             for _ in range(3):
                 start = self.clock.now()
-                waiting = asyncio.create_task(self.queue.get(start + 400))
+                get_task = asyncio.create_task(self.queue.get(start + 400))
                 await asyncio.sleep(0.3)
                 self.queue.put(build_tokens(0, 0))
-                self.assertEqual(build_tokens(0, 0), await waiting)
+                self.assertEqual(build_tokens(0, 0), await get_task)
             last = self.clock.now()
             event = await self.queue.get(last + 400)
             self.assertEqual(messages.TimePassed(), event)
@@ -78,18 +77,19 @@
 
         self.run_virtual(scenario())
 
-    def test_bound_that_comes_nearer_is_kept(self):
-        """The first token came late, and the second one never comes.
+    def test_shorter_timeout_replaces_a_longer_one(self):
+        """The first token arrives late, and the second timer never.
 
-        The bound of the first token is seconds, that of the next ones less;
-        kept to the first, a slow link would be noticed seconds late.
+        The timeout of the first token is seconds, that of later ones is
+        shorter. If the first one were kept, a slow link would be detected
+        seconds late.
         """
 
         async def scenario():
-            waiting = asyncio.create_task(self.queue.get(FAR_MS))
+            get_task = asyncio.create_task(self.queue.get(FAR_MS))
             await asyncio.sleep(0.1)
             self.queue.put(build_tokens(0, 0))
-            await waiting
+            await get_task
             event = await self.queue.get(500)
             self.assertEqual(messages.TimePassed(), event)
             self.assertEqual(500, self.clock.now())
@@ -97,18 +97,20 @@
         self.run_virtual(scenario())
 
     def test_closed_queue_leaves_no_timer(self):
-        """A caller leaves long before the deadline of its request.
+        """A caller disconnects long before the deadline of its request.
 
-        A timer left behind would keep the request in memory until then.
+        A remaining timer would keep the request in memory until then.
         """
 
         async def scenario():
-            waiting = asyncio.create_task(self.queue.get(FAR_MS))
+            get_task = asyncio.create_task(self.queue.get(FAR_MS))
             await asyncio.sleep(0)
-            waiting.cancel()
-            await asyncio.gather(waiting, return_exceptions=True)
+            get_task.cancel()
+            await asyncio.gather(get_task, return_exceptions=True)
             self.queue.close()
             timers = asyncio.get_running_loop()._scheduled
-            self.assertEqual([], [one for one in timers if not one._cancelled])
+            self.assertEqual(
+                [], [timer for timer in timers if not timer._cancelled]
+            )
 
         self.run_virtual(scenario())
--- a/tests/application/test_generation_planning.py
+++ b/tests/application/test_generation_planning.py
@@ -1,4 +1,4 @@
-"""Tests of what an entry knows for planning."""
+"""Tests of route planning on an entry."""
 
 from __future__ import annotations
 
@@ -31,27 +31,26 @@
         )
 
     def plan(self, planning, now=0, **changes):
-        wish = generation_planning.Wish(
+        request = generation_planning.Wish(
             self.snapshot.models['text'], 1, 10, **changes
         )
-        return planning.plan(wish, now).list_targets()[0]
+        return planning.plan(request, now).list_targets()[0]
 
-    def test_goes_beyond_the_candidates_when_they_are_gone(self):
-        """Every engine that this entry usually asks has left.
+    def test_uses_other_engines_without_ready_candidates(self):
+        """Every candidate engine of this entry has left.
 
-        Other entries' engines still hold the layers, so the request need
-        not fail.
+        Other engines still hold the layers, so the request must not fail.
         """
         planning = self.build_planning(per_range=1)
-        usual = self.plan(planning)
-        self.view.readiness[usual] = messages.Readiness.LEAVING
-        self.assertNotEqual(self.plan(planning), usual)
+        first_choice = self.plan(planning)
+        self.view.readiness[first_choice] = messages.Readiness.LEAVING
+        self.assertNotEqual(self.plan(planning), first_choice)
 
     def test_avoided_targets_are_the_last_resort(self):
-        """A stall blames nobody, and no other engine holds the layers.
+        """After a stall without a suspect, no other engine has the layers.
 
-        The stalled ones are tried again before the request fails; a target
-        that is known to be at fault is not.
+        The stalled engines are used again before the request fails, but
+        never a target that the fault was attributed to.
         """
         planning = self.build_planning()
         names = frozenset(self.snapshot.targets)
@@ -61,11 +60,11 @@
         with self.assertRaises(exceptions.NoPipeline):
             self.plan(planning, excluded=names)
 
-    def test_doubt_in_old_reports_spreads_entries(self):
-        """Many entries read one report that is seconds old.
+    def test_outdated_reports_balance_entries(self):
+        """Many entries read the same report, which is seconds old.
 
-        If they all believed it, the engine that was idle then would get
-        all requests until the next report.
+        If they all trusted it fully, the engine that was idle at that time
+        would get all requests until the next report.
         """
         for name in self.snapshot.targets:
             waiting = 0 if name == 'a-3' else 8
@@ -81,11 +80,11 @@
         self.assertGreater(fresh, 0.28)
         self.assertLess(old, 0.22)
 
-    def test_pace_of_own_streams_counts_where_reports_are_old(self):
-        """An engine slows down and its last report is of long ago.
+    def test_local_token_intervals_count_with_outdated_reports(self):
+        """An engine slows down and its last report is outdated.
 
-        Its streams crawl. An entry that waited for the next report would
-        send it more.
+        Its streams become slow. An entry that only used reports would keep
+        sending requests to it.
         """
         for name in self.snapshot.targets:
             self.view.loads[name] = builders.build_load(name)
@@ -94,15 +93,15 @@
             planning = self.build_planning(seed)
             for number in range(6):
                 route = builders.build_route(f'a-{number}')
-                pace = 100.0 if number == 3 else 10.0
-                planning.note_pace(route, pace, 20_000)
+                interval_ms = 100.0 if number == 3 else 10.0
+                planning.note_pace(route, interval_ms, 20_000)
             chosen[self.plan(planning, 20_000)] += 1
         self.assertEqual(chosen['a-3'], 0)
 
-    def test_asks_of_old_loads_and_links_and_only_so_often(self):
-        """Engines told their loads with each answer.
+    def test_requests_outdated_reports_at_a_limited_rate(self):
+        """Engines reported their loads in each response.
 
-        At the size to design for that was more than control may spend.
+        At the design size this exceeded the budget for control messages.
         """
         planning = self.build_planning(
             read_limits=lambda: questions.Limits(0.5, 2.0)
--- a/tests/application/test_generation_trials.py
+++ b/tests/application/test_generation_trials.py
@@ -1,4 +1,4 @@
-"""Tests of running suspects apart, with the quarantine of two entries."""
+"""Tests of isolating suspected requests, with two entries."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def build_route(*targets):
-    """Build a route of one layer a stage."""
+    """Build a route with one layer a stage."""
     return routes.Route(
         tuple(
             routes.RouteStage(
@@ -66,7 +66,7 @@
         await self.network.deliver()
 
     async def find(self, fingerprint, *choices, entry=0, wait_ms=WAIT_MS):
-        """Find a route, planning the choices in turn."""
+        """Find a route; successive plans return the choices in turn."""
         planned = []
 
         def plan(busy):
@@ -87,18 +87,18 @@
         for target in route.list_targets():
             self.services[entry].finish(fingerprint, target, succeeded)
 
-    async def test_clear_request_asks_nobody(self, _):
-        """Almost all requests are harmless; a trial would slow each one."""
+    async def test_clear_request_sends_no_message(self, _):
+        """Almost all requests are harmless; trials would slow them all."""
         route = await self.find('fresh', ('a', 'b'))
         self.assertEqual(route.list_targets(), ('a', 'b'))
         self.assertEqual(self.network.asked, 0)
 
     async def test_two_suspects_never_share_a_stage(self, _):
-        """Two requests were on an engine that died; one of them killed it.
+        """Two requests were in flight when one of them crashed an engine.
 
-        If both ran on one engine again, nobody could tell which of them
-        kills the next one, and the innocent might be condemned. Each stage
-        of the route counts, not only the first.
+        If both ran on one engine again, its crash could not be attributed
+        to either, and the harmless one might be quarantined. This applies
+        to each stage of the route, not only to the first.
         """
         await self.kill('dead', CRASHER, INNOCENT)
         await self.find(CRASHER, ('a', 'c'))
@@ -112,10 +112,10 @@
                 self.finish(INNOCENT, route, succeeded=False, entry=entry)
                 await self.network.deliver()
 
-    async def test_refused_trial_gives_back_what_it_held(self, _):
-        """A suspect got one of its two stages and was refused the other.
+    async def test_refused_trial_releases_its_reservations(self, _):
+        """A suspect reserves one of its two stages but not the other.
 
-        Were the first kept for it, the other suspects would wait for a
+        If the first stayed reserved, the other suspects would wait for a
         request that never runs.
         """
         await self.kill('dead', CRASHER, INNOCENT, 'third')
@@ -125,8 +125,8 @@
         route = await self.find('third', ('b',), ('none',), entry=0)
         self.assertEqual(route.list_targets(), ('b',))
 
-    async def test_caller_that_leaves_frees_the_targets(self, _):
-        """The caller leaves while the owners of the names are asked."""
+    async def test_disconnected_caller_releases_the_targets(self, _):
+        """The caller disconnects during the requests for reservations."""
         await self.kill('dead', CRASHER, INNOCENT)
         service = self.services[0]
         leaving = mock.AsyncMock(side_effect=asyncio.CancelledError)
@@ -137,11 +137,11 @@
         route = await self.find(INNOCENT, ('a',), ('none',))
         self.assertEqual(route.list_targets(), ('a',))
 
-    async def test_death_under_trial_ends_the_retries(self, _):
-        """A prompt crashes the engine of its trial too.
+    async def test_crash_during_a_trial_ends_the_retries(self, _):
+        """A prompt also crashes the engine of its trial.
 
-        Its own retries must stop there: each would cost one more engine.
-        The caller learns when to come back.
+        Its retries must stop then, as each would crash another engine. The
+        caller is informed when it may retry.
         """
         await self.kill('dead', CRASHER)
         route = await self.find(CRASHER, ('a', 'b'))
@@ -157,14 +157,14 @@
             self.assertGreater(found.retry_after_ms, 0)
 
     async def test_wait_ends_with_the_deadline(self, _):
-        """The only route is taken by another suspect for longer."""
+        """Another suspect has reserved the only route for longer."""
         await self.kill('dead', CRASHER, INNOCENT)
         await self.find(CRASHER, ('a',))
         with self.assertRaises(generation_trials.TimeSpent):
             await self.find(INNOCENT, ('a',), wait_ms=20)
 
-    async def test_no_route_is_told_at_once(self, _):
-        """No ready target holds some layer; waiting would not help."""
+    async def test_missing_route_fails_immediately(self, _):
+        """No ready target holds some layer, so waiting would not help."""
         await self.kill('dead', CRASHER)
         with self.assertRaises(exceptions.NoPipeline):
             await generation_trials.find_route(
@@ -176,9 +176,9 @@
             )
 
 
-class SendsAtOnceTest(unittest.TestCase):
-    def count_dead(self, entries, times, engines=16, seed=0):
-        """Ask at once through all entries, then in turn."""
+class ConcurrentSendsTest(unittest.TestCase):
+    def count_crashed(self, entries, times, engines=16, seed=0):
+        """Send one request through each entry, then one after another."""
         between, step_ms, latency_ms = times
         fleet = crash_builders.CrashFleet(entries, engines)
         fleet.engines.step_ms = step_ms
@@ -188,11 +188,11 @@
 
         async def work():
             fleet.start()
-            asked = []
+            sends = []
             for number in range(entries):
-                asked.append(asyncio.ensure_future(fleet.ask(number, prompt)))
+                sends.append(asyncio.ensure_future(fleet.ask(number, prompt)))
                 await asyncio.sleep(between / 1000)
-            await asyncio.gather(*asked)
+            await asyncio.gather(*sends)
             for number in range(6):
                 await asyncio.sleep(1.5)
                 last = await fleet.ask(number % entries, prompt)
@@ -201,51 +201,53 @@
         fakes.run(fleet.clock, work())
         return len(fleet.engines.dead)
 
-    def test_a_prompt_through_many_entries_costs_two_engines(self) -> None:
-        """A prompt comes through several entries before any can know of it.
+    def test_prompt_through_many_entries_crashes_two_engines(self) -> None:
+        """A prompt arrives at several entries before a crash is reported.
 
-        If each planned a route by itself, each would lose an engine. The
-        columns are milliseconds between the sends, of a step of the
-        engines and until news arrive.
+        If each entry drew its route independently, each would crash a
+        different engine. The columns are the milliseconds between the
+        requests, of one engine step, and of the message latency.
         """
         table = itertools.product(
             (2, 3, 9), ((0, 1, 1), (0, 49, 1), (2, 49, 1), (0, 49, 10))
         )
         for entries, times in table:
             with self.subTest(entries=entries, times=times):
-                self.assertLessEqual(self.count_dead(entries, times), 2)
+                self.assertLessEqual(self.count_crashed(entries, times), 2)
 
-    def test_entries_with_other_engines_stop_on_news(self) -> None:
-        """Entries consider different engines, as they do in a large fleet.
+    def test_entries_with_other_engines_stop_on_an_update(self) -> None:
+        """Entries have different candidate engines, as in a large fleet.
 
-        They choose different ones for the same prompt. News of the first
-        death are there before the other engines end their step.
+        They choose different ones for the same prompt. The update about the
+        first crash arrives before the other engines finish their step.
         """
         for seed in range(5):
             with self.subTest(seed=seed):
-                dead = self.count_dead(9, (0, 49, 1), 96, seed)
+                dead = self.count_crashed(9, (0, 49, 1), 96, seed)
                 self.assertLessEqual(dead, 3)
 
-    def test_news_leave_a_trial_and_other_prompts_alone(self) -> None:
-        """News of an earlier death arrive late, while the trial runs.
+    def test_late_update_does_not_affect_a_trial_or_other_prompts(
+        self,
+    ) -> None:
+        """The update about an earlier crash arrives late, during the trial.
 
-        Left then, the prompt would never come to its end.
+        If it ended the trial, the prompt would never complete.
         """
         fleet = crash_builders.CrashFleet(entries=2, targets=4)
-        told = records.QuarantineRecords('e').note_death(
-            'slots-0', frozenset({PRINT}), frozenset(), 0
+        update = records.QuarantineRecords('e').note_death(
+            'slots-0', frozenset({FINGERPRINT}), frozenset(), 0
         )
 
         async def work():
             kept = fleet.entries[0].quarantine
-            await kept._take_news('e', told)
-            asked = [
+            await kept._take_news('e', update)
+            sends = [
                 asyncio.ensure_future(fleet.ask(0, prompt))
                 for prompt in (HARMLESS, 'other')
             ]
             await asyncio.sleep(0.01)
-            await kept._take_news('e', told)
-            return await asyncio.gather(*asked)
+            await kept._take_news('e', update)
+            return await asyncio.gather(*sends)
 
         fleet.engines.step_ms = 500
         for last in fakes.run(fleet.clock, work()):
@@ -254,6 +256,6 @@
 
 
 HARMLESS = 'harmless'
-PRINT = generation_attempts.fingerprint_request(
+FINGERPRINT = generation_attempts.fingerprint_request(
     crash_builders.build_request('r', HARMLESS, 0)
 )
--- a/tests/domain/pipelines/builders.py
+++ b/tests/domain/pipelines/builders.py
@@ -9,7 +9,7 @@
 
 
 class FakeTargetView:
-    """Targets that are ready unless a test says otherwise."""
+    """Targets that are ready unless a test sets another readiness."""
 
     def __init__(self) -> None:
         self.readiness: dict[str, messages.Readiness] = {}
@@ -23,7 +23,7 @@
 
 
 def build_target(name: str, **changes: object) -> documents.Target:
-    """Build an engine's document; its domain is its name's first word."""
+    """Build an engine document; its domain is the name's first part."""
     values: dict[str, object] = {
         'name': name,
         'kind': documents.TargetKind.ENGINE,
@@ -38,7 +38,7 @@
 def build_snapshot(
     stages: dict[str, tuple[int, int]], urls: dict[str, str] | None = None
 ) -> documents.Snapshot:
-    """Build a configuration with the model ``text`` held by some stages."""
+    """Build a configuration with the model ``text`` on some stages."""
     model = documents.Model(
         name='text',
         version='1',
@@ -71,7 +71,7 @@
 
 
 def build_route(*targets: str, width: int = 4) -> routes.Route:
-    """Build a route of stages that hold equally many layers."""
+    """Build a route of stages with the same number of layers."""
     return routes.Route(
         tuple(
             routes.RouteStage(
@@ -89,7 +89,7 @@
 def build_frame(
     route: routes.Route, index: int, **changes: object
 ) -> frames.Frame:
-    """Build the right frame of a token; its text is its index."""
+    """Build a valid frame of a token whose text is its index."""
     values: dict[str, object] = {
         'request': 'r',
         'attempt': 0,
--- a/tests/domain/pipelines/test_frames.py
+++ b/tests/domain/pipelines/test_frames.py
@@ -14,10 +14,10 @@
 
 
 class FrameReaderTest(unittest.TestCase):
-    def test_chunks_cut_anywhere_give_the_same_frames(self):
-        """The network cuts the stream in the middle of a line.
+    def test_chunks_split_anywhere_give_the_same_frames(self):
+        """The network splits the stream in the middle of a line.
 
-        A frame lost there would look like a gap and cost a retry.
+        If the frame were lost, this would count as a gap and cost a retry.
         """
         whole = frames.FrameReader().read(LINES)
         self.assertEqual([frame.end for frame in whole], [-1, 1])
@@ -27,10 +27,10 @@
             parts = reader.read(LINES[:cut]) + reader.read(LINES[cut:])
             self.assertEqual(parts, whole)
 
-    def test_what_is_no_frame_is_refused(self):
-        """Something other than an engine answers.
+    def test_malformed_frame_is_rejected(self):
+        """A server that is not an engine responds.
 
-        Decoded loosely, its answer could pass for a token.
+        If the decoder were lenient, its response could count as a token.
         """
         for line in (b'<html>\n', b'[1]\n', b'{"index":"0"}\n'):
             with self.assertRaises(exceptions.MalformedFrame):
--- a/tests/domain/pipelines/test_planner.py
+++ b/tests/domain/pipelines/test_planner.py
@@ -27,14 +27,14 @@
 )
 
 
-def compute_cost(stages, price, link):
+def compute_cost(stages, stage_cost, link):
     domains = [stage.target.partition('-')[0] for stage in stages]
-    ways = zip(domains, domains[1:] + domains[:1], strict=True)
-    return sum(map(price, stages)) + sum(link(*way) for way in ways)
+    links = zip(domains, domains[1:] + domains[:1], strict=True)
+    return sum(map(stage_cost, stages)) + sum(link(*pair) for pair in links)
 
 
 def list_routes(stages, boundary=0):
-    """List every way to cover the layers, by trying all."""
+    """List every route that covers the layers, by exhaustive search."""
     if boundary == LAYERS:
         yield ()
     for stage in stages:
@@ -55,33 +55,33 @@
             stage.target: builders.build_target(stage.target)
             for stage in stages
         }
-        prices = {stage.target: source.uniform(1, 9) for stage in stages}
-        ways = {
-            way: source.choice((0.1, 10.0))
-            for way in itertools.product('abc', repeat=2)
+        stage_costs = {stage.target: source.uniform(1, 9) for stage in stages}
+        links = {
+            pair: source.choice((0.1, 10.0))
+            for pair in itertools.product('abc', repeat=2)
         }
         costs = planner.Costs(
-            stage=lambda stage: prices[stage.target],
-            link=lambda first, second: ways[first, second],
+            stage=lambda stage: stage_costs[stage.target],
+            link=lambda first, second: links[first, second],
         )
         model = documents.Model('text', '1', LAYERS, tuple(stages))
-        known = [
+        route_costs = [
             compute_cost(route, costs.stage, costs.link)
             for route in list_routes(stages)
         ]
-        if not known:
+        if not route_costs:
             with self.assertRaises(exceptions.NoPipeline):
                 planner.plan_route(model, stages, targets, costs, source)
             return
         route = planner.plan_route(model, stages, targets, costs, source)
         self.assertTrue(route.covers(LAYERS))
-        self.assertAlmostEqual(route.cost_ms, min(known))
+        self.assertAlmostEqual(route.cost_ms, min(route_costs))
 
-    def test_entries_with_the_same_old_load_spread(self):
-        """Many entries plan by one report before the next one comes.
+    def test_entries_with_the_same_outdated_load_are_balanced(self):
+        """Many entries plan with the same report before the next arrives.
 
-        If each took the stage that was best then, all would rush to it and
-        its queue would make callers wait while others stood idle.
+        If each used the stage that was best at that time, all would overload
+        it, and callers would wait in its queue while others were idle.
         """
         snapshot = builders.build_snapshot(
             {f'a-{number}': (0, 4) for number in range(8)}
@@ -104,10 +104,10 @@
         self.assertGreaterEqual(len(chosen), 7)
         self.assertLess(max(chosen.values()), 0.35 * 400)
 
-    def test_targets_that_take_no_new_work_are_left_out(self):
-        """A target leaves, is unreachable, or is no longer configured.
+    def test_targets_that_accept_no_new_work_are_excluded(self):
+        """A target is leaving, unreachable, or no longer configured.
 
-        Sent there, the work would be refused or lost.
+        A request sent there would be refused or lost.
         """
         snapshot = builders.build_snapshot(
             {f'a-{number}': (0, 4) for number in range(6)}
--- a/tests/domain/pipelines/test_resumption.py
+++ b/tests/domain/pipelines/test_resumption.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of verifier and planner against a simple oracle."""
+"""Stateful fuzz test of verifier and planner against a simple oracle."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
     }
 )
 MODEL = SNAPSHOT.models['text']
-FREE = planner.Costs(stage=lambda _: 1.0, link=lambda *_: 1.0)
+CONSTANT_COSTS = planner.Costs(stage=lambda _: 1.0, link=lambda *_: 1.0)
 NAMES = strategies.sampled_from(sorted(SNAPSHOT.targets))
 
 
 class FakeEngine:
-    """One attempt's stream: it goes on whether or not it was cancelled."""
+    """Stream of one attempt; it continues even after a cancellation."""
 
     def __init__(self, attempt, route, start):
         self.attempt = attempt
@@ -54,7 +54,7 @@
 
 
 class Resumption(stateful.RuleBasedStateMachine):
-    """A request whose streams are spoilt in every way at any moment."""
+    """A request whose streams are corrupted at random times."""
 
     def __init__(self):
         super().__init__()
@@ -65,17 +65,17 @@
         self.delivered = []
         self.ended = None
         self.streams = []
-        self.held = []
+        self.delayed = []
         bounds = verifier.Bounds(5_000, 300, 100)
         self.verifier = verifier.Verifier('r', bounds, self.take_retry)
         none = frozenset()
-        self.carry_out([messages.Replan(0, none, none)])
+        self.execute([messages.Replan(0, none, none)])
 
     def take_retry(self):
         self.retries -= 1
         return self.retries >= 0
 
-    def carry_out(self, commands):
+    def execute(self, commands):
         for command in commands:
             assert self.ended is None, 'a command after the end'
             if isinstance(command, messages.Deliver):
@@ -86,7 +86,7 @@
                 self.ended = command
 
     def check_tokens(self, command):
-        """Tokens are the next ones, of the attempt that is under way."""
+        """Check that the tokens are the next ones of the current attempt."""
         assert command.first_index == len(self.delivered)
         for text in command.texts:
             expected = f'{len(self.delivered)} of attempt {self.attempt}'
@@ -100,11 +100,11 @@
                 MODEL.stages, SNAPSHOT.targets, self.view, command.excluded
             )
             route = planner.plan_route(
-                MODEL, usable, SNAPSHOT.targets, FREE, self.random
+                MODEL, usable, SNAPSHOT.targets, CONSTANT_COSTS, self.random
             )
         except exceptions.NoPipeline:
             reason = messages.Reason.NO_PIPELINE
-            self.carry_out(self.verifier.give_up(reason))
+            self.execute(self.verifier.fail(reason))
             return
         assert route.covers(MODEL.layers)
         assert not command.excluded & set(route.list_targets())
@@ -113,7 +113,7 @@
         self.handle(messages.Started(route))
 
     def handle(self, event):
-        self.carry_out(self.verifier.handle(event, self.now))
+        self.execute(self.verifier.handle(event, self.now))
 
     def receive(self, stream, *received):
         self.handle(messages.FramesReceived(stream.attempt, list(received)))
@@ -122,7 +122,7 @@
         return data.draw(strategies.sampled_from(self.streams))
 
     @stateful.rule(data=strategies.data(), count=strategies.integers(1, 4))
-    def send_right_frames(self, data, count):
+    def send_valid_frames(self, data, count):
         stream = self.draw(data)
         self.receive(stream, *(stream.build_next() for _ in range(count)))
 
@@ -131,19 +131,19 @@
         self.draw(data).build_next()
 
     @stateful.rule(data=strategies.data())
-    def double_a_frame(self, data):
+    def duplicate_a_frame(self, data):
         stream = self.draw(data)
         frame = stream.build_next()
         self.receive(stream, frame, frame)
 
     @stateful.rule(data=strategies.data())
-    def hold_a_frame(self, data):
-        self.held.append(self.draw(data).build_next())
+    def delay_a_frame(self, data):
+        self.delayed.append(self.draw(data).build_next())
 
-    @stateful.precondition(lambda self: self.held)
+    @stateful.precondition(lambda self: self.delayed)
     @stateful.rule(data=strategies.data())
     def release_a_frame_on_any_stream(self, data):
-        self.receive(self.draw(data), self.held.pop(0))
+        self.receive(self.draw(data), self.delayed.pop(0))
 
     @stateful.rule(data=strategies.data(), index=strategies.integers(0, 6))
     def cross_with_another_request(self, data, index):
@@ -157,18 +157,18 @@
         self.receive(stream, frame)
 
     @stateful.rule(data=strategies.data(), kind=strategies.integers(0, 3))
-    def spoil_receipts(self, data, kind):
+    def corrupt_receipts(self, data, kind):
         stream = self.draw(data)
         frame = stream.build_next()
         receipts = frame.receipts
-        spoilt = (
+        corrupted = (
             receipts[1:],
             receipts + receipts[-1:],
             [*receipts[:-1], (0, 1, 'x-1')],
             receipts[::-1] if len(receipts) > 1 else [],
         )[kind]
-        frame.receipts = spoilt
-        frame.token = 'spoilt'
+        frame.receipts = corrupted
+        frame.token = 'corrupted'
         self.receive(stream, frame)
 
     @stateful.rule(data=strategies.data(), name=NAMES)
@@ -195,7 +195,7 @@
         self.handle(messages.TimePassed())
 
     @stateful.invariant()
-    def a_finished_answer_is_whole(self):
+    def a_finished_response_is_complete(self):
         if isinstance(self.ended, messages.Finish):
             assert self.ended.count == len(self.delivered) == LENGTH
 
@@ -206,11 +206,11 @@
 
 
 class ResumptionTest(unittest.TestCase):
-    def test_answers_are_whole_or_fail_explicitly(self):
-        """Streams are cut, doubled, crossed, late and forged at random.
+    def test_responses_are_complete_or_fail_explicitly(self):
+        """Streams are broken, duplicated, mixed up, late and forged at random.
 
-        Whatever comes, the caller must see a true beginning of its own
-        answer, and at the end all of it or an explicit failure.
+        In every case the caller must get a correct prefix of its response,
+        and finally the complete response or an explicit failure.
         """
         stateful.run_state_machine_as_test(
             Resumption,
--- a/tests/domain/pipelines/test_stage_times.py
+++ b/tests/domain/pipelines/test_stage_times.py
@@ -1,4 +1,4 @@
-"""Tests of the times of stages that are learnt from streams."""
+"""Tests of learning the times of stages from streams."""
 
 from __future__ import annotations
 
@@ -8,67 +8,69 @@
 
 
 class PaceMeterTest(unittest.TestCase):
-    def test_pace_leaves_the_first_tokens_out(self):
-        """A long prompt is worked through before the first token.
+    def test_interval_excludes_the_first_tokens(self):
+        """The prefill of a long prompt delays the first token.
 
-        Counted in, it would make a quick engine look slow.
+        If it were included, a fast engine would count as slow.
         """
         meter = stage_times.PaceMeter()
         self.assertIsNone(meter.count(1, 900_000))
-        paces = [
+        intervals = [
             meter.count(2, 900_000 + 20 * chunk) for chunk in range(1, 17)
         ]
-        told = [pace for pace in paces if pace is not None]
-        self.assertEqual(told, [10.0, 10.0])
+        measured = [
+            interval_ms for interval_ms in intervals if interval_ms is not None
+        ]
+        self.assertEqual(measured, [10.0, 10.0])
 
 
 class StageTimesTest(unittest.TestCase):
     def setUp(self):
         self.times = stage_times.StageTimes()
 
-    def read(self, target, now, trust=0.0):
-        return self.times.refine(target, 10.0, trust, now)
+    def read(self, target, now, report_weight=0.0):
+        return self.times.refine(target, 10.0, report_weight, now)
 
-    def note(self, targets, pace, now=0):
+    def learn(self, targets, interval_ms, now=0):
         expected = [
             (target, self.read(target, now).time) for target in targets
         ]
-        self.times.note_pace(expected, pace, now)
+        self.times.note_pace(expected, interval_ms, now)
 
-    def test_streams_on_other_routes_tell_a_slow_stage_apart(self):
-        """One of three engines slows tenfold and no report says so."""
-        real = {'a': 10.0, 'b': 10.0, 'c': 100.0}
+    def test_streams_on_other_routes_identify_a_slow_stage(self):
+        """One of three engines becomes ten times slower without a report."""
+        actual = {'a': 10.0, 'b': 10.0, 'c': 100.0}
         for _ in range(40):
             for route in ('ab', 'ac', 'bc'):
-                self.note(route, sum(real[target] for target in route))
-        for target, time in real.items():
+                self.learn(route, sum(actual[target] for target in route))
+        for target, time in actual.items():
             with self.subTest(target):
                 self.assertAlmostEqual(
                     self.read(target, 0).time, time, delta=0.1 * time
                 )
 
-    def test_what_was_learnt_fades_and_a_fresh_report_goes_before_it(self):
-        """An engine was slow and is not any more.
+    def test_learned_time_decays_and_a_new_report_overrides_it(self):
+        """A slow engine has recovered.
 
-        An entry that went on avoiding it would never find out.
+        An entry that kept avoiding it would never measure its new time.
         """
-        self.note('a', 100.0)
-        learnt = self.read('a', 0)
-        self.assertGreater(learnt.time, 50)
-        self.assertLess(learnt.doubt, 0.5)
+        self.learn('a', 100.0)
+        learned = self.read('a', 0)
+        self.assertGreater(learned.time, 50)
+        self.assertLess(learned.uncertainty, 0.5)
         later = self.read('a', 60_000)
         self.assertAlmostEqual(later.time, 10.0, delta=0.1)
-        self.assertGreater(later.doubt, 0.99)
-        reported = self.read('a', 0, trust=1.0)
+        self.assertGreater(later.uncertainty, 0.99)
+        reported = self.read('a', 0, report_weight=1.0)
         self.assertEqual(reported, stage_times.Estimate(10.0, 0.0))
 
-    def test_times_stay_positive_when_links_were_overrated(self):
+    def test_times_stay_positive_when_link_times_are_too_high(self):
         for _ in range(20):
-            self.note('ab', -50.0)
+            self.learn('ab', -50.0)
         self.assertGreater(self.read('a', 0).time, 0)
 
-    def test_targets_of_the_past_are_forgotten(self):
-        """Hosts are replaced every day and their names never come back."""
+    def test_outdated_targets_are_removed(self):
+        """Hosts are replaced every day and their names are not reused."""
         for number in range(10_000):
-            self.note([f'engine-{number}'], 20.0, now=100 * number)
-        self.assertLess(len(self.times._learnt), 5_000)
+            self.learn([f'engine-{number}'], 20.0, now=100 * number)
+        self.assertLess(len(self.times._learned_times), 5_000)
--- a/tests/domain/pipelines/test_verifier.py
+++ b/tests/domain/pipelines/test_verifier.py
@@ -31,11 +31,11 @@
     def build(self, index, **changes):
         return builders.build_frame(ROUTE, index, **changes)
 
-    def test_delivers_a_chunk_whole(self):
+    def test_delivers_the_tokens_of_a_chunk_together(self):
         commands = self.receive(self.build(0), self.build(1))
         self.assertEqual(commands, [messages.Deliver(0, ('0', '1'))])
 
-    def test_finishes_on_the_right_count(self):
+    def test_finishes_on_the_expected_count(self):
         end = frames.Frame('r', 0, end=1)
         commands = self.receive(self.build(0), end)
         self.assertEqual(
@@ -43,10 +43,11 @@
         )
         self.assertEqual(self.receive(self.build(1)), [])
 
-    def test_drops_what_is_not_the_next_token(self):
-        """Frames of others, of older attempts and repeats come in between.
+    def test_drops_frames_that_are_not_the_next_token(self):
+        """Frames of other requests, older attempts and duplicates arrive.
 
-        Passed on, the caller would read a stranger's text or words twice.
+        If they were delivered, the caller would get the text of another
+        caller, or the same text twice.
         """
         cases = {
             'crossed': self.build(1, request='s'),
@@ -61,21 +62,21 @@
                 self.assertEqual(self.verifier.dropped, dropped + 1)
 
     def test_drops_the_stream_of_an_older_attempt(self):
-        """A stream runs on after the request has moved to another route.
+        """A stream continues after the request was rerouted.
 
-        Its frames would be taken for the new attempt's if the stream that
-        they came from were not looked at.
+        If the attempt of the stream were not checked, its frames would count
+        as frames of the new attempt.
         """
         self.receive(self.build(1))
         self.verifier.handle(messages.Started(ROUTE), 10)
         late = self.build(0, attempt=1)
         self.assertEqual(self.receive(late, attempt=0), [])
 
-    def test_resumes_elsewhere_and_names_the_suspect(self):
-        """Something is wrong with the stream after its first token.
+    def test_fails_over_and_attributes_the_fault(self):
+        """The stream fails a check after its first token.
 
-        Waiting on would leave the caller with half an answer; the rest is
-        computed elsewhere, from the last verified token on.
+        If the verifier kept waiting, the caller would get half a response.
+        The rest is computed on another route, after the last verified token.
         """
         receipts = ROUTE.build_receipts()
         order = receipts[::-1]
@@ -121,25 +122,27 @@
                     messages.Replan(1, frozenset(excluded), avoided),
                 )
 
-    def test_stall_is_noticed_at_its_bound(self):
-        """A link slows so much that tokens stop without any error.
+    def test_stall_is_detected_at_its_timeout(self):
+        """A link becomes so slow that tokens stop without any error.
 
-        Without a bound the caller would wait until the deadline.
+        Without a timeout the caller would wait until the deadline.
         """
         self.receive(self.build(0), now=10)
-        self.assertEqual(self.verifier.read_wake(), 110)
+        self.assertEqual(self.verifier.read_wake_time(), 110)
         early = self.verifier.handle(messages.TimePassed(), 109)
         cancel, _ = self.verifier.handle(messages.TimePassed(), 110)
         self.assertEqual(early, [])
         self.assertEqual(cancel.reason, REASONS.STALLED)
 
     def stream(self, intervals, first=0, attempt=0, start=0):
-        """Receive tokens; returns the time and the commands that were due."""
+        """Receive tokens; return the end time and the commands in between."""
         now = start
         commands = []
         for index, interval in enumerate(intervals, first):
-            while (wake := self.verifier.read_wake()) < now + interval:
-                commands += self.verifier.handle(messages.TimePassed(), wake)
+            while (wake_at := self.verifier.read_wake_time()) < now + interval:
+                commands += self.verifier.handle(
+                    messages.TimePassed(), wake_at
+                )
             now += interval
             if self.verifier.attempt != attempt:
                 return now, commands
@@ -147,52 +150,54 @@
             self.receive(frame, attempt=attempt, now=now)
         return now, commands
 
-    def leave_out_checks(self, commands):
-        """Return the commands that a caller may notice."""
-        check = messages.CheckStages()
+    def exclude_probes(self, commands):
+        """Return the commands without the probes of stages."""
+        check = messages.ProbeStages()
         return [command for command in commands if command != check]
 
-    def test_a_link_that_slows_within_the_bound_is_left_once(self):
-        """A link slows from 5 to 500 ms; each token still comes in time.
+    def test_slow_stream_within_the_timeout_is_rerouted_once(self):
+        """A link slows from 5 to 500 ms; each token arrives in time.
 
-        No error shows and no stall: a draft of seconds takes minutes.
+        There is no error and no stall, but a response of seconds takes
+        minutes.
         """
         bounds = verifier.Bounds(10**6, 1_000, 1_000)
         self.verifier = verifier.Verifier('r', bounds, self.take_retry)
         self.verifier.handle(messages.Started(ROUTE), 0)
         now, commands = self.stream([500] * 20)
-        cancel, replan = self.leave_out_checks(commands)
+        cancel, replan = self.exclude_probes(commands)
         self.assertEqual(cancel.reason, REASONS.SLOWED)
         self.assertEqual(replan.avoided, frozenset(ROUTE.list_targets()))
         self.verifier.handle(messages.Started(ROUTE), now)
         first = len(self.verifier.tokens)
         _, commands = self.stream([500] * 20, first, 1, now)
-        self.assertEqual(self.leave_out_checks(commands), [])
+        self.assertEqual(self.exclude_probes(commands), [])
 
-    def test_a_slow_link_without_a_retry_ends_nothing(self):
-        """A link slows and the retry budget is spent.
+    def test_slow_stream_continues_without_a_retry(self):
+        """A link slows and the retry budget is exhausted.
 
-        Slow tokens are better than a request that ends with an error.
+        Slow tokens are better than a request that fails.
         """
         bounds = verifier.Bounds(10**6, 1_000, 1_000)
         self.retries = 0
         self.verifier = verifier.Verifier('r', bounds, self.take_retry)
         self.verifier.handle(messages.Started(ROUTE), 0)
         _, commands = self.stream([5] * 20 + [500] * 20)
-        self.assertEqual(self.leave_out_checks(commands), [])
+        self.assertEqual(self.exclude_probes(commands), [])
         self.assertEqual(len(self.verifier.tokens), 40)
 
-    def test_a_silent_stage_is_left_before_its_route_is_slow(self):
-        """The host of a stage vanishes; its connections stay open.
+    def test_unresponsive_stage_is_left_before_its_route_is_slow(self):
+        """The host of a stage fails while its connections stay open.
 
-        A token is late for the same time as on a slow link, but the stage
-        does not answer. Word of it that is old must not end the attempt.
+        The idle time is the same as on a slow link, but the stage does not
+        respond to a probe. An outdated probe result must not end the
+        attempt.
         """
         bounds = verifier.Bounds(10**6, 1_000, 1_000)
-        for name, token_after, attempt, left in (
-            ('silent', False, 0, True),
+        for name, token_after, attempt, is_left in (
+            ('unresponsive', False, 0, True),
             ('token came', True, 0, False),
-            ('former attempt', False, -1, False),
+            ('older attempt', False, -1, False),
         ):
             with self.subTest(name):
                 self.setUp()
@@ -200,61 +205,61 @@
                 self.verifier.handle(messages.Started(ROUTE), 0)
                 self.receive(self.build(0), now=10)
                 due = self.verifier.handle(messages.TimePassed(), 160)
-                self.assertEqual(due, [messages.CheckStages()])
-                self.assertEqual(self.verifier.read_wake(), 410)
+                self.assertEqual(due, [messages.ProbeStages()])
+                self.assertEqual(self.verifier.read_wake_time(), 410)
                 if token_after:
                     self.receive(self.build(1), now=170)
-                silence = messages.StageSilent(attempt)
-                commands = self.verifier.handle(silence, 180)
-                self.assertEqual(bool(commands), left)
+                unresponsive = messages.StageUnresponsive(attempt)
+                commands = self.verifier.handle(unresponsive, 180)
+                self.assertEqual(bool(commands), is_left)
 
-    def test_a_silent_stage_is_left_before_the_first_token(self):
-        """Hosts vanish one after another before anybody knows of them.
+    def test_unresponsive_stage_is_left_before_the_first_token(self):
+        """Hosts fail one after another before their failure is detected.
 
-        New requests would wait for the bound on a first token, 5 s, on
-        each. Without a retry the wait goes on: a token may still come.
+        New requests would wait for the timeout of the first token, 5 s, on
+        each. Without a retry the wait continues: a token may still arrive.
         """
         bounds = verifier.Bounds(10**6)
         self.verifier = verifier.Verifier('r', bounds, self.take_retry)
         now = 0
-        for attempt, left in ((0, True), (1, True), (2, False)):
+        for attempt, is_left in ((0, True), (1, True), (2, False)):
             with self.subTest(attempt):
                 self.verifier.handle(messages.Started(ROUTE), now)
-                now = self.verifier.read_wake()
+                now = self.verifier.read_wake_time()
                 due = self.verifier.handle(messages.TimePassed(), now)
-                self.assertEqual(due, [messages.CheckStages()])
-                silence = messages.StageSilent(attempt)
-                commands = self.verifier.handle(silence, now)
-                self.assertEqual(bool(commands), left)
+                self.assertEqual(due, [messages.ProbeStages()])
+                unresponsive = messages.StageUnresponsive(attempt)
+                commands = self.verifier.handle(unresponsive, now)
+                self.assertEqual(bool(commands), is_left)
         self.assertLess(now, 2_000)
 
     def test_usual_variation_is_not_slow(self):
-        """Batches and prompts of others hold tokens up for a moment."""
+        """Batches and prompts of other requests delay tokens briefly."""
         bounds = verifier.Bounds(10**6, 1_000, 1_000)
         self.verifier = verifier.Verifier('r', bounds, self.take_retry)
         self.verifier.handle(messages.Started(ROUTE), 0)
         _, commands = self.stream([5, 30, 20, 5, 300, 10] * 10)
-        self.assertEqual(self.leave_out_checks(commands), [])
-        self.assertEqual(commands, [messages.CheckStages()] * 10)
+        self.assertEqual(self.exclude_probes(commands), [])
+        self.assertEqual(commands, [messages.ProbeStages()] * 10)
         self.assertEqual(self.retries, 2)
 
-    def test_ends_explicitly(self):
-        """No retry is left, or the deadline passes.
+    def test_fails_explicitly(self):
+        """The retry budget is exhausted, or the deadline passes.
 
-        The request must end with a reason and never go on in silence.
+        The request must fail with a reason and must not stall.
         """
         self.retries = 0
         _, last = self.receive(self.build(5))
-        self.assertEqual(last, messages.GiveUp(REASONS.NO_RETRY))
+        self.assertEqual(last, messages.Fail(REASONS.NO_RETRY))
         self.setUp()
         _, last = self.verifier.handle(messages.TimePassed(), 10_000)
-        self.assertEqual(last, messages.GiveUp(REASONS.DEADLINE))
+        self.assertEqual(last, messages.Fail(REASONS.DEADLINE))
 
     def test_refusal_costs_no_retry(self):
-        """A target refuses work that never started there.
+        """A target refuses a request that never started there.
 
-        Retries are for work that was lost; spent on refusals, none would be
-        left while many targets leave at once.
+        Retries are for lost work. If refusals used them, the budget would be
+        exhausted when many targets leave at the same time.
         """
         event = messages.StreamClosed(0, REASONS.REFUSED, 'a-1')
         self.verifier.handle(event, 10)
