--- a/src/thornspool/clock.py
+++ b/src/thornspool/clock.py
@@ -1,4 +1,4 @@
-"""Time in whole milliseconds, read through one small type."""
+"""Source of monotonic and calendar time in whole milliseconds."""
 
 from __future__ import annotations
 
@@ -6,23 +6,24 @@
 
 
 class Clock:
-    """Source of time for everything that is not a pure decision.
+    """Source of time for the code with side effects.
 
-    Decisions never read a clock; they are handed the time. Tests hand in a
-    subclass whose time they move themselves.
+    Pure decision functions take the current time as an argument instead of
+    reading a clock. Tests inject a subclass whose time they control.
     """
 
     def now(self) -> int:
-        """Return monotonic time that counts while the host is suspended.
+        """Return monotonic time that includes suspensions of the host.
 
-        A host that was suspended for seconds would otherwise trust leases
-        and proofs that ran out meanwhile; one would notice by a withdrawn
-        key that works, or by two leaders.
+        With a clock that stops during suspension, an entry would rely on
+        leases that expired meanwhile and on a copy that is no longer
+        confirmed. It would accept a revoked key, or two entries would act as
+        leader.
 
         Returns
         -------
         int
-            Milliseconds since an unspecified start; never goes back.
+            Milliseconds since an unspecified start; never decreases.
         """
         return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1_000_000
 
@@ -32,6 +33,6 @@
         Returns
         -------
         int
-            Milliseconds since the Unix epoch; may step in both directions.
+            Milliseconds since the Unix epoch; may jump in both directions.
         """
         return time.time_ns() // 1_000_000
--- a/src/thornspool/daemon.py
+++ b/src/thornspool/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: one entry, from its settings to its last request."""
+"""Command line of the daemon, which runs one entry until it is drained."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 
 EXIT_OK = 0
 EXIT_FAILED = 1
-EXIT_SETTINGS = 2
+EXIT_INVALID_SETTINGS = 2
 
 logger = structlog.get_logger(__name__)
 
 
-def make_parser() -> argparse.ArgumentParser:
-    """Make the parser of the command line."""
+def build_parser() -> argparse.ArgumentParser:
+    """Build the parser of the command line."""
     parser = argparse.ArgumentParser(
         prog='thornspoold',
-        description='Run one entry of the router until it is told to stop.',
-        epilog='SIGTERM and SIGINT drain the entry: it takes no new work, '
-        'finishes what is in flight, then exits. Example: thornspoold '
+        description='Run one entry of the router until it is drained.',
+        epilog='SIGTERM and SIGINT drain the entry: it accepts no new '
+        'requests, completes those in flight and exits. Example: thornspoold '
         '--settings entry.json',
     )
     parser.add_argument(
@@ -60,24 +60,25 @@
     Parameters
     ----------
     arguments : sequence of str, optional
-        Command line without the program's name.
+        Arguments without the program name; those of the process by default.
 
     Returns
     -------
     int
-        0 after a drain, 1 when the entry failed, 2 for wrong settings.
+        Exit code: 0 after a drain, 1 if the entry failed, 2 if the settings
+        are invalid.
     """
-    options = make_parser().parse_args(arguments)
+    options = build_parser().parse_args(arguments)
     try:
-        read = settings.read_settings(options.settings)
+        entry_settings = settings.read_settings(options.settings)
     except settings.SettingsError as error:
         print(error, file=sys.stderr)
-        return EXIT_SETTINGS
+        return EXIT_INVALID_SETTINGS
     if options.check:
         return EXIT_OK
-    logs.configure_logs(read.log_level, read.host)
+    logs.configure_logs(entry_settings.log_level, entry_settings.host)
     try:
-        asyncio.run(run_entry(read))
+        asyncio.run(run_entry(entry_settings))
     except exceptions.ThornspoolError as error:
         logger.error('entry_failed', reason=str(error))
         print(error, file=sys.stderr)
@@ -85,27 +86,29 @@
     return EXIT_OK
 
 
-async def run_entry(read: settings.Settings) -> None:
-    """Run an entry until a signal or an operator has drained it.
+async def run_entry(entry_settings: settings.Settings) -> None:
+    """Run an entry until a signal or an operator stops it, then drain it.
 
     Parameters
     ----------
-    read : settings.Settings
-        Checked settings.
+    entry_settings : settings.Settings
+        Validated settings.
     """
-    seed = read.seed
+    seed = entry_settings.seed
     if seed is None:
         seed = random.SystemRandom().getrandbits(64)
-    stopping = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
-    one = entry.Entry(read, clock.Clock(), random.Random(seed), stopping.set)
-    addresses = await one.start()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
+    local_entry = entry.Entry(
+        entry_settings, clock.Clock(), random.Random(seed), stop_requested.set
+    )
+    addresses = await local_entry.start()
     print(msgspec.json.encode(addresses).decode(), flush=True)
     logger.info('entry_started', seed=seed, callers=addresses.callers)
-    await stopping.wait()
-    await one.stop()
+    await stop_requested.wait()
+    await local_entry.stop()
     logger.info('entry_stopped')
 
 
--- a/src/thornspool/entry.py
+++ b/src/thornspool/entry.py
@@ -1,4 +1,4 @@
-"""One entry: its listeners, its loops, its start and its drain."""
+"""An entry of the router: its listeners, background loops and lifecycle."""
 
 from __future__ import annotations
 
@@ -48,25 +48,26 @@
     quarantine_messages.ReservationReply,
     objectives.CountsReply,
 )
-"""Replies have no handler that would register them with the codec."""
+"""Types of replies, which no message handler registers with the codec."""
 
-SETTLE_TIMEOUT_MS = 10_000
+OUTCOME_TIMEOUT_MS = 10_000
+"""Time to record the outcomes of actions during a drain."""
 
 logger = structlog.get_logger(__name__)
 
 
 @attrs.frozen
 class Addresses:
-    """Where an entry listens.
+    """Addresses that an entry listens on.
 
     Attributes
     ----------
     callers, operators : str
-        URLs.
+        URLs of the interfaces for callers and operators.
     peers : str
-        ``tcp://ip:port`` that is bound.
+        ``tcp://ip:port`` that is bound for messages from other entries.
     incarnation : str
-        Names this process.
+        Name of this process, unique to each start.
     """
 
     callers: str
@@ -76,18 +77,18 @@
 
 
 class Entry:
-    """One entry.
+    """One process of the router.
 
     Parameters
     ----------
     settings : settings_module.Settings
-        Checked settings.
+        Validated settings.
     clock : clock_module.Clock
         Source of time.
     random_source : random.Random
         Source of every random choice.
     request_stop : callable
-        Called when an operator asks for a drain.
+        Called when an operator requests a drain.
     """
 
     def __init__(
@@ -105,25 +106,26 @@
         self._outages: outages.OutageService | None = None
 
     async def start(self) -> Addresses:
-        """Listen, join the other entries and take the configuration.
+        """Bind the listeners, join the other entries and start the loops.
 
         Returns
         -------
         Addresses
-            Where the entry listens, with the ports that were chosen.
+            Addresses that the entry listens on, with the ports that the
+            system chose for port 0.
 
         Raises
         ------
         servers.ListenError, node.PeersError
-            An address can't be bound.
+            If an address can't be bound.
         """
         settings = self._settings
-        self._callers = servers.Listener(
+        self._caller_listener = servers.Listener(
             settings.callers.listen,
             settings.callers.tls,
             settings.callers.body_limit_bytes,
         )
-        self._operators = servers.Listener(
+        self._operator_listener = servers.Listener(
             settings.operators.listen,
             settings.operators.tls,
             name='operators',
@@ -134,48 +136,49 @@
             incarnation,
             f'tcp://{settings.peers.listen}',
             REPLY_TYPES,
-            advertised_address=_choose_advertised(settings.peers),
+            advertised_address=_format_advertised_address(settings.peers),
         )
         addresses = Addresses(
-            self._callers.read_url(),
-            self._operators.read_url(),
+            self._caller_listener.read_url(),
+            self._operator_listener.read_url(),
             await self._peers.start(),
             incarnation,
         )
         self._metrics = metrics_module.Metrics()
-        outside = self._describe_outside(addresses)
-        self._parts = parts.Parts(outside)
-        self._follow_outages(outside)
+        dependencies = self._build_dependencies(addresses)
+        self._parts = parts.Parts(dependencies)
+        self._create_outage_service(dependencies)
         readings.add_readings(
             self._metrics,
             self._clock,
             self._parts,
-            outside.platform,
+            dependencies.platform,
             self._peers.traffic,
         )
-        self._answer()
+        self._start_listeners()
         await self._parts.members.start(settings.peers.seeds)
         await self._parts.targets.start()
-        self._run(self._parts.configuration.run())
-        self._run(self._parts.admission.run())
-        self._run(self._parts.quarantine.run())
+        self._start_loop(self._parts.configuration.run())
+        self._start_loop(self._parts.admission.run())
+        self._start_loop(self._parts.quarantine.run())
         return addresses
 
     async def stop(self) -> None:
-        """Drain: take no new work, finish what is in flight, then close.
+        """Reject new requests, complete those in flight and shut down.
 
-        New callers are sent elsewhere for as long as they may hold this
-        address. Outcomes of actions are recorded before the others are told
-        that this process is gone, since nobody else can record them.
+        Callers that still use this address are referred to other entries
+        during the drain. Outcomes of actions are recorded before the
+        departure of this process is announced, since only this process can
+        record them.
         """
         self._parts.drain.begin()
-        self._callers.send_away()
+        self._caller_listener.send_away()
         await self._parts.drain.wait_drained()
-        if not await self._parts.actions.drain(SETTLE_TIMEOUT_MS):
+        if not await self._parts.actions.drain(OUTCOME_TIMEOUT_MS):
             logger.warning('outcomes_not_recorded')
         await self._parts.generation.close()
-        await self._callers.stop()
-        await self._operators.stop()
+        await self._caller_listener.stop()
+        await self._operator_listener.stop()
         await self._parts.targets.stop()
         await self._parts.members.stop()
         if self._outages is not None:
@@ -188,10 +191,10 @@
         await self._peers.stop()
         await self._parts.close()
 
-    def _describe_outside(self, addresses: Addresses) -> parts.Outside:
-        """Gather what the use cases are built on."""
+    def _build_dependencies(self, addresses: Addresses) -> parts.Outside:
+        """Build the dependencies of the services of this entry."""
         settings = self._settings
-        own = ports.Member(
+        local_member = ports.Member(
             incarnation=addresses.incarnation,
             host=settings.host,
             failure_domain=settings.failure_domain,
@@ -202,18 +205,18 @@
         return parts.Outside(
             self._clock,
             self._random,
-            self._make_platform(),
+            self._create_platform_client(),
             self._peers,
-            own,
+            local_member,
             self._metrics,
         )
 
-    def _answer(self) -> None:
-        """Start to answer callers and operators."""
-        self._callers.start(
+    def _start_listeners(self) -> None:
+        """Start to serve callers and operators."""
+        self._caller_listener.start(
             caller_routes.make_application(
                 context.CallerContext(
-                    requests=self._parts.build_intake(self._list_others),
+                    requests=self._parts.build_intake(self._list_alternatives),
                     list_entries=self._parts.members.list_entries,
                     make_request_id=self._make_identifier,
                     is_ready=self._parts.is_ready,
@@ -225,25 +228,27 @@
             self._parts.configuration,
             self._parts.members,
             self._settings.operators.tokens,
-            self._begin_drain,
+            self._request_drain,
             self._parts.actions.look_up,
             self._parts.objectives.report,
         )
-        self._operators.start(
+        self._operator_listener.start(
             web.Application(
                 [scrapes.make_route(self._metrics), *routes],
                 log_function=lambda handler: None,
             )
         )
 
-    def _run(self, work: Coroutine[typing.Any, typing.Any, None]) -> None:
-        """Run a loop of the entry until it stops."""
-        task = asyncio.get_running_loop().create_task(work)
-        task.add_done_callback(_log_end)
+    def _start_loop(
+        self, loop: Coroutine[typing.Any, typing.Any, None]
+    ) -> None:
+        """Start a background loop, which runs until the entry stops."""
+        task = asyncio.get_running_loop().create_task(loop)
+        task.add_done_callback(_log_failure)
         self._tasks.append(task)
 
-    def _make_platform(self) -> ports.Platform:
-        """Make the client of the platform that the settings name."""
+    def _create_platform_client(self) -> ports.Platform:
+        """Create the client of the platform that is configured."""
         if self._settings.platform.kind == 'memory':
             return memory.MemoryPlatform(self._clock)
         address = parse.urlsplit(self._settings.platform.url).netloc
@@ -253,46 +258,46 @@
             self._random.random,
         )
 
-    def _follow_outages(self, outside: parts.Outside) -> None:
-        """Have outages of the platform end at all entries together."""
-        if not isinstance(outside.platform, store_client.StorePlatform):
+    def _create_outage_service(self, dependencies: parts.Outside) -> None:
+        """Create the service that announces the end of platform outages."""
+        if not isinstance(dependencies.platform, store_client.StorePlatform):
             return
         self._outages = outages.OutageService(
             self._clock,
-            outside.platform,
-            outside.peers,
+            dependencies.platform,
+            dependencies.peers,
             self._parts.members,
-            outside.own.incarnation,
+            dependencies.local_member.incarnation,
             self._random,
             self._parts.actions.note_platform_back,
         )
 
     def _make_identifier(self) -> str:
-        """Make an identifier that carries its time."""
-        bits = self._random.getrandbits(74)
-        return str(identifiers.make_uuid7(self._clock.wall(), bits))
+        """Create a time-ordered identifier."""
+        random_bits = self._random.getrandbits(74)
+        return str(identifiers.make_uuid7(self._clock.wall(), random_bits))
 
-    def _list_others(self) -> tuple[str, ...]:
-        """Return the URLs of entries to use instead of this one."""
-        own = self._callers.read_url()
+    def _list_alternatives(self) -> tuple[str, ...]:
+        """Return the caller URLs of the other entries."""
+        local_url = self._caller_listener.read_url()
         listed = self._parts.members.list_entries().entries
-        return tuple(one.url for one in listed if one.url != own)
+        return tuple(entry.url for entry in listed if entry.url != local_url)
 
-    async def _begin_drain(self) -> None:
-        """Start the drain that an operator asked for."""
+    async def _request_drain(self) -> None:
+        """Start the drain that an operator requested."""
         self._request_stop()
 
 
-def _choose_advertised(peers: settings_module.Peers) -> str:
-    """Return the address that peers are told, empty for the bound one."""
+def _format_advertised_address(peers: settings_module.Peers) -> str:
+    """Return the address to announce to peers; empty for the bound one."""
     return f'tcp://{peers.advertise}' if peers.advertise else ''
 
 
-def _log_end(task: asyncio.Task[typing.Any]) -> None:
-    """Log a loop that ended by an error.
+def _log_failure(task: asyncio.Task[typing.Any]) -> None:
+    """Log the exception that ended a background loop.
 
-    Without it an entry goes on without, say, its configuration loop: it
-    serves an old version and nobody is told.
+    Without this log line, an entry whose configuration loop failed, for
+    example, would serve an outdated version unnoticed.
     """
     if task.cancelled() or task.exception() is None:
         return
--- a/src/thornspool/exceptions.py
+++ b/src/thornspool/exceptions.py
@@ -1,17 +1,17 @@
-"""Root of the tree of errors; each layer derives its own branch."""
+"""Base class of all errors; each layer derives its own base class from it."""
 
 from __future__ import annotations
 
 
 class ThornspoolError(Exception):
-    """Base of every error that this project raises on purpose.
+    """Base class of every error that this project raises itself.
 
     Parameters
     ----------
     message : str
-        What went wrong, in one sentence.
+        Description of the failure in one sentence.
     hint : str, optional
-        What the reader can do next.
+        Suggested remedy, appended to the message.
     """
 
     def __init__(self, message: str, hint: str = '') -> None:
--- a/src/thornspool/identifiers.py
+++ b/src/thornspool/identifiers.py
@@ -1,4 +1,4 @@
-"""Identifiers that carry their time (UUID version 7, RFC 9562)."""
+"""Time-ordered identifiers (UUID version 7, RFC 9562)."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
     Parameters
     ----------
     wall : int
-        Milliseconds since the Unix epoch, 48 bits.
+        Milliseconds since the Unix epoch, at most 48 bits.
     random_bits : int
-        At least 74 random bits; higher ones are dropped.
+        At least 74 random bits; higher bits are ignored.
 
     Returns
     -------
     uuid.UUID
-        Identifier whose first 48 bits are the time.
+        Identifier with the time in its first 48 bits.
     """
     rand_a = (random_bits >> 62) & _RAND_A_MASK
     rand_b = random_bits & _RAND_B_MASK
@@ -34,17 +34,17 @@
 
 
 def read_uuid7_time(identifier: uuid.UUID) -> int | None:
-    """Return the time inside a UUID version 7.
+    """Return the timestamp of a UUID version 7.
 
     Parameters
     ----------
     identifier : uuid.UUID
-        Any UUID.
+        UUID of any version.
 
     Returns
     -------
     int or None
-        Milliseconds since the Unix epoch; None for any other version.
+        Milliseconds since the Unix epoch; None if the version is not 7.
     """
     if identifier.version != 7:
         return None
--- a/src/thornspool/logs.py
+++ b/src/thornspool/logs.py
@@ -1,4 +1,4 @@
-"""Logs: one line of key=value pairs an event."""
+"""Configuration of the logs, which hold one logfmt line per event."""
 
 from __future__ import annotations
 
@@ -15,17 +15,18 @@
 
 
 def configure_logs(level: str, host: str, to_output: bool = False) -> None:
-    """Set the log format of the whole process.
+    """Configure the logs of the whole process.
 
     Parameters
     ----------
     level : str
-        ``debug``, ``info``, ``warning`` or ``error``.
+        Lowest level to log: ``debug``, ``info``, ``warning`` or ``error``.
     host : str
-        Bound to each line.
+        Host name, added to each line.
     to_output : bool, optional
-        Whether lines go to standard output, where they are dropped and
-        counted when its reader stops; standard error otherwise.
+        Whether to write to standard output, where lines that the reader does
+        not consume in time are dropped and counted. By default, lines go to
+        standard error.
     """
     structlog.contextvars.clear_contextvars()
     structlog.contextvars.bind_contextvars(host=host)
@@ -42,13 +43,13 @@
         wrapper_class=structlog.make_filtering_bound_logger(
             logging.getLevelNamesMapping()[level.upper()]
         ),
-        logger_factory=_choose_factory(to_output),
+        logger_factory=_make_logger_factory(to_output),
         cache_logger_on_first_use=True,
     )
 
 
-def _choose_factory(to_output: bool) -> typing.Any:
+def _make_logger_factory(to_output: bool) -> typing.Any:
     if not to_output:
         return structlog.WriteLoggerFactory(file=sys.stderr)
-    sink = outputs.BoundedOutput(sys.stdout.fileno(), clock.Clock())
-    return lambda *_arguments: sink
+    output = outputs.BoundedOutput(sys.stdout.fileno(), clock.Clock())
+    return lambda *_arguments: output
--- a/src/thornspool/metrics.py
+++ b/src/thornspool/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of one entry, with units in their names."""
+"""Prometheus metrics of one entry; metric names end with their unit."""
 
 from __future__ import annotations
 
@@ -14,45 +14,90 @@
     from collections.abc import Iterable
     from collections.abc import Mapping
 
-_SECONDS = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5)
-_TOKEN_SECONDS = (0.005, 0.01, 0.02, 0.03, 0.049, 0.075, 0.1, 0.25, 0.5, 0.84)
+_DURATION_BUCKETS_S = (
+    0.001,
+    0.0025,
+    0.005,
+    0.01,
+    0.025,
+    0.05,
+    0.1,
+    0.25,
+    0.5,
+    1,
+    2.5,
+    5,
+)
+_TOKEN_INTERVAL_BUCKETS_S = (
+    0.005,
+    0.01,
+    0.02,
+    0.03,
+    0.049,
+    0.075,
+    0.1,
+    0.25,
+    0.5,
+    0.84,
+)
 
 
 @attrs.frozen
 class Reading:
-    """One value of a family.
+    """One sample of a metric family.
 
     Attributes
     ----------
     value : float
-        In the unit that the family's name ends with.
+        Value in the unit at the end of the family's name.
     labels : dict of str to str
-        Every reading of a family has the same label names.
+        Values by label name; all samples of a family have the same names.
     """
 
     value: float
     labels: dict[str, str] = attrs.field(factory=dict)
 
 
-Reader = typing.Callable[[], 'Iterable[Reading]']
+SampleReader = typing.Callable[[], 'Iterable[Reading]']
 
 
-def read_one(read: Callable[[], float]) -> Reader:
-    """Return a reader of a family without labels."""
+def read_one(read: Callable[[], float]) -> SampleReader:
+    """Return a function that reads the sample of a family without labels."""
     return lambda: (Reading(float(read())),)
 
 
 def list_by(label: str, values: Mapping[str, float]) -> list[Reading]:
-    """List readings that differ in one label."""
+    """List samples that differ in one label.
+
+    Parameters
+    ----------
+    label : str
+        Name of the label.
+    values : mapping of str to float
+        Sample values by value of the label.
+    """
     return [Reading(value, {label: name}) for name, value in values.items()]
 
 
-def count_by(
-    label: str, known: Iterable[str], seen: Iterable[str]
+def count_by_label(
+    label: str, all_values: Iterable[str], observed: Iterable[str]
 ) -> list[Reading]:
-    """Count by a label; what is not seen is 0, or its last value stays."""
-    counts = collections.Counter(seen)
-    return list_by(label, {name: counts[name] for name in known})
+    """Count occurrences of each value of a label.
+
+    Values that do not occur are reported as 0, since the registry would
+    otherwise keep their last count.
+
+    Parameters
+    ----------
+    label : str
+        Name of the label.
+    all_values : iterable of str
+        Every value that the label can have.
+    observed : iterable of str
+        Values to count.
+    """
+    counts = collections.Counter(observed)
+    return list_by(label, {name: counts[name] for name in all_values})
 
 
 class Metrics:
@@ -60,82 +105,94 @@
 
     def __init__(self) -> None:
         self.registry = aioprometheus.Registry()
-        self._requests = self._counter(
+        self._requests = self._make_counter(
             'thornspool_requests_total', 'Requests of callers by outcome.'
         )
-        self._latency = self._histogram(
+        self._latency = self._make_histogram(
             'thornspool_request_duration_seconds',
             'Time from the request to the end of its answer.',
-            _SECONDS,
+            _DURATION_BUCKETS_S,
         )
-        self._first_token = self._histogram(
+        self._first_token = self._make_histogram(
             'thornspool_first_token_seconds',
             'Time to the first token.',
-            (*_TOKEN_SECONDS, 2.5, 5),
+            (*_TOKEN_INTERVAL_BUCKETS_S, 2.5, 5),
         )
-        self._between_tokens = self._histogram(
+        self._between_tokens = self._make_histogram(
             'thornspool_between_tokens_seconds',
             'Time between two chunks of tokens.',
-            _TOKEN_SECONDS,
+            _TOKEN_INTERVAL_BUCKETS_S,
         )
-        self._events = self._counter(
+        self._events = self._make_counter(
             'thornspool_events_total',
             'Retries, refusals, target failures and the like, by name.',
         )
-        self._readers: list[tuple[typing.Any, Reader]] = []
+        self._sample_readers: list[tuple[typing.Any, SampleReader]] = []
         self._tokens: dict[str, int] = collections.defaultdict(int)
-        self._gaps: dict[str, histogram.Histogram] = {}
+        self._token_intervals: dict[str, histogram.Histogram] = {}
         self.add_counter(
             'thornspool_tokens_total',
             'Tokens delivered to callers.',
-            self._read_tokens,
+            self._read_token_counts,
         )
 
-    def _counter(self, name: str, doc: str) -> typing.Any:
+    def _make_counter(self, name: str, doc: str) -> typing.Any:
         return aioprometheus.Counter(name, doc, registry=self.registry)
 
-    def _histogram(
+    def _make_histogram(
         self, name: str, doc: str, buckets: tuple[float, ...]
     ) -> typing.Any:
         return aioprometheus.Histogram(
             name, doc, registry=self.registry, buckets=buckets
         )
 
-    def add_gauge(self, name: str, doc: str, read: Reader) -> None:
-        """Add a gauge whose values are read when metrics are scraped.
+    def add_gauge(self, name: str, doc: str, read: SampleReader) -> None:
+        """Add a gauge whose samples are read when metrics are scraped.
 
         Parameters
         ----------
-        name, doc : str
-            Name with its unit, and one sentence.
+        name : str
+            Name that ends with the unit.
+        doc : str
+            Help text, one sentence.
         read : callable
-            Returns its readings, each time with the same labels.
+            Returns the samples, with the same labels in each call.
         """
         gauge = aioprometheus.Gauge(name, doc, registry=self.registry)
-        self._readers.append((gauge, read))
+        self._sample_readers.append((gauge, read))
 
-    def add_counter(self, name: str, doc: str, read: Reader) -> None:
-        """Add a counter that is kept elsewhere and read when scraped.
+    def add_counter(self, name: str, doc: str, read: SampleReader) -> None:
+        """Add a counter whose samples are read when metrics are scraped.
 
         Parameters
         ----------
-        name, doc : str
-            Name that ends with ``_total``, and one sentence.
+        name : str
+            Name that ends with ``_total``.
+        doc : str
+            Help text, one sentence.
         read : callable
-            Returns its readings; none ever falls or goes away.
+            Returns the samples; none may decrease or disappear.
         """
-        self._readers.append((self._counter(name, doc), read))
+        self._sample_readers.append((self._make_counter(name, doc), read))
 
     def count_request(
         self, kind: str, workspace: str, outcome: str, milliseconds: int
     ) -> None:
-        """Count a request that ended, with its duration."""
+        """Count a completed request and record its duration.
+
+        Parameters
+        ----------
+        kind, workspace, outcome : str
+            Labels of the request.
+        milliseconds : int
+            Time from the request to the end of its response.
+        """
         labels = {'kind': kind, 'workspace': workspace}
         self._requests.inc({**labels, 'outcome': outcome})
         self._latency.observe(labels, milliseconds / 1000)
 
     def observe_first_token(self, workspace: str, milliseconds: int) -> None:
-        """Record the time to a first token."""
+        """Record the milliseconds from a request to its first token."""
         self._first_token.observe(
             {'workspace': workspace}, milliseconds / 1000
         )
@@ -143,49 +200,60 @@
     def observe_tokens(
         self, workspace: str, count: int, milliseconds: int
     ) -> None:
-        """Record tokens that followed the last chunk after some time.
+        """Record a chunk of tokens and the time since the previous chunk.
 
-        It is told of each token. The library encodes and checks the labels
-        at each value, so the histogram is asked for once and tokens are
-        counted here until metrics are scraped.
+        This method runs for each token, and the library encodes and checks
+        the labels of every observation. So the histogram of a workspace is
+        looked up once, and tokens are counted here until metrics are scraped.
+
+        Parameters
+        ----------
+        workspace : str
+            Workspace of the request.
+        count : int
+            Tokens in the chunk.
+        milliseconds : int
+            Time since the previous chunk.
         """
         self._tokens[workspace] += count
-        gaps = self._gaps.get(workspace)
-        if gaps is None:
-            gaps = self._gaps[workspace] = self._open_gaps(workspace)
-        gaps.observe(milliseconds / 1000)
-
-    def _open_gaps(self, workspace: str) -> histogram.Histogram:
-        """Make the histogram that the library makes at a first value."""
-        gaps = histogram.Histogram(*_TOKEN_SECONDS)
-        self._between_tokens.set_value({'workspace': workspace}, gaps)
-        return gaps
-
-    def _read_tokens(self) -> Iterable[Reading]:
+        intervals = self._token_intervals.get(workspace)
+        if intervals is None:
+            intervals = self._token_intervals[workspace] = (
+                self._create_token_intervals(workspace)
+            )
+        intervals.observe(milliseconds / 1000)
+
+    def _create_token_intervals(self, workspace: str) -> histogram.Histogram:
+        """Create the histogram that the library creates on first use."""
+        intervals = histogram.Histogram(*_TOKEN_INTERVAL_BUCKETS_S)
+        self._between_tokens.set_value({'workspace': workspace}, intervals)
+        return intervals
+
+    def _read_token_counts(self) -> Iterable[Reading]:
         return [
             Reading(count, {'workspace': workspace})
             for workspace, count in self._tokens.items()
         ]
 
     def count_event(self, name: str) -> None:
-        """Count something that operators watch, by its name."""
+        """Count an event under its name, such as a retry or a refusal."""
         self._events.inc({'event': name})
 
     def render(self, accepts: tuple[str, ...] = ()) -> tuple[bytes, str]:
-        """Render all metrics.
+        """Render all metrics in an exposition format.
 
         Parameters
         ----------
-        accepts : tuple of str
-            Values of the Accept header.
+        accepts : tuple of str, optional
+            Values of the Accept header of the scrape.
 
         Returns
         -------
         tuple of bytes and str
-            The body and its content type.
+            Body and content type.
         """
-        for family, read in self._readers:
-            for one in read():
-                family.set(one.labels, one.value)
+        for family, read in self._sample_readers:
+            for sample in read():
+                family.set(sample.labels, sample.value)
         body, headers = aioprometheus.render(self.registry, accepts)
         return body, headers['Content-Type']
--- a/src/thornspool/outputs.py
+++ b/src/thornspool/outputs.py
@@ -1,4 +1,4 @@
-"""Log lines on a descriptor that never holds the process up."""
+"""Non-blocking, rate-limited output of log lines."""
 
 from __future__ import annotations
 
@@ -11,31 +11,36 @@
     from thornspool import clock as clock_module
 
 LINES_PER_S = 200.0
-"""Lines written a second in the long run.
+"""Sustained rate of lines below warning level, in lines per second.
 
-An entry ends some 15 requests a second with one or two lines each; the
-rest is for the changes that come in a burst when something fails.
+An entry completes about 15 requests per second and logs one or two lines for
+each; the remainder is for the burst of state changes that a failure causes.
 """
 
 BURST_LINES = 600.0
-"""Lines written at once, a start with 700 servers nearly."""
+"""Lines accepted in one burst; a start with 700 servers logs slightly more."""
 
 
 class BoundedOutput:
-    """Writes lines to a descriptor while its reader keeps up.
+    """Writes log lines to a file descriptor without blocking.
 
-    A reader that stops would otherwise block the one loop of the process in
-    a write; one would notice by an entry that answers nobody and says
-    nothing. Lines that can't be written are counted, and the count is
-    written with the next one that can. Warnings are written beyond the
-    steady rate, so that a refusal is not lost among successes.
+    With blocking writes, a reader that stops reading would block the event
+    loop, so that the entry would neither respond to requests nor log. Lines
+    that can't be written are dropped and counted, and the count is written
+    before the next line that can. Warnings are exempt from the rate limit,
+    so that a refusal is not lost among successes.
 
     Parameters
     ----------
     descriptor : int
-        Where to; it is made non-blocking.
+        File descriptor to write to; it is set to non-blocking mode.
     clock : clock_module.Clock
-        Source of time.
+        Source of time for the rate limit.
+
+    Attributes
+    ----------
+    dropped : int
+        Lines dropped since the count was last written.
     """
 
     def __init__(self, descriptor: int, clock: clock_module.Clock) -> None:
@@ -45,18 +50,18 @@
         self._bucket = buckets.build_bucket(
             LINES_PER_S, BURST_LINES, clock.now()
         )
-        self._rest = b''
-        self.left_out = 0
+        self._unwritten = b''
+        self.dropped = 0
 
     def info(self, message: str) -> None:
-        """Write a line, if the rate allows it."""
+        """Write a line, or drop it if the rate limit is exceeded."""
         if self._bucket.take(1.0, self._clock.now()):
             self._write(message)
         else:
-            self.left_out += 1
+            self.dropped += 1
 
     def warning(self, message: str) -> None:
-        """Write a line that matters more than the steady rate."""
+        """Write a line that the rate limit does not apply to."""
         self._write(message)
 
     debug = msg = info
@@ -64,22 +69,24 @@
 
     def _write(self, message: str) -> None:
         if not self._flush():
-            self.left_out += 1
+            self.dropped += 1
             return
         lines = message
-        if self.left_out:
-            lines = f'event=log_lines_left_out count={self.left_out}\n{lines}'
-            self.left_out = 0
-        self._rest = lines.encode('utf-8', 'replace') + b'\n'
+        if self.dropped:
+            lines = f'event=log_lines_left_out count={self.dropped}\n{lines}'
+            self.dropped = 0
+        self._unwritten = lines.encode('utf-8', 'replace') + b'\n'
         self._flush()
 
     def _flush(self) -> bool:
-        """Write what is left of the last line; False when it is not done."""
-        while self._rest:
+        """Write the rest of the last line; return whether it is complete."""
+        while self._unwritten:
             try:
-                written = os.write(self._descriptor, self._rest)
+                written = os.write(self._descriptor, self._unwritten)
             except OSError:
-                # Full, or its reader is gone; the line is kept or counted.
+                # The buffer is full or the reader has closed the pipe. The
+                # rest is retried before the next line, which is dropped if
+                # that fails.
                 return False
-            self._rest = self._rest[written:]
+            self._unwritten = self._unwritten[written:]
         return True
--- a/src/thornspool/parts.py
+++ b/src/thornspool/parts.py
@@ -1,4 +1,4 @@
-"""The use cases of one entry, built from the platform outwards."""
+"""Construction of the application services of one entry."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 @attrs.frozen
 class Outside:
-    """What the use cases of an entry are built on.
+    """Dependencies of the application services of an entry.
 
     Attributes
     ----------
@@ -54,48 +54,52 @@
     random_source : random.Random
         Source of every random choice.
     platform : ports.Platform
-        The platform.
+        Client of the platform.
     peers : ports.Peers
-        Messages between entries.
-    own : ports.Member
-        This entry.
+        Transport of messages between entries.
+    local_member : ports.Member
+        Member record of this entry.
     metrics : metrics_module.Metrics
-        Its metrics.
+        Metrics of this entry.
     """
 
     clock: clock_module.Clock
     random_source: random.Random
     platform: ports.Platform
     peers: ports.Peers
-    own: ports.Member
+    local_member: ports.Member
     metrics: metrics_module.Metrics
 
 
 class Parts:
-    """The use cases of one entry.
+    """Application services of one entry.
 
     Parameters
     ----------
-    outside : Outside
-        What they are built on.
+    dependencies : Outside
+        Clock, clients and metrics that the services use.
     """
 
-    def __init__(self, outside: Outside) -> None:
-        self._outside = outside
-        self._budgets: dict[str, budget.RetryBudget] = {}
-        self._build_state()
-        self._build_runners()
+    def __init__(self, dependencies: Outside) -> None:
+        self._dependencies = dependencies
+        self._retry_budgets: dict[str, budget.RetryBudget] = {}
+        self._build_state_services()
+        self._build_request_services()
 
-    def _build_state(self) -> None:
-        """Build what follows the other entries, platform and targets."""
-        outside = self._outside
-        clock, peers, own = outside.clock, outside.peers, outside.own
+    def _build_state_services(self) -> None:
+        """Build the services that track members, configuration and targets."""
+        dependencies = self._dependencies
+        clock, peers, local_member = (
+            dependencies.clock,
+            dependencies.peers,
+            dependencies.local_member,
+        )
         self.members = membership.MembershipService(
             clock,
             peers,
-            outside.platform,
-            own,
-            outside.random_source,
+            dependencies.platform,
+            local_member,
+            dependencies.random_source,
             lambda: self.configuration.version(),
             lambda address, version: self.configuration.hear_version(
                 address, version
@@ -103,11 +107,11 @@
         )
         self.configuration = configuration.ConfigurationService(
             clock,
-            outside.platform,
+            dependencies.platform,
             peers,
             self.members,
-            own.incarnation,
-            outside.random_source,
+            local_member.incarnation,
+            dependencies.random_source,
         )
         self.configuration.ask_stragglers_with(self.members.poll_versions)
         self.configuration.subscribe(
@@ -115,47 +119,53 @@
         )
         snapshot = self.configuration.snapshot
         self.objectives = objectives.ObjectiveService(
-            clock, snapshot, peers, self.members, own.incarnation
+            clock, snapshot, peers, self.members, local_member.incarnation
         )
         self.load_reader = loads.LoadReader(clock)
         self.targets = targets.TargetService(
             clock,
             peers,
             self.members,
-            own.incarnation,
+            local_member.incarnation,
             snapshot,
             self.load_reader.fetch,
-            outside.random_source,
+            dependencies.random_source,
         )
         self.members.watch_hosts(self.targets.hear_hosts)
         self.drain = drain.DrainService(clock, self.members.announce_leaving)
 
-    def _build_runners(self) -> None:
-        """Build what admits and runs requests."""
-        outside, snapshot = self._outside, self.configuration.snapshot
-        clock, draw = outside.clock, outside.random_source.random
-        incarnation = outside.own.incarnation
+    def _build_request_services(self) -> None:
+        """Build the services that admit and run requests."""
+        dependencies, snapshot = (
+            self._dependencies,
+            self.configuration.snapshot,
+        )
+        clock, draw_random = (
+            dependencies.clock,
+            dependencies.random_source.random,
+        )
+        incarnation = dependencies.local_member.incarnation
         self.admission = admission.AdmissionService(
             snapshot,
             self.members,
             incarnation,
-            outside.peers,
+            dependencies.peers,
             clock,
-            draw,
+            draw_random,
             capacity.CapacityReader(clock, snapshot, self.targets).read,
         )
         self.quarantine = quarantine.QuarantineService(
-            self.members, incarnation, outside.peers, clock, draw
+            self.members, incarnation, dependencies.peers, clock, draw_random
         )
         self.services = services.HttpServices()
-        timed = timed_services.TimedServices(
+        timed_client = timed_services.TimedServices(
             clock,
             self.services,
             self.admission.observe,
             self.admission.note_late,
         )
-        watched = service_trials.WatchedServices(
-            timed,
+        crash_detecting_services = service_trials.WatchedServices(
+            timed_client,
             self.quarantine,
             probes.is_refusing,
             self.targets.note_failure,
@@ -163,37 +173,37 @@
         self.engines = engines.CurlEngines()
         self.actions = actions.ActionService(
             clock,
-            outside.platform,
-            outside.peers,
-            watched,
+            dependencies.platform,
+            dependencies.peers,
+            crash_detecting_services,
             self.members,
-            outside.own,
-            outside.random_source,
+            dependencies.local_member,
+            dependencies.random_source,
         )
         self.calls = calls.CallService(
             clock,
-            watched,
+            crash_detecting_services,
             self.targets,
-            outside.random_source,
-            self._take_retry,
+            dependencies.random_source,
+            self._spend_retry,
             self._record_success,
-            self._note_call_failure,
+            self._record_call_failure,
             self.quarantine,
         )
         planning = generation_planning.Planning(
-            outside.own.host,
+            dependencies.local_member.host,
             snapshot,
             self.targets,
-            outside.random_source,
+            dependencies.random_source,
             read_limits=lambda: questions.compute_limits(
                 len(self.members.list_members())
             ),
         )
         hooks = generation_attempts.Hooks(
-            take_retry=lambda: self._take_retry('generation'),
-            note_failure=self._note_engine_failure,
+            take_retry=lambda: self._spend_retry('generation'),
+            note_failure=self._record_engine_failure,
             note_death=self.quarantine.note_death,
-            note_loads=self._hear_loads,
+            note_loads=self._apply_loads,
             is_answering=self.targets.is_answering,
             trials=self.quarantine,
         )
@@ -203,49 +213,55 @@
         self.quarantine.leave_with(self.generation.leave_suspects)
 
     def build_intake(
-        self, list_instead: typing.Callable[[], tuple[str, ...]]
+        self, list_alternatives: typing.Callable[[], tuple[str, ...]]
     ) -> intake.Intake:
-        """Build the use case that takes callers' requests.
+        """Build the service that receives the requests of callers.
 
         Parameters
         ----------
-        list_instead : callable
-            Returns URLs of entries to use instead of this one.
+        list_alternatives : callable
+            Returns the caller URLs of other entries, to which callers are
+            referred during a drain.
+
+        Returns
+        -------
+        intake.Intake
+            The service.
         """
-        outside = self._outside
+        dependencies = self._dependencies
         gatekeeper = gates.Gatekeeper(
-            outside.clock, self.admission, self.quarantine
+            dependencies.clock, self.admission, self.quarantine
         )
         runners = intake.Runners(
             self.actions,
             self.calls,
             self.generation,
             lambda listed: directory.list_ready(
-                listed, self.targets, outside.random_source
+                listed, self.targets, dependencies.random_source
             ),
             self.quarantine,
         )
         return intake.Intake(
-            outside.clock,
+            dependencies.clock,
             self.configuration.snapshot,
             intake.Gates(
                 admit=gatekeeper.admit,
                 is_accepting=self.drain.is_accepting,
                 is_isolated=self.is_isolated,
-                list_instead=list_instead,
+                list_instead=list_alternatives,
             ),
             runners,
             self.drain.track,
-            outside.metrics,
+            dependencies.metrics,
             self.objectives,
         )
 
     def is_isolated(self) -> bool:
-        """Tell whether neither platform nor any other entry answers."""
-        return self.configuration.is_isolated(self._outside.clock.now())
+        """Return whether neither the platform nor any peer responds."""
+        return self.configuration.is_isolated(self._dependencies.clock.now())
 
     def is_ready(self) -> bool:
-        """Tell whether new work is taken."""
+        """Return whether the entry accepts new requests."""
         return (
             self.configuration.version() > 0
             and self.drain.is_accepting()
@@ -253,57 +269,67 @@
         )
 
     async def close(self) -> None:
-        """Close the connections to targets."""
+        """Close all connections to targets."""
         self.load_reader.close()
         self.services.close()
         await self.engines.close()
 
-    def _find_budget(self, name: str) -> budget.RetryBudget:
-        """Return the retry budget of a target group."""
-        found = self._budgets.get(name)
-        if found is None:
-            found = budget.build_budget(self._outside.clock.now())
-            self._budgets[name] = found
-        return found
+    def _get_retry_budget(self, name: str) -> budget.RetryBudget:
+        """Return the retry budget of a target group, created on first use."""
+        retry_budget = self._retry_budgets.get(name)
+        if retry_budget is None:
+            retry_budget = budget.build_budget(self._dependencies.clock.now())
+            self._retry_budgets[name] = retry_budget
+        return retry_budget
 
     def _record_success(self, name: str) -> None:
-        """Let a success add to a retry budget."""
-        self._find_budget(name).record_success(self._outside.clock.now())
+        """Record a success, which replenishes a retry budget."""
+        self._get_retry_budget(name).record_success(
+            self._dependencies.clock.now()
+        )
+
+    def _spend_retry(self, name: str) -> bool:
+        """Spend one retry of a budget and count the result as an event.
 
-    def _take_retry(self, name: str) -> bool:
-        """Take one retry from a budget and count it."""
-        taken = self._find_budget(name).spend(self._outside.clock.now())
-        event = 'retry' if taken else 'retry_refused'
-        self._outside.metrics.count_event(event)
-        return taken
+        Returns
+        -------
+        bool
+            Whether the budget permits the retry.
+        """
+        permitted = self._get_retry_budget(name).spend(
+            self._dependencies.clock.now()
+        )
+        event = 'retry' if permitted else 'retry_refused'
+        self._dependencies.metrics.count_event(event)
+        return permitted
 
-    def _note_call_failure(
+    def _record_call_failure(
         self, target: str, error: exceptions.TargetError
     ) -> None:
-        """Give a service's target that failed no work for now."""
-        self._outside.metrics.count_event('target_failure')
+        """Exclude a service target that failed or is leaving."""
+        self._dependencies.metrics.count_event('target_failure')
         if isinstance(error, exceptions.TargetLeaving):
             self.targets.hear_load(
                 target_messages.LoadReport(
                     target,
-                    self._outside.clock.now(),
+                    self._dependencies.clock.now(),
                     target_messages.Readiness.LEAVING,
                 )
             )
             return
         self.targets.note_failure(target, error.message)
 
-    def _note_engine_failure(
+    def _record_engine_failure(
         self, target: str, reason: pipeline_messages.Reason
     ) -> None:
-        """Give an engine that failed no work for now."""
-        self._outside.metrics.count_event('target_failure')
+        """Exclude an engine that failed."""
+        self._dependencies.metrics.count_event('target_failure')
         self.targets.note_failure(target, reason.value)
 
-    def _hear_loads(self, heard: list[frames.StageLoad]) -> None:
-        """Take in the loads that came along with an answer."""
-        now = self._outside.clock.now()
-        for load in heard:
+    def _apply_loads(self, stage_loads: list[frames.StageLoad]) -> None:
+        """Apply the loads that engines report with a response."""
+        now = self._dependencies.clock.now()
+        for load in stage_loads:
             self.targets.hear_load(
                 target_messages.LoadReport(
                     load.target,
--- a/src/thornspool/readings.py
+++ b/src/thornspool/readings.py
@@ -1,4 +1,4 @@
-"""What operators watch of an entry, read when metrics are scraped."""
+"""Metrics of an entry's state, which are read when metrics are scraped."""
 
 from __future__ import annotations
 
@@ -27,26 +27,26 @@
     platform: ports.Platform,
     traffic: traffic_module.Traffic,
 ) -> None:
-    """Have an entry's state shown with its metrics.
+    """Add the gauges and counters of an entry's state to its metrics.
 
     Parameters
     ----------
     metrics : metrics_module.Metrics
-        Where it is added.
+        Metrics to add them to.
     clock : clock_module.Clock
         Source of time.
     parts : parts_module.Parts
-        The use cases that know it.
+        Services whose state is exported.
     platform : ports.Platform
-        The platform's client; only that of the store counts its calls.
+        Client of the platform; only that of the store counts its calls.
     traffic : traffic_module.Traffic
         Counts of the messages between entries.
     """
     _add_configuration(metrics, clock, parts)
-    _add_work(metrics, parts)
-    _add_traffic(metrics, traffic)
+    _add_requests(metrics, parts)
+    _add_peer_traffic(metrics, traffic)
     if isinstance(platform, store_client.StorePlatform):
-        _add_platform(metrics, platform)
+        _add_platform_calls(metrics, platform)
 
 
 def _add_configuration(
@@ -54,9 +54,9 @@
     clock: clock_module.Clock,
     parts: parts_module.Parts,
 ) -> None:
-    """Add the version in force and what is known of entries and targets."""
-    applied = _Applied(clock)
-    parts.configuration.subscribe(lambda snapshot: applied.note())
+    """Add the version in force and the state of entries and targets."""
+    age = _ConfigurationAge(clock)
+    parts.configuration.subscribe(lambda snapshot: age.reset())
     metrics.add_gauge(
         'thornspool_configuration_version',
         'Version of the configuration in force here; 0 before the first.',
@@ -65,7 +65,7 @@
     metrics.add_gauge(
         'thornspool_configuration_age_seconds',
         'Time since it was applied here, or since the start before any.',
-        metrics_module.read_one(applied.read_age),
+        metrics_module.read_one(age.compute_age_s),
     )
     metrics.add_gauge(
         'thornspool_isolated',
@@ -80,19 +80,19 @@
     metrics.add_gauge(
         'thornspool_members',
         'Entries by what this one believes of them, itself included.',
-        functools.partial(_read_members, parts),
+        functools.partial(_count_members, parts),
     )
     metrics.add_gauge(
         'thornspool_targets',
         'Targets in force by whether they may be given new work.',
-        functools.partial(_read_targets, parts),
+        functools.partial(_count_targets, parts),
     )
 
 
-def _add_work(
+def _add_requests(
     metrics: metrics_module.Metrics, parts: parts_module.Parts
 ) -> None:
-    """Add what is in flight here, and what is kept from running."""
+    """Add the requests in flight and the state of the quarantine."""
     metrics.add_gauge(
         'thornspool_requests_in_flight',
         'Requests of callers that have not got their whole answer.',
@@ -125,8 +125,9 @@
         'Attempts and records of actions that are not settled.',
         metrics_module.read_one(lambda: parts.actions.open_count),
     )
-    # Verdicts are counted where they are given: to ask for all of them at
-    # each scrape would hold up the loop, since one compares all records.
+    # The quarantine counts its verdicts as it returns them. Computing all
+    # verdicts at each scrape would block the event loop, since each one
+    # compares all records.
     metrics.add_counter(
         'thornspool_quarantine_verdicts_total',
         'Verdicts on whether requests may run.',
@@ -139,19 +140,19 @@
     )
 
 
-def _add_traffic(
+def _add_peer_traffic(
     metrics: metrics_module.Metrics, traffic: traffic_module.Traffic
 ) -> None:
-    """Add what is exchanged with other entries."""
+    """Add the counts of messages between entries."""
     metrics.add_counter(
         'thornspool_peer_bytes_total',
         'Bytes of messages between entries, without TCP and IP.',
-        functools.partial(_read_traffic, traffic, 'bytes'),
+        functools.partial(_list_traffic_samples, traffic, 'bytes'),
     )
     metrics.add_counter(
         'thornspool_peer_messages_total',
         'Messages between entries.',
-        functools.partial(_read_traffic, traffic, 'messages'),
+        functools.partial(_list_traffic_samples, traffic, 'messages'),
     )
     metrics.add_counter(
         'thornspool_peer_dropped_total',
@@ -160,10 +161,10 @@
     )
 
 
-def _add_platform(
+def _add_platform_calls(
     metrics: metrics_module.Metrics, platform: store_client.StorePlatform
 ) -> None:
-    """Add calls to the platform."""
+    """Add the counts of calls to the platform."""
     metrics.add_counter(
         'thornspool_platform_calls_total',
         'Calls that left for the platform.',
@@ -176,36 +177,36 @@
     )
 
 
-class _Applied:
-    """When the version in force was applied."""
+class _ConfigurationAge:
+    """Time since the version in force was applied, or since the start."""
 
     def __init__(self, clock: clock_module.Clock) -> None:
         self._clock = clock
-        self._at = clock.now()
+        self._applied_at = clock.now()
 
-    def note(self) -> None:
-        self._at = self._clock.now()
+    def reset(self) -> None:
+        self._applied_at = self._clock.now()
 
-    def read_age(self) -> float:
-        return (self._clock.now() - self._at) / _MS_PER_S
+    def compute_age_s(self) -> float:
+        return (self._clock.now() - self._applied_at) / _MS_PER_S
 
 
-def _read_members(
+def _count_members(
     parts: parts_module.Parts,
 ) -> list[metrics_module.Reading]:
-    return metrics_module.count_by(
+    return metrics_module.count_by_label(
         'state',
-        [one.value for one in ports.MemberState],
-        [one.state.value for one in parts.members.list_members()],
+        [state.value for state in ports.MemberState],
+        [member.state.value for member in parts.members.list_members()],
     )
 
 
-def _read_targets(
+def _count_targets(
     parts: parts_module.Parts,
 ) -> list[metrics_module.Reading]:
-    return metrics_module.count_by(
+    return metrics_module.count_by_label(
         'readiness',
-        [one.value for one in target_messages.Readiness],
+        [readiness.value for readiness in target_messages.Readiness],
         [
             parts.targets.read_readiness(name).value
             for name in parts.configuration.snapshot().targets
@@ -213,7 +214,7 @@
     )
 
 
-def _read_traffic(
+def _list_traffic_samples(
     traffic: traffic_module.Traffic, unit: str
 ) -> Iterator[metrics_module.Reading]:
     for direction in ('sent', 'received'):
--- a/src/thornspool/schemas/__init__.py
+++ b/src/thornspool/schemas/__init__.py
@@ -1,4 +1,4 @@
-"""JSON Schemas shipped with the program."""
+"""JSON Schemas that are installed with the package."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 def read_schema(name: str) -> dict[str, typing.Any]:
-    """Read a shipped JSON Schema.
+    """Read a JSON Schema of the package.
 
     Parameters
     ----------
     name : str
-        Name of the schema without its ending, for instance ``settings``.
+        File name of the schema without its extension, such as ``settings``.
 
     Returns
     -------
     dict
-        The schema.
+        The decoded schema.
     """
     file = importlib.resources.files(__name__).joinpath(f'{name}.json')
     schema: dict[str, typing.Any] = msgspec.json.decode(file.read_bytes())
--- a/src/thornspool/settings.py
+++ b/src/thornspool/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one entry, read from a JSON file and checked on start."""
+"""Settings of one entry, read from a JSON file and validated at start."""
 
 from __future__ import annotations
 
@@ -20,12 +20,17 @@
 
 
 class SettingsError(exceptions.ThornspoolError):
-    """The settings can't be used; names every problem.
+    """The settings are invalid; the message lists every problem.
 
     Parameters
     ----------
+    found : tuple of problems.Problem
+        Problems of the settings, at least one.
+
+    Attributes
+    ----------
     problems : tuple of problems.Problem
-        At least one.
+        The same problems.
     """
 
     def __init__(self, found: tuple[problems.Problem, ...]) -> None:
@@ -35,7 +40,18 @@
 
 @attrs.frozen
 class Tls:
-    """Paths of the PEM files of one listener."""
+    """TLS settings of one listener.
+
+    Attributes
+    ----------
+    certificate : str
+        Path of the PEM file with the certificate chain.
+    key : str
+        Path of the PEM file with the private key.
+    client_authority : str
+        Path of the PEM file with the authority that client certificates
+        must be signed by; empty if none are requested.
+    """
 
     certificate: str
     key: str
@@ -44,7 +60,17 @@
 
 @attrs.frozen
 class Callers:
-    """Interface of callers: ``ip:port``, TLS and body limit in bytes."""
+    """Settings of the interface for callers.
+
+    Attributes
+    ----------
+    listen : str
+        ``ip:port`` to bind.
+    tls : Tls or None
+        TLS settings; None for plain HTTP.
+    body_limit_bytes : int
+        Maximum size of a request body in bytes.
+    """
 
     listen: str
     tls: Tls | None = None
@@ -53,7 +79,17 @@
 
 @attrs.frozen
 class Token:
-    """A bearer token and the workspaces it may change; None for all."""
+    """Bearer token of an operator.
+
+    Attributes
+    ----------
+    name : str
+        Name of the token.
+    token : str
+        The secret.
+    workspaces : tuple of str or None
+        Workspaces that it may change; None for all.
+    """
 
     name: str
     token: str = attrs.field(repr=False)
@@ -62,7 +98,17 @@
 
 @attrs.frozen
 class Operators:
-    """Interface of operators."""
+    """Settings of the interface for operators.
+
+    Attributes
+    ----------
+    listen : str
+        ``ip:port`` to bind.
+    tokens : tuple of Token
+        Accepted bearer tokens.
+    tls : Tls or None
+        TLS settings; None for plain HTTP.
+    """
 
     listen: str
     tokens: tuple[Token, ...]
@@ -71,16 +117,17 @@
 
 @attrs.frozen
 class Peers:
-    """Interface of other entries.
+    """Settings of the interface for other entries.
 
     Attributes
     ----------
     listen : str
-        ``ip:port`` that is bound.
+        ``ip:port`` to bind.
     seeds : tuple of str
-        Peer addresses to join through.
+        Addresses of the peers through which the entry joins.
     advertise : str
-        ``ip:port`` that other entries are told; the bound one if empty.
+        ``ip:port`` that is announced to other entries; the bound address if
+        empty.
     """
 
     listen: str
@@ -90,7 +137,15 @@
 
 @attrs.frozen
 class Platform:
-    """Which platform: ``memory`` or ``http`` with its URL."""
+    """Settings of the platform.
+
+    Attributes
+    ----------
+    kind : str
+        ``memory`` or ``http``.
+    url : str
+        URL of the store; empty for the kind ``memory``.
+    """
 
     kind: str
     url: str = ''
@@ -98,7 +153,29 @@
 
 @attrs.frozen
 class Settings:
-    """All settings of one entry."""
+    """All settings of one entry.
+
+    Attributes
+    ----------
+    host : str
+        Name of the host.
+    failure_domain : str
+        Failure domain of the host.
+    callers : Callers
+        Interface for callers.
+    operators : Operators
+        Interface for operators.
+    peers : Peers
+        Interface for other entries.
+    platform : Platform
+        The platform.
+    region : str
+        Region of the failure domain.
+    log_level : str
+        ``debug``, ``info``, ``warning`` or ``error``.
+    seed : int or None
+        Seed of the random source; None for one of the system.
+    """
 
     host: str
     failure_domain: str
@@ -112,22 +189,23 @@
 
 
 def read_settings(path: pathlib.Path) -> Settings:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     Parameters
     ----------
     path : pathlib.Path
-        JSON file, shape of ``schemas/settings.json``.
+        JSON file that conforms to ``schemas/settings.json``.
 
     Returns
     -------
     Settings
-        The checked settings; the region defaults to the failure domain.
+        The validated settings; the region defaults to the failure domain.
 
     Raises
     ------
     SettingsError
-        Names file, place, rule and what to write instead, for each problem.
+        If the file is invalid; names the file, the JSONPath, the violated
+        rule and the remedy for each problem.
     """
     value, found = validation.read_json(path)
     if not found:
--- a/src/thornspool/validation.py
+++ b/src/thornspool/validation.py
@@ -1,4 +1,4 @@
-"""Checks of JSON files against a schema, with errors a person can act on."""
+"""Validation of JSON files against a schema, with a remedy per problem."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 """A decoded JSON value."""
 
 
-class _RepeatedName(ValueError):
-    """A JSON object names a member twice."""
+class _DuplicateName(ValueError):
+    """A JSON object has two members of the same name."""
 
 
-class _NotJson(ValueError):
-    """The text holds NaN or an infinity, which Python's reader takes."""
+class _NonJsonConstant(ValueError):
+    """The text has NaN or Infinity, which Python's decoder accepts."""
 
 
 def read_json(
@@ -35,89 +35,91 @@
     Parameters
     ----------
     path : pathlib.Path
-        The file.
+        Path of the file.
 
     Returns
     -------
-    tuple
-        The value and no problem, or None and the problem.
+    tuple of object and tuple of problems.Problem
+        The decoded value and no problem, or None and the problem.
     """
     try:
         text = path.read_text('utf-8')
     except (OSError, UnicodeDecodeError) as error:
-        remedy = f'Name a file in UTF-8 that may be read ({error}).'
-        return None, (_report(path, 'unreadable', remedy),)
+        remedy = f'Specify a readable file in UTF-8 ({error}).'
+        return None, (_build_problem(path, 'unreadable', remedy),)
     return parse_json(str(path), text)
 
 
 def parse_json(
     file: str, text: str
 ) -> tuple[Json, tuple[problems.Problem, ...]]:
-    """Decode JSON text and refuse members that stand twice.
+    """Decode JSON text and reject duplicate member names.
 
-    Decoders keep the last of two members with one name, so that the first
-    would be without effect and nobody would be told.
+    Python's decoder keeps the last of two members of the same name, so the
+    first would silently have no effect.
 
     Parameters
     ----------
     file : str
         Path of the file, for the messages.
     text : str
-        What it holds.
+        Content of the file.
 
     Returns
     -------
-    tuple
-        The value and no problem, or None and the problem.
+    tuple of object and tuple of problems.Problem
+        The decoded value and no problem, or None and the problem.
     """
     try:
         value = json.loads(
             text,
             object_pairs_hook=_build_object,
-            parse_constant=_refuse_constant,
+            parse_constant=_reject_constant,
         )
-    except _RepeatedName as error:
+    except _DuplicateName as error:
         remedy = f'Keep one of the members named "{error}".'
-        return None, (_report(file, 'repeated-member', remedy),)
-    except _NotJson as error:
+        return None, (_build_problem(file, 'repeated-member', remedy),)
+    except _NonJsonConstant as error:
         remedy = f'Write a number; {error} is not JSON.'
-        return None, (_report(file, 'json', remedy),)
+        return None, (_build_problem(file, 'json', remedy),)
     except json.JSONDecodeError as error:
         remedy = (
             f'Write JSON; line {error.lineno}, column {error.colno} is not '
             f'JSON: {error.msg}.'
         )
-        return None, (_report(file, 'json', remedy),)
+        return None, (_build_problem(file, 'json', remedy),)
     return value, ()
 
 
 def find_problems(
     file: str, value: Json, schema: dict[str, typing.Any]
 ) -> tuple[problems.Problem, ...]:
-    """Check a value against a schema and describe every error.
+    """Validate a value against a schema and describe every violation.
 
     Parameters
     ----------
     file : str
         Path of the file, for the messages.
     value : object
-        The decoded JSON value.
+        Decoded JSON value.
     schema : dict
         JSON Schema, draft 2020-12.
 
     Returns
     -------
-    tuple of Problem
-        All problems, in the order of their place in the file.
+    tuple of problems.Problem
+        All problems, sorted by their JSONPath.
     """
     validator = jsonschema.Draft202012Validator(schema)
-    errors = sorted(validator.iter_errors(value), key=lambda e: e.json_path)
+    errors = sorted(
+        validator.iter_errors(value), key=lambda error: error.json_path
+    )
     return tuple(
         problems.Problem(
             '',
             error.json_path,
             'schema',
-            f'{_hint_for(error)} ({error.message})',
+            f'{_describe_remedy(error)} ({error.message})',
             file,
         )
         for error in errors
@@ -125,27 +127,27 @@
 
 
 def _build_object(pairs: list[tuple[str, Json]]) -> dict[str, Json]:
-    built: dict[str, Json] = {}
+    members: dict[str, Json] = {}
     for name, value in pairs:
-        if name in built:
-            raise _RepeatedName(name)
-        built[name] = value
-    return built
+        if name in members:
+            raise _DuplicateName(name)
+        members[name] = value
+    return members
 
 
-def _refuse_constant(name: str) -> typing.NoReturn:
-    """Refuse NaN, which no bound of a schema would refuse."""
-    raise _NotJson(name)
+def _reject_constant(name: str) -> typing.NoReturn:
+    """Reject NaN, which satisfies every numeric bound of a schema."""
+    raise _NonJsonConstant(name)
 
 
-def _report(
+def _build_problem(
     file: str | pathlib.Path, rule: str, remedy: str
 ) -> problems.Problem:
     return problems.Problem('', '$', rule, remedy, str(file))
 
 
-def _hint_for(error: schema_exceptions.ValidationError) -> str:
-    """Say what to write instead."""
+def _describe_remedy(error: schema_exceptions.ValidationError) -> str:
+    """Return the remedy for a violation of the schema."""
     schema = error.schema if isinstance(error.schema, dict) else {}
     description = schema.get('description', '')
     match error.validator:
@@ -155,11 +157,11 @@
         case 'required':
             return f'Add it. {description}'.strip()
         case 'additionalProperties':
-            known = ', '.join(sorted(schema.get('properties', {})))
-            return f'Remove it or write one of: {known}.'
+            allowed = ', '.join(sorted(schema.get('properties', {})))
+            return f'Remove it or write one of: {allowed}.'
         case 'pattern':
-            form = f'Write text of the form {error.validator_value}.'
-            return f'{form} {description}'.strip()
+            remedy = f'Write text of the form {error.validator_value}.'
+            return f'{remedy} {description}'.strip()
         case 'type':
             return f'Write a value of type {error.validator_value}.'
         case _:
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,4 +1,4 @@
-"""Tests; hypothesis runs derandomized, so every run gives one verdict."""
+"""Tests; hypothesis runs derandomized, so that results are reproducible."""
 
 from __future__ import annotations
 
@@ -13,5 +13,5 @@
 hypothesis.settings.register_profile('explore', deadline=None)
 hypothesis.settings.load_profile(os.environ.get('HYPOTHESIS_PROFILE', 'ci'))
 
-# Failures are brought about on purpose; their log lines would hide the rest.
+# Tests cause failures deliberately; their log lines would obscure the results.
 structlog.configure(logger_factory=structlog.ReturnLoggerFactory())
--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data and the fake clock."""
+"""Builders of test data and a fake clock."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class FakeClock(clock.Clock):
-    """A clock that moves only when a test moves it."""
+    """Clock whose time changes only when a test advances it."""
 
     def __init__(self, now: int = 0, wall: int = WALL_START) -> None:
         self._now = now
@@ -31,13 +31,13 @@
 
 
 def build_key(seed: int, wall: int = WALL_START) -> str:
-    """Build a UUID version 7 as text from a seed."""
-    bits = random.Random(seed).getrandbits(74)
-    return str(identifiers.make_uuid7(wall, bits))
+    """Build the text of a UUID version 7 with random bits from a seed."""
+    random_bits = random.Random(seed).getrandbits(74)
+    return str(identifiers.make_uuid7(wall, random_bits))
 
 
 def build_member(name: str = 'entry-1', **changes: object) -> ports.Member:
-    """Build a member whose addresses follow from its name."""
+    """Build a member whose addresses are derived from its name."""
     values: dict[str, object] = {
         'incarnation': f'{name}-1',
         'host': name,
@@ -54,7 +54,7 @@
 
 
 def build_settings(**changes: object) -> dict[str, typing.Any]:
-    """Build the settings of an entry as they stand in a file."""
+    """Build the decoded content of a valid settings file."""
     values: dict[str, typing.Any] = {
         'host': 'perth-1',
         'failure_domain': 'perth-a',
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -10,17 +10,19 @@
 from thornspool.adapters.peers import traffic
 
 
-class CountsTest(unittest.TestCase):
-    def test_bytes_between_entries_are_rendered_as_they_are(self) -> None:
+class CountersTest(unittest.TestCase):
+    def test_renders_current_byte_counts_by_direction_and_kind(self) -> None:
         subject = metrics.Metrics()
-        counted = traffic.Traffic()
+        peer_traffic = traffic.Traffic()
         name = 'thornspool_peer_bytes_total'
-        read = functools.partial(readings._read_traffic, counted, 'bytes')
+        read = functools.partial(
+            readings._list_traffic_samples, peer_traffic, 'bytes'
+        )
         subject.add_counter(name, 'Bytes.', read)
-        counted.sent['membership.Ping'].add(40)
+        peer_traffic.sent['membership.Ping'].add(40)
         subject.render()
-        counted.sent['membership.Ping'].add(2)
-        counted.received['membership.Ack'].add(7)
+        peer_traffic.sent['membership.Ping'].add(2)
+        peer_traffic.received['membership.Ack'].add(7)
         lines = subject.render()[0].decode().splitlines()
         self.assertIn(
             f'{name}{{direction="sent",kind="membership.Ping"}} 42', lines
@@ -29,13 +31,13 @@
             f'{name}{{direction="received",kind="membership.Ack"}} 7', lines
         )
 
-    def test_tokens_and_their_times_are_rendered_for_each_workspace(self):
+    def test_renders_tokens_and_their_intervals_by_workspace(self):
         subject = metrics.Metrics()
         name = 'thornspool_between_tokens_seconds'
         subject.observe_tokens('a', 1, 49)
         subject.render()
-        for workspace, count, waited in (('a', 3, 51), ('b', 1, 49)):
-            subject.observe_tokens(workspace, count, waited)
+        for workspace, count, interval_ms in (('a', 3, 51), ('b', 1, 49)):
+            subject.observe_tokens(workspace, count, interval_ms)
         lines = subject.render()[0].decode().splitlines()
         for line in (
             'thornspool_tokens_total{workspace="a"} 4',
--- a/tests/test_operations_page.py
+++ b/tests/test_operations_page.py
@@ -1,4 +1,4 @@
-"""The page for operators names what the program shows them."""
+"""Tests that the page for operators matches log events and metrics."""
 
 from __future__ import annotations
 
@@ -29,7 +29,10 @@
 
 
 def _read_events(node: ast.Call) -> list[str]:
-    """Return what a call logs; ``_guard`` passes its second argument on."""
+    """Return the event that a call logs; ``_guard`` logs its second argument.
+
+    The list is empty if the call logs no event or receives it as a variable.
+    """
     if isinstance(node.func, ast.Name) and node.func.id == '_guard':
         return [ast.literal_eval(node.args[1])]
     if _is_log_call(node) and isinstance(node.args[0], ast.Constant):
@@ -38,33 +41,35 @@
 
 
 class OperationsPageTest(unittest.TestCase):
-    def test_every_log_event_is_explained(self) -> None:
-        """An operator looks a line of the log up and finds nothing."""
+    def test_page_explains_every_log_event(self) -> None:
+        """Guards against log events that operators can't look up."""
         calls = list(_list_calls())
         events = {event for node in calls for event in _read_events(node)}
-        passed_on = [
+        variable_events = [
             node
             for node in calls
             if _is_log_call(node) and not _read_events(node)
         ]
-        self.assertEqual(1, len(passed_on))
-        missing = [one for one in sorted(events) if f'`{one}`' not in PAGE]
+        self.assertEqual(1, len(variable_events))
+        missing = [
+            event for event in sorted(events) if f'`{event}`' not in PAGE
+        ]
         self.assertEqual([], missing)
 
     def test_every_metric_on_the_page_exists(self) -> None:
-        """An alert on a name that is never shown never fires."""
-        names = {
+        """Guards against alerts on missing metrics, which never fire."""
+        defined = {
             argument.value
             for node in _list_calls()
             for argument in node.args
             if isinstance(argument, ast.Constant)
             and str(argument.value).startswith('thornspool_')
         }
-        used = set(re.findall(r'thornspool_[a-z_]+[a-z]', PAGE))
-        self.assertGreater(len(used), 10)
-        self.assertEqual(set(), used - names)
+        mentioned = set(re.findall(r'thornspool_[a-z_]+[a-z]', PAGE))
+        self.assertGreater(len(mentioned), 10)
+        self.assertEqual(set(), mentioned - defined)
 
-    def test_links_within_the_page_lead_somewhere(self) -> None:
+    def test_links_within_the_page_have_a_heading(self) -> None:
         headings = re.findall(r'^#+ (.+)$', PAGE, re.M)
-        places = {one.lower().replace(' ', '-') for one in headings}
-        self.assertEqual(set(), set(re.findall(r'\(#(.+?)\)', PAGE)) - places)
+        anchors = {heading.lower().replace(' ', '-') for heading in headings}
+        self.assertEqual(set(), set(re.findall(r'\(#(.+?)\)', PAGE)) - anchors)
--- a/tests/test_outputs.py
+++ b/tests/test_outputs.py
@@ -1,4 +1,4 @@
-"""Tests of log lines on a descriptor whose reader stops."""
+"""Tests of the non-blocking, rate-limited output of log lines."""
 
 from __future__ import annotations
 
@@ -24,28 +24,29 @@
         except BlockingIOError:
             return ''
 
-    def test_a_reader_that_stops_never_blocks(self):
-        """Whoever collects the log lines stands still.
+    def test_does_not_block_when_the_reader_stops(self):
+        """Guards against a blocked event loop when the log collector stops.
 
-        A write that waits for him would hold up every caller.
+        The collector no longer reads the pipe, so its buffer fills and a
+        blocking write would delay every request.
         """
         for _ in range(3_000):
             self.output.warning('x' * 100)
-        self.assertGreater(self.output.left_out, 1_000)
+        self.assertGreater(self.output.dropped, 1_000)
         while self.read():
             self.output._flush()
         self.output.warning('after')
         self.assertIn('log_lines_left_out count=', self.read())
 
-    def test_lines_are_bounded_and_their_number_told(self):
+    def test_limits_the_rate_and_writes_the_number_of_dropped_lines(self):
         for _ in range(int(outputs.BURST_LINES) + 50):
             self.output.info('line')
-        self.assertEqual(50, self.output.left_out)
+        self.assertEqual(50, self.output.dropped)
         self.clock.advance(1_000)
         self.output.info('next')
         self.assertIn('count=50\nnext\n', self.read())
 
-    def test_warnings_pass_beyond_the_rate(self):
+    def test_warnings_are_exempt_from_the_rate_limit(self):
         for _ in range(int(outputs.BURST_LINES) + 50):
             self.output.info('line')
         self.read()
--- a/tests/test_readings.py
+++ b/tests/test_readings.py
@@ -1,4 +1,4 @@
-"""What operators watch of an entry, without its process."""
+"""Tests of the metrics of an entry's state, with fake services."""
 
 from __future__ import annotations
 
@@ -60,41 +60,44 @@
             self.traffic,
         )
 
-    def _read(self) -> dict[str, float]:
+    def _read_samples(self) -> dict[str, float]:
         body, _ = self.metrics.render()
-        lines = [one for one in body.decode().splitlines() if one[:1] != '#']
+        lines = [
+            line for line in body.decode().splitlines() if line[:1] != '#'
+        ]
         return {
             name: float(value)
-            for name, value in (one.rsplit(' ', 1) for one in lines if one)
+            for name, value in (line.rsplit(' ', 1) for line in lines if line)
         }
 
-    def test_age_starts_again_with_each_version(self) -> None:
+    def test_configuration_age_restarts_with_each_version(self) -> None:
         name = 'thornspool_configuration_age_seconds'
         self.clock.advance(1500)
-        self.assertEqual(1.5, self._read()[name])
+        self.assertEqual(1.5, self._read_samples()[name])
         for notify in self.subscribers:
             notify(None)  # type: ignore[operator]
-        self.assertEqual(0, self._read()[name])
+        self.assertEqual(0, self._read_samples()[name])
         self.clock.advance(250)
-        self.assertEqual(0.25, self._read()[name])
+        self.assertEqual(0.25, self._read_samples()[name])
 
-    def test_counts_by_state_fall_to_zero(self) -> None:
-        """An entry that was suspected is found to be dead.
+    def test_count_of_a_state_without_members_is_zero(self) -> None:
+        """Guards against an entry that is counted in two states.
 
-        A count that kept its last value would show one entry twice.
+        A suspected entry is declared dead. A gauge that keeps its last value
+        would still count it as suspected.
         """
         name = 'thornspool_members{{state="{}"}}'
-        read = self._read()
-        self.assertEqual(1, read[name.format('suspect')])
-        self.assertEqual(0, read[name.format('dead')])
+        samples = self._read_samples()
+        self.assertEqual(1, samples[name.format('suspect')])
+        self.assertEqual(0, samples[name.format('dead')])
         self.members[1] = builders.build_member(
             'two', state=ports.MemberState.DEAD
         )
-        read = self._read()
-        self.assertEqual(0, read[name.format('suspect')])
-        self.assertEqual(1, read[name.format('dead')])
+        samples = self._read_samples()
+        self.assertEqual(0, samples[name.format('suspect')])
+        self.assertEqual(1, samples[name.format('dead')])
 
-    def test_each_value_is_read_from_where_it_is_kept(self) -> None:
+    def test_each_metric_shows_the_value_of_its_service(self) -> None:
         self.version = 7
         self.traffic.sent['Gossip'].add(40)
         self.traffic.sent['Gossip'].add(2)
@@ -117,8 +120,10 @@
             '{direction="sent",kind="Gossip"}': 2,
             'thornspool_peer_dropped_total{reason="full"}': 1,
         }
-        read = self._read()
-        self.assertEqual(expected, {name: read.get(name) for name in expected})
+        samples = self._read_samples()
+        self.assertEqual(
+            expected, {name: samples.get(name) for name in expected}
+        )
         self.traffic.sent['Gossip'].add(1)
         name = 'thornspool_peer_bytes_total{direction="sent",kind="Gossip"}'
-        self.assertEqual(43, self._read()[name])
+        self.assertEqual(43, self._read_samples()[name])
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of the settings of one entry."""
+"""Tests of reading and validating the settings of an entry."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from thornspool import settings
 
 
-def _change(path: str, value: typing.Any) -> dict[str, typing.Any]:
-    """Build good settings but for one value; None removes it."""
+def _build_changed(path: str, value: typing.Any) -> dict[str, typing.Any]:
+    """Build valid settings with one member changed, or removed if None."""
     changed = copy.deepcopy(builders.build_settings())
     *parents, last = path.split('.')
-    place = changed
+    parent = changed
     for name in parents:
-        place = place[name]
+        parent = parent[name]
     if value is None:
-        del place[last]
+        del parent[last]
     else:
-        place[last] = value
+        parent[last] = value
     return changed
 
 
-BAD_VALUES = (
+INVALID_VALUES = (
     ('host', None, '$', "'host' is a required property"),
     ('host', 'Perth 1', '$.host', 'does not match'),
     ('callers.listen', 8000, '$.callers.listen', "not of type 'string'"),
@@ -47,32 +47,32 @@
         self.addCleanup(folder.cleanup)
         self.path = pathlib.Path(folder.name) / 'entry.json'
 
-    def test_good_settings_are_read(self) -> None:
+    def test_reads_valid_settings(self) -> None:
         self.path.write_text(json.dumps(builders.build_settings()))
         read = settings.read_settings(self.path)
         self.assertEqual('perth-1', read.host)
         self.assertEqual('perth-a', read.region)
         self.assertNotIn(read.operators.tokens[0].token, repr(read))
 
-    def test_a_bad_value_is_named_with_file_place_and_rule(self) -> None:
-        for path, value, place, rule in BAD_VALUES:
+    def test_reports_file_path_and_rule_of_an_invalid_value(self) -> None:
+        for path, value, json_path, rule in INVALID_VALUES:
             with self.subTest(path=path, value=value):
-                self.path.write_text(json.dumps(_change(path, value)))
+                self.path.write_text(json.dumps(_build_changed(path, value)))
                 with self.assertRaises(settings.SettingsError) as caught:
                     settings.read_settings(self.path)
                 message = str(caught.exception)
-                self.assertIn(f'{self.path}: {place}: ', message)
+                self.assertIn(f'{self.path}: {json_path}: ', message)
                 self.assertIn(rule, message)
 
-    def test_all_problems_are_named_at_once(self) -> None:
-        changed = _change('host', 'Perth 1')
+    def test_reports_all_problems_together(self) -> None:
+        changed = _build_changed('host', 'Perth 1')
         changed['log_level'] = 'loud'
         self.path.write_text(json.dumps(changed))
         with self.assertRaises(settings.SettingsError) as caught:
             settings.read_settings(self.path)
         self.assertEqual(2, len(caught.exception.problems))
 
-    def test_files_that_are_not_json_are_named(self) -> None:
+    def test_reports_files_that_are_not_json_or_missing(self) -> None:
         self.path.write_text('{"host": ')
         with self.assertRaisesRegex(settings.SettingsError, 'not JSON'):
             settings.read_settings(self.path)
