--- a/src/thornspool/console/__init__.py
+++ b/src/thornspool/console/__init__.py
@@ -1,1 +1,1 @@
-"""The command-line tool, one module a command."""
+"""The command-line tool for operators, with one module per command."""
--- a/src/thornspool/console/__main__.py
+++ b/src/thornspool/console/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the tool as ``python -m thornspool.console``."""
+"""Entry point of ``python -m thornspool.console``."""
 
 from __future__ import annotations
 
--- a/src/thornspool/console/application.py
+++ b/src/thornspool/console/application.py
@@ -1,4 +1,4 @@
-"""Entry point of the ``thornspool`` tool."""
+"""Entry point and argument parser of the ``thornspool`` tool."""
 
 from __future__ import annotations
 
@@ -38,32 +38,32 @@
     schema.COMMAND,
 )
 _EXIT_CODES = (
-    'exit codes: 0 done; 1 a problem was found; 2 options, files or token '
-    'cannot be used; 3 conflict with another publication; 4 no answer, or '
-    'the outcome is not known'
+    'exit codes: 0 success; 1 a problem was found; 2 invalid options, files '
+    'or token; 3 conflict with another publication; 4 no response, or the '
+    'outcome is unknown'
 )
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """Return the parser of all commands."""
+    """Build the argument parser with all commands."""
     parser = argparse.ArgumentParser(
         prog='thornspool',
-        description='Publishes configuration and shows what entries do.',
+        description='Publish configuration and show the state of entries.',
         epilog=_EXIT_CODES,
     )
-    parsers = parser.add_subparsers(dest='command', required=True)
+    subparsers = parser.add_subparsers(dest='command', required=True)
     for command in COMMANDS:
-        one = parsers.add_parser(
+        subparser = subparsers.add_parser(
             command.name,
             help=command.help,
             description=command.help,
             epilog=f'example: {command.example}',
         )
-        one.add_argument(
+        subparser.add_argument(
             '--json', action='store_true', help='write results as JSON'
         )
-        command.add_options(one)
-        one.set_defaults(run=command.run)
+        command.add_options(subparser)
+        subparser.set_defaults(run=command.run)
     return parser
 
 
@@ -76,14 +76,14 @@
     Parameters
     ----------
     arguments : sequence of str, optional
-        The command line without the program; from the process if left out.
-    console : Console, optional
-        Where to write to.
+        Arguments without the program name; those of the process by default.
+    console : base.Console, optional
+        Output of the command; the standard streams by default.
 
     Returns
     -------
     int
-        Exit code, see ``ExitCode``.
+        Exit code as defined by ``exceptions.ExitCode``.
     """
     options = build_parser().parse_args(arguments)
     if console is None:
@@ -92,8 +92,8 @@
         code: exceptions.ExitCode = options.run(options, console)
         console.out.flush()
     except BrokenPipeError:
-        # Whoever reads the output has seen enough.
-        _close_output(console)
+        # The reader closed the pipe, as head does; this is not an error.
+        _discard_output(console)
         return int(exceptions.ExitCode.OK)
     except exceptions.ConsoleError as error:
         console.write_error(str(error))
@@ -101,9 +101,13 @@
     return int(code)
 
 
-def _close_output(console: base.Console) -> None:
-    """Lose the rest of the output, which the interpreter would still write."""
+def _discard_output(console: base.Console) -> None:
+    """Redirect the output to the null device.
+
+    The interpreter flushes the buffered rest at exit, which would fail again
+    and print a traceback.
+    """
     with contextlib.suppress(OSError, ValueError):
-        nowhere = os.open(os.devnull, os.O_WRONLY)
-        os.dup2(nowhere, console.out.fileno())
-        os.close(nowhere)
+        null_device = os.open(os.devnull, os.O_WRONLY)
+        os.dup2(null_device, console.out.fileno())
+        os.close(null_device)
--- a/src/thornspool/console/base.py
+++ b/src/thornspool/console/base.py
@@ -1,4 +1,4 @@
-"""What every command is made of."""
+"""Command definition and output, shared by all commands."""
 
 from __future__ import annotations
 
@@ -19,20 +19,21 @@
 
 @attrs.frozen
 class Command:
-    """One command of the tool.
+    """Definition of one command of the tool.
 
     Attributes
     ----------
     name : str
-        What is typed.
+        Name of the command on the command line.
     help : str
-        What it does, in one sentence.
+        Description in one sentence.
     example : str
-        A whole command line.
+        Complete command line.
     add_options : callable
-        Declares its options on a parser.
+        Adds the options of the command to a parser.
     run : callable
-        Does it; takes options and console, returns the exit code.
+        Runs the command with the parsed options and the console, and returns
+        the exit code.
     """
 
     name: str
@@ -44,16 +45,16 @@
 
 @attrs.frozen
 class Console:
-    """Where a command writes to.
+    """Output streams and output format of a command.
 
     Attributes
     ----------
     out : text stream
-        Results.
+        Stream for results.
     err : text stream
-        Errors.
+        Stream for errors.
     as_json : bool
-        Whether results are written as JSON instead of text.
+        Whether to write results as JSON instead of text.
     """
 
     out: typing.TextIO = attrs.field(factory=lambda: sys.stdout)
@@ -61,7 +62,15 @@
     as_json: bool = False
 
     def write_result(self, value: typing.Any, lines: Iterable[str]) -> None:
-        """Write a result as JSON or as text, whichever was asked for."""
+        """Write a result in the format of the console.
+
+        Parameters
+        ----------
+        value : JSON value
+            Result to write as JSON.
+        lines : iterable of str
+            Lines to write as text.
+        """
         if self.as_json:
             json.dump(value, self.out, indent=2)
             self.out.write('\n')
@@ -70,14 +79,14 @@
             self.out.write(f'{line}\n')
 
     def write_error(self, text: str) -> None:
-        """Write an error."""
+        """Write an error message, prefixed with the name of the tool."""
         self.err.write(f'thornspool: {text}\n')
 
 
 def format_table(
     heading: Sequence[str], rows: Iterable[Sequence[typing.Any]]
 ) -> list[str]:
-    """Return lines in which the columns stand below each other."""
+    """Return the lines of a table with aligned columns."""
     texts = [[str(cell) for cell in row] for row in (heading, *rows)]
     widths = [max(map(len, column)) for column in zip(*texts, strict=True)]
     return [
--- a/src/thornspool/console/client.py
+++ b/src/thornspool/console/client.py
@@ -1,4 +1,4 @@
-"""Requests to an entry's operator address."""
+"""HTTP client for the operator interface of an entry."""
 
 from __future__ import annotations
 
@@ -23,32 +23,36 @@
 AUTHORITY_VARIABLE = 'THORNSPOOL_CA_FILE'
 DEFAULT_TIMEOUT_S = 20.0
 _CONNECT_TIMEOUT_S = 5.0
-_CLOSED = (
+_CONNECTION_CLOSED_ERRORS = (
     pycurl.E_GOT_NOTHING,
     pycurl.E_RECV_ERROR,
     pycurl.E_SEND_ERROR,
 )
-_TLS = (
-    *_CLOSED,
+_TLS_ERRORS = (
+    *_CONNECTION_CLOSED_ERRORS,
     pycurl.E_SSL_CONNECT_ERROR,
     pycurl.E_SSL_CERTPROBLEM,
     pycurl.E_PEER_FAILED_VERIFICATION,
     pycurl.E_SSL_CACERT_BADFILE,
 )
-"""TLS 1.3 servers refuse a client after its part of the handshake, so that
-it is told when it reads the answer or, if that is sooner, while it sends."""
+"""Errors of libcurl that can mean a failed TLS handshake.
+
+A TLS 1.3 server rejects the client certificate after the client has completed
+its part of the handshake, so the client gets the error when it reads the
+response or while it still sends the request.
+"""
 
 
 @attrs.frozen
 class Reply:
-    """An answer of an entry.
+    """Response of an entry.
 
     Attributes
     ----------
     status : int
         HTTP status.
     value : JSON value
-        The decoded body, None if it has none.
+        Decoded body; None if the body is empty.
     """
 
     status: int
@@ -56,7 +60,7 @@
 
 
 def add_options(parser: argparse.ArgumentParser) -> None:
-    """Declare the options that every request needs."""
+    """Add the options of requests to the operator interface."""
     parser.add_argument(
         '--url',
         default=os.environ.get(URL_VARIABLE, ''),
@@ -66,38 +70,39 @@
     parser.add_argument(
         '--token-file',
         type=pathlib.Path,
-        help=f'file that holds the token; default: ${TOKEN_VARIABLE}',
+        help='file that contains the operator token; default: the value of '
+        f'${TOKEN_VARIABLE}',
     )
     add_connection_options(parser)
 
 
 def add_connection_options(parser: argparse.ArgumentParser) -> None:
-    """Declare how an entry is reached, whichever address is asked."""
+    """Add the connection options that apply to every interface."""
     parser.add_argument(
         '--timeout',
         type=float,
         default=DEFAULT_TIMEOUT_S,
-        help='seconds to wait for an answer; default: %(default)s',
+        help='seconds to wait for a response; default: %(default)s',
     )
     parser.add_argument(
         '--ca-file',
         default=os.environ.get(AUTHORITY_VARIABLE, ''),
         metavar='FILE',
-        help='PEM file of the authority that signed the certificates of '
-        f'entries; default: ${AUTHORITY_VARIABLE}, else those that the '
+        help='PEM file of the certificate authority of the entries; '
+        f'default: ${AUTHORITY_VARIABLE}, else the authorities that the '
         'system trusts',
     )
     parser.add_argument(
         '--client-certificate',
         default='',
         metavar='FILE',
-        help='PEM file to show to entries that ask for a certificate',
+        help='PEM file of the certificate for entries that require one',
     )
     parser.add_argument(
         '--client-key',
         default='',
         metavar='FILE',
-        help='PEM file of the key of --client-certificate',
+        help='PEM file of the private key of --client-certificate',
     )
 
 
@@ -107,21 +112,36 @@
     path: str,
     body: typing.Any = None,
 ) -> Reply:
-    """Send a request and return what is not an error of the request itself.
+    """Send a request to the operator interface of an entry.
+
+    Parameters
+    ----------
+    options : argparse.Namespace
+        Options that ``add_options`` declares.
+    method : str
+        HTTP method.
+    path : str
+        Path of the resource.
+    body : JSON value, optional
+        Body to send as JSON; no body by default.
 
-    Statuses 401, 403, 400 and 5xx without a problem that the caller knows
-    are raised; the rest is left to the caller.
+    Returns
+    -------
+    Reply
+        The response; statuses other than 400, 401 and 403 are handled by the
+        caller.
 
     Raises
     ------
     BadUsage
-        If address or token are missing or refused.
+        If the address or the token is missing, or the entry responds with
+        status 400, 401 or 403.
     Unreachable
-        If no answer came.
+        If no response arrives in time.
     """
     if not options.url:
         raise exceptions.BadUsage(
-            'No entry is named.', f'Give --url or set {URL_VARIABLE}.'
+            'No entry is specified.', f'Use --url or set {URL_VARIABLE}.'
         )
     headers = {'Authorization': f'Bearer {_read_token(options)}'}
     url = f'{options.url.rstrip("/")}{path}'
@@ -143,63 +163,78 @@
     Parameters
     ----------
     options : argparse.Namespace
-        What ``add_connection_options`` declares.
+        Options that ``add_connection_options`` declares.
     url : str
-        Whole address.
+        Complete URL.
     method : str, optional
         HTTP method.
     headers : dict of str to str, optional
-        Headers besides the type of the body.
+        Headers in addition to Content-Type.
     body : JSON value, optional
-        Sent as JSON; nothing if left out.
+        Body to send as JSON; no body by default.
+
+    Returns
+    -------
+    Reply
+        The response, with any status.
 
     Raises
     ------
     BadUsage
         If a PEM file can't be read.
     Unreachable
-        If no whole answer came in time.
+        If no complete response arrives in time, or its body is not JSON.
     """
-    content = None if body is None else json.dumps(body)
+    encoded_body = None if body is None else json.dumps(body)
     request = httpclient.HTTPRequest(
         url,
         method=method,
         headers={**(headers or {}), 'Content-Type': 'application/json'},
-        body=content,
+        body=encoded_body,
         allow_nonstandard_methods=True,
         connect_timeout=_CONNECT_TIMEOUT_S,
         request_timeout=options.timeout,
-        ca_certs=_check_file(options.ca_file, '--ca-file'),
-        client_cert=_check_file(
+        ca_certs=_check_readable(options.ca_file, '--ca-file'),
+        client_cert=_check_readable(
             options.client_certificate, '--client-certificate'
         ),
-        client_key=_check_file(options.client_key, '--client-key'),
+        client_key=_check_readable(options.client_key, '--client-key'),
     )
     try:
         response = asyncio.run(_fetch(request))
     except (OSError, httpclient.HTTPError) as error:
         raise exceptions.Unreachable(
-            f'No answer from {url}: {error}.', _advise(url, error)
+            f'No response from {url}: {error}.', _build_hint(url, error)
         ) from error
     return Reply(response.code, _decode(url, response.body))
 
 
 def read_detail(reply: Reply) -> str:
-    """Return what an answer says of its problem."""
+    """Return the problem detail of a response, or its status as text."""
     if isinstance(reply.value, dict) and 'detail' in reply.value:
         return str(reply.value['detail'])
-    return f'The entry answered with status {reply.status}.'
+    return f'The entry responded with status {reply.status}.'
 
 
 def expect_ok(reply: Reply) -> typing.Any:
-    """Return the value of a successful answer.
+    """Return the value of a successful response.
+
+    Parameters
+    ----------
+    reply : Reply
+        Response of an entry.
+
+    Returns
+    -------
+    JSON value
+        Decoded body.
 
     Raises
     ------
     Unreachable
-        If the entry could not answer.
+        If the status is 500 or above.
     ConsoleError
-        If there is nothing to show.
+        If the status is from 300 to 499.
     """
     if reply.status >= 500:
         raise exceptions.Unreachable(read_detail(reply))
@@ -218,22 +253,26 @@
         client.close()
 
 
-def _advise(url: str, error: Exception) -> str:
-    """Say what to do; other entries have certificates of the same kind."""
-    number = getattr(error, 'errno', None)
-    if url.startswith('http:') and number in _CLOSED:
-        return 'Write https:// if the entry has TLS.'
-    if url.startswith('https:') and number in _TLS:
+def _build_hint(url: str, error: Exception) -> str:
+    """Return the remedy for a failed connection.
+
+    Errors that point at TLS do not suggest another entry, since other entries
+    have certificates of the same kind.
+    """
+    error_number = getattr(error, 'errno', None)
+    if url.startswith('http:') and error_number in _CONNECTION_CLOSED_ERRORS:
+        return 'Write https:// if the entry uses TLS.'
+    if url.startswith('https:') and error_number in _TLS_ERRORS:
         return (
-            'Name the authority of its certificate with --ca-file; if the '
-            'entry asks for a certificate, give --client-certificate and '
-            '--client-key.'
+            'Specify the authority of its certificate with --ca-file; if the '
+            'entry requires a client certificate, use --client-certificate '
+            'and --client-key.'
         )
     return 'Try another entry; "thornspool entries" lists them.'
 
 
-def _check_file(path: str, option: str) -> str | None:
-    """Return a path that may be read, None if none is given."""
+def _check_readable(path: str, option: str) -> str | None:
+    """Return the path if the file is readable; None if no path is given."""
     if not path:
         return None
     try:
@@ -241,7 +280,7 @@
     except OSError as error:
         raise exceptions.BadUsage(
             f'The PEM file cannot be read: {error}.',
-            f'Name a file that may be read with {option}.',
+            f'Specify a readable file with {option}.',
         ) from error
     return path
 
@@ -253,8 +292,8 @@
         return json.loads(body)
     except ValueError as error:
         raise exceptions.Unreachable(
-            f'{url} did not answer with JSON.',
-            'Is it the operator address of an entry?',
+            f'{url} did not respond with JSON.',
+            'Check that it is the operator address of an entry.',
         ) from error
 
 
@@ -267,11 +306,11 @@
         except OSError as error:
             raise exceptions.BadUsage(
                 f'The token file cannot be read: {error}.',
-                'Name a file that may be read with --token-file.',
+                'Specify a readable file with --token-file.',
             ) from error
     if not token:
         raise exceptions.BadUsage(
-            'No token is given.',
-            f'Give --token-file or set {TOKEN_VARIABLE}.',
+            'No token is specified.',
+            f'Use --token-file or set {TOKEN_VARIABLE}.',
         )
     return token
--- a/src/thornspool/console/collecting.py
+++ b/src/thornspool/console/collecting.py
@@ -1,4 +1,4 @@
-"""Collecting of service files for the commands that need them."""
+"""Reading of service files and reporting of their problems."""
 
 from __future__ import annotations
 
@@ -19,31 +19,36 @@
     from thornspool.console import base
 
 
-def collect(paths: Iterable[pathlib.Path]) -> files.Collection:
-    """Read service files.
+def read_documents(paths: Iterable[pathlib.Path]) -> files.Collection:
+    """Read the documents of service files.
 
     Parameters
     ----------
-    paths : iterable of Path
-        Files, or directories of which every ``*.json`` below is read.
+    paths : iterable of pathlib.Path
+        Files, or directories whose ``*.json`` files are read recursively.
+
+    Returns
+    -------
+    files.Collection
+        Documents and problems of the files.
 
     Raises
     ------
     BadUsage
-        If a path cannot be read or there is no file at all.
+        If a file can't be read, or there is no file.
     """
-    found = [_read(path) for path in _list_files(paths)]
+    found = [_read_source(path) for path in _list_files(paths)]
     if not found:
         raise exceptions.BadUsage(
             'No service file was found.',
-            'Name files, or directories that hold *.json.',
+            'Specify files, or directories that contain *.json files.',
         )
     return files.collect_documents(found)
 
 
 def load_problems(value: Iterable[dict[str, str]]) -> list[problems.Problem]:
-    """Return the problems that an entry answered with."""
-    return [problems.Problem(**one) for one in value]
+    """Decode the problems in a response of an entry."""
+    return [problems.Problem(**members) for members in value]
 
 
 def report_problems(
@@ -51,23 +56,36 @@
     collection: files.Collection,
     found: Iterable[problems.Problem],
 ) -> None:
-    """Write every problem with file, place, rule and remedy."""
+    """Write problems of documents, located in the files they were read from.
+
+    Parameters
+    ----------
+    console : base.Console
+        Output of the command.
+    collection : files.Collection
+        Documents with the files that they were read from.
+    found : iterable of problems.Problem
+        Problems with the documents.
+    """
     write_problems(
         console,
-        [files.locate_problem(one, collection.origins) for one in found],
+        [
+            files.locate_problem(problem, collection.origins)
+            for problem in found
+        ],
     )
 
 
 def write_problems(
     console: base.Console, found: Sequence[problems.Problem]
 ) -> None:
-    """Write problems whose files are known."""
+    """Write problems that are already located in files."""
     if console.as_json:
-        value = [attrs.asdict(one) for one in found]
+        value = [attrs.asdict(problem) for problem in found]
         console.write_result({'problems': value}, ())
         return
-    for one in found:
-        console.write_error(str(one))
+    for problem in found:
+        console.write_error(str(problem))
     console.write_error(f'{len(found)} problem(s); nothing was published.')
 
 
@@ -79,11 +97,11 @@
             yield path
 
 
-def _read(path: pathlib.Path) -> files.SourceFile:
+def _read_source(path: pathlib.Path) -> files.SourceFile:
     try:
         return files.SourceFile(str(path), path.read_text('utf-8'))
     except (OSError, UnicodeDecodeError) as error:
         raise exceptions.BadUsage(
             f'{path} cannot be read: {error}.',
-            'Name a JSON file in UTF-8 that may be read.',
+            'Specify a readable JSON file in UTF-8.',
         ) from error
--- a/src/thornspool/console/commands/__init__.py
+++ b/src/thornspool/console/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Commands of the tool, one a module."""
+"""Commands of the tool, with one module per command."""
--- a/src/thornspool/console/commands/action.py
+++ b/src/thornspool/console/commands/action.py
@@ -1,4 +1,4 @@
-"""The command that shows what became of an action."""
+"""The command that shows the recorded outcome of an action."""
 
 from __future__ import annotations
 
@@ -23,20 +23,20 @@
 def _run(
     options: argparse.Namespace, console: base.Console
 ) -> exceptions.ExitCode:
-    """Show the recorded answer, or the reason why there is none."""
+    """Show the recorded response, or the reason why there is none."""
     workspace = urllib.parse.quote(options.workspace, safe='')
     key = urllib.parse.quote(options.key, safe='')
     path = f'/v1/workspaces/{workspace}/actions/{key}'
     value = client.expect_ok(client.send(options, 'GET', path))
-    rows = [(name, _show(name, value[name])) for name in value]
+    rows = [(name, _format_member(name, value[name])) for name in value]
     console.write_result(value, base.format_table(('FIELD', 'VALUE'), rows))
     if 'status' in value:
         return exceptions.ExitCode.OK
     return exceptions.ExitCode.PROBLEM
 
 
-def _show(name: str, value: typing.Any) -> typing.Any:
-    """Return a recorded body as text if it is any; bytes come as Base64."""
+def _format_member(name: str, value: typing.Any) -> typing.Any:
+    """Decode a recorded body from Base64 if it is text in UTF-8."""
     if name != 'body':
         return value
     try:
@@ -47,7 +47,7 @@
 
 COMMAND = base.Command(
     'action',
-    'Show what became of an action; exit code 1 when no answer is recorded.',
+    'Show the outcome of an action; exit code 1 if none is recorded.',
     'thornspool action booking 019a3c1e-7d4e-7cc1-9f5e-2b8f3a6d1c10',
     _add_options,
     _run,
--- a/src/thornspool/console/commands/check.py
+++ b/src/thornspool/console/commands/check.py
@@ -1,4 +1,4 @@
-"""The command that checks service files."""
+"""The command that validates service files and settings."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         'paths',
         nargs='*',
         type=pathlib.Path,
-        help='service files, or directories that hold them',
+        help='service files, or directories that contain them',
     )
     parser.add_argument(
         '--settings',
@@ -36,7 +36,7 @@
         default=[],
         type=pathlib.Path,
         metavar='FILE',
-        help='settings of an entry to check; may be given many times',
+        help='settings file of an entry to check; may be repeated',
     )
     client.add_options(parser)
 
@@ -44,16 +44,16 @@
 def _run(
     options: argparse.Namespace, console: base.Console
 ) -> exceptions.ExitCode:
-    """Check against the entry's documents if one is named, else alone."""
+    """Check files, with the documents of an entry if one is specified."""
     found = _check_settings(options.settings)
     if options.settings and not options.paths:
         return _report_settings(console, options.settings, found)
-    collection = collecting.collect(options.paths)
+    collection = collecting.read_documents(options.paths)
     found.extend(collection.problems)
     if found:
         collecting.write_problems(console, found)
         return exceptions.ExitCode.PROBLEM
-    check = _check_at_entry if options.url else _check_alone
+    check = _check_at_entry if options.url else _check_locally
     return check(options, console, collection)
 
 
@@ -79,12 +79,12 @@
         return exceptions.ExitCode.PROBLEM
     console.write_result(
         {'settings': len(paths), 'problems': []},
-        [f'{len(paths)} settings file(s) are right.'],
+        [f'{len(paths)} settings file(s) are valid.'],
     )
     return exceptions.ExitCode.OK
 
 
-def _check_alone(
+def _check_locally(
     _options: argparse.Namespace,
     console: base.Console,
     collection: files.Collection,
@@ -98,7 +98,7 @@
     if isinstance(planned, publications.Invalid):
         collecting.report_problems(console, collection, planned.problems)
         return exceptions.ExitCode.PROBLEM
-    _write_result(console, collection, 'by themselves')
+    _write_result(console, collection, 'on their own')
     return exceptions.ExitCode.OK
 
 
@@ -130,16 +130,16 @@
 
 
 def _write_result(
-    console: base.Console, collection: files.Collection, where: str
+    console: base.Console, collection: files.Collection, context: str
 ) -> None:
     count = len(collection.documents)
     result: dict[str, typing.Any] = {'documents': count, 'problems': []}
-    console.write_result(result, [f'{count} document(s) are right {where}.'])
+    console.write_result(result, [f'{count} document(s) are valid {context}.'])
 
 
 COMMAND = base.Command(
     'check',
-    'Check service files and settings and report every error; with --url, '
+    'Check service files and settings and report every problem; with --url, '
     'files are checked together with the documents in force.',
     'thornspool check examples/swan-coast/services',
     _add_options,
--- a/src/thornspool/console/commands/drain.py
+++ b/src/thornspool/console/commands/drain.py
@@ -1,4 +1,4 @@
-"""The command that starts the planned stop of an entry."""
+"""The command that drains an entry."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
     console.write_result(
         {'draining': options.url},
         [
-            f'{options.url} takes no new work, finishes what is in flight '
-            'and exits.'
+            f'{options.url} accepts no new requests, completes those in '
+            'flight and exits.'
         ],
     )
     return exceptions.ExitCode.OK
@@ -28,7 +28,7 @@
 
 COMMAND = base.Command(
     'drain',
-    'Start the planned stop of the entry that --url names.',
+    'Start the drain of an entry, which then exits.',
     'thornspool drain --url http://127.0.0.1:7070',
     client.add_options,
     _run,
--- a/src/thornspool/console/commands/entries.py
+++ b/src/thornspool/console/commands/entries.py
@@ -1,4 +1,4 @@
-"""The command that shows the addresses that callers are given."""
+"""The command that lists the addresses of entries for callers."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     parser.add_argument(
         '--callers-url',
         default=os.environ.get(CALLERS_URL_VARIABLE, ''),
-        help='address of an entry for callers, for instance '
+        help='address of the caller interface of an entry, for instance '
         f'http://127.0.0.1:8080; default: ${CALLERS_URL_VARIABLE}',
     )
     client.add_connection_options(parser)
@@ -30,8 +30,8 @@
 ) -> exceptions.ExitCode:
     if not options.callers_url:
         raise exceptions.BadUsage(
-            'No entry is named.',
-            f'Give --callers-url or set {CALLERS_URL_VARIABLE}.',
+            'No entry is specified.',
+            f'Use --callers-url or set {CALLERS_URL_VARIABLE}.',
         )
     url = f'{options.callers_url.rstrip("/")}/v1/entries'
     value = client.expect_ok(client.fetch(options, url))
@@ -40,18 +40,18 @@
 
 
 def _format(value: dict[str, typing.Any]) -> list[str]:
-    """Return the entries as a table of what the answer tells of each."""
-    rows = value.get('entries', [])
-    names = list(dict.fromkeys(name for row in rows for name in row))
+    """Format the entries as a table with a column per member."""
+    entries = value.get('entries', [])
+    names = list(dict.fromkeys(name for entry in entries for name in entry))
     return base.format_table(
         [name.upper() for name in names],
-        [[row.get(name, '') for name in names] for row in rows],
+        [[entry.get(name, '') for name in names] for entry in entries],
     )
 
 
 COMMAND = base.Command(
     'entries',
-    'Show the addresses that callers are given.',
+    'List the addresses of entries for callers.',
     'thornspool entries --callers-url http://127.0.0.1:8080',
     _add_options,
     _run,
--- a/src/thornspool/console/commands/explain.py
+++ b/src/thornspool/console/commands/explain.py
@@ -1,8 +1,7 @@
-"""The command that tells a request's story from the logs of all hosts.
+"""The command that shows the log lines of a request and their likely causes.
 
-Lines are read one by one and only those of the request are kept, with the
-latest changes of what entries believed, so that logs of any size pass in
-bounded memory.
+Log lines are processed as a stream. Only those of the request and the latest
+state changes are kept, so that memory use is bounded for logs of any size.
 """
 
 from __future__ import annotations
@@ -22,12 +21,13 @@
     from collections.abc import Iterator
 
 MAX_LINES = 500
-"""Lines of one request that are kept; one has fewer than 20 nearly always."""
+"""Lines of the request that are kept; almost all requests have fewer than 20
+lines."""
 
 MAX_CHANGES = 2_000
-"""Latest changes that are kept to be told beside the request."""
+"""Number of latest state changes that are kept as possible causes."""
 
-CHANGES = frozenset(
+STATE_CHANGES = frozenset(
     {
         'coverage_changed',
         'entry_stood_still',
@@ -40,66 +40,89 @@
         'store_regained',
     }
 )
-"""Events that may explain what became of a request."""
+"""Log events of state changes that can cause a request to fail."""
 
-BEFORE_S = 5
-"""Seconds before the request's end in which a change may explain it."""
+CAUSE_WINDOW_S = 5
+"""Time before the last line of a request in which a state change counts as a
+possible cause."""
 
 
 @attrs.define
-class Story:
-    """What the logs tell of one request."""
+class RequestHistory:
+    """Log lines of one request and the latest state changes.
+
+    Attributes
+    ----------
+    lines : list of logs.Line
+        Lines of the request, at most ``MAX_LINES``, in the order read.
+    changes : collections.deque of logs.Line
+        Latest state changes, in the order read.
+    omitted_count : int
+        Lines of the request beyond ``MAX_LINES``.
+    """
 
     lines: list[logs.Line] = attrs.field(factory=list)
     changes: collections.deque[logs.Line] = attrs.field(
         factory=lambda: collections.deque(maxlen=MAX_CHANGES)
     )
-    left_out: int = 0
+    omitted_count: int = 0
 
     def add(self, line: logs.Line, request: str) -> None:
-        """Keep a line if it belongs to the story."""
+        """Keep a line if it is a state change or has the request's id."""
         if line.fields.get('id') == request:
             if len(self.lines) < MAX_LINES:
                 self.lines.append(line)
             else:
-                self.left_out += 1
-        elif line.event in CHANGES:
+                self.omitted_count += 1
+        elif line.event in STATE_CHANGES:
             self.changes.append(line)
 
     def find_causes(self) -> list[logs.Line]:
-        """Return the changes that touch the request's servers and hosts."""
+        """Return the changes that affect the request's servers and hosts.
+
+        Returns
+        -------
+        list of logs.Line
+            Changes within ``CAUSE_WINDOW_S`` before the last line of the
+            request, sorted by time.
+        """
         if not self.lines:
             return []
-        ordered = sorted(self.lines, key=lambda one: one.time)
-        end = ordered[-1].time
+        sorted_lines = sorted(self.lines, key=lambda line: line.time)
+        end = sorted_lines[-1].time
         paths = ' '.join(
-            f'{one.fields.get("path", "")} {one.fields.get("server", "")}'
-            for one in ordered
+            f'{line.fields.get("path", "")} {line.fields.get("server", "")}'
+            for line in sorted_lines
         )
-        hosts = {one.fields.get('host') for one in ordered}
+        hosts = {line.fields.get('host') for line in sorted_lines}
         return [
-            one
-            for one in sorted(self.changes, key=lambda one: one.time)
-            if _is_near(one.time, end) and _touches(one, paths, hosts)
+            change
+            for change in sorted(self.changes, key=lambda line: line.time)
+            if _is_in_cause_window(change.time, end)
+            and _affects(change, paths, hosts)
         ]
 
 
-def _is_near(time: str, end: str) -> bool:
-    """Tell whether a time is at most some seconds before another one."""
-    return time <= end and _read_seconds(end) - _read_seconds(time) <= BEFORE_S
+def _is_in_cause_window(time: str, end: str) -> bool:
+    """Return whether a time is within ``CAUSE_WINDOW_S`` before the end."""
+    return (
+        time <= end
+        and _parse_time_of_day_s(end) - _parse_time_of_day_s(time)
+        <= CAUSE_WINDOW_S
+    )
 
 
-def _read_seconds(time: str) -> float:
-    """Return the seconds since midnight, of ``...THH:MM:SS.ffffffZ``."""
-    clock = time.partition('T')[2].rstrip('Z')
+def _parse_time_of_day_s(time: str) -> float:
+    """Return the seconds since midnight of a ``...THH:MM:SS.ffffffZ`` time."""
+    time_of_day = time.partition('T')[2].rstrip('Z')
     try:
-        hours, minutes, seconds = clock.split(':')
+        hours, minutes, seconds = time_of_day.split(':')
         return int(hours) * 3600 + int(minutes) * 60 + float(seconds)
     except ValueError:
         return 0.0
 
 
-def _touches(line: logs.Line, paths: str, hosts: set[str | None]) -> bool:
+def _affects(line: logs.Line, paths: str, hosts: set[str | None]) -> bool:
     server = line.fields.get('server', '')
     if server:
         return server in paths
@@ -108,65 +131,84 @@
     )
 
 
-def tell(lines: Iterable[str], request: str) -> Story:
-    """Read lines and keep the story of a request."""
-    story = Story()
+def collect_history(lines: Iterable[str], request: str) -> RequestHistory:
+    """Collect the log lines of a request and the latest state changes.
+
+    Parameters
+    ----------
+    lines : iterable of str
+        Lines of the logs, in any order.
+    request : str
+        Id of the request.
+
+    Returns
+    -------
+    RequestHistory
+        The collected lines.
+    """
+    history = RequestHistory()
     for text in lines:
         line = logs.parse_line(text)
         if line is not None:
-            story.add(line, request)
-    return story
+            history.add(line, request)
+    return history
 
 
 def _add_options(parser: argparse.ArgumentParser) -> None:
     parser.add_argument('request', metavar='ID', help='id of the request')
-    logs.add_files(parser)
+    logs.add_log_files(parser)
 
 
 def _run(
     options: argparse.Namespace, console: base.Console
 ) -> exceptions.ExitCode:
     try:
-        story = tell(logs.read_lines(options.logs), options.request)
+        history = collect_history(
+            logs.read_lines(options.logs), options.request
+        )
     except OSError as error:
         console.write_error(f'{error.filename}: {error.strerror}.')
         return exceptions.ExitCode.USAGE
-    if not story.lines:
+    if not history.lines:
         console.write_error(
-            f'No line tells of {options.request}. Add the logs of all hosts; '
-            'lines that were left out are counted in log_lines_left_out.'
+            f'No line for request {options.request} was found. Specify the '
+            'logs of all hosts; log_lines_left_out events count lines that '
+            'were not logged.'
         )
         return exceptions.ExitCode.PROBLEM
-    causes = story.find_causes()
-    ordered = sorted(story.lines, key=lambda one: one.time)
+    causes = history.find_causes()
+    sorted_lines = sorted(history.lines, key=lambda line: line.time)
     value = {
-        'request': [one.fields for one in ordered],
-        'causes': [one.fields for one in causes],
-        'left_out': story.left_out,
+        'request': [line.fields for line in sorted_lines],
+        'causes': [change.fields for change in causes],
+        'left_out': history.omitted_count,
     }
-    console.write_result(value, _format(ordered, causes, story.left_out))
+    console.write_result(
+        value, _format_history(sorted_lines, causes, history.omitted_count)
+    )
     return exceptions.ExitCode.OK
 
 
-def _format(
-    ordered: list[logs.Line], causes: list[logs.Line], left_out: int
+def _format_history(
+    sorted_lines: list[logs.Line], causes: list[logs.Line], omitted_count: int
 ) -> Iterator[str]:
     yield 'The request:'
-    yield from (f'  {one.describe()}' for one in ordered)
-    if left_out:
-        yield f'  and {left_out} more lines'
-    if not any(one.event.startswith('request_') for one in ordered):
-        yield '  Its end is missing: the host may have stopped before.'
+    yield from (f'  {line.format_text()}' for line in sorted_lines)
+    if omitted_count:
+        yield f'  and {omitted_count} more lines'
+    if not any(line.event.startswith('request_') for line in sorted_lines):
+        yield '  The end of the request is missing; the host may have failed.'
     if causes:
-        yield f'What changed in the {BEFORE_S} s before, the first first:'
-        yield from (f'  {one.describe()}' for one in causes)
+        yield f'State changes in the {CAUSE_WINDOW_S} s before, oldest first:'
+        yield from (f'  {change.format_text()}' for change in causes)
     else:
-        yield 'Nothing that touches it changed shortly before.'
+        yield 'No state change shortly before affects the request.'
 
 
 COMMAND = base.Command(
     'explain',
-    'Tell what became of a request, from the logs of all hosts.',
+    'Show the log lines of a request and their likely causes, from the logs '
+    'of all hosts.',
     'thornspool explain 9c41d07be2a35f68 host-*.log',
     _add_options,
     _run,
--- a/src/thornspool/console/commands/losses.py
+++ b/src/thornspool/console/commands/losses.py
@@ -1,7 +1,7 @@
-"""The command that tells which requests were lost or late, and why.
+"""The command that shows which requests were lost or late, and the causes.
 
-Lines are read one by one and only counts are kept, so that logs of any size
-pass in bounded memory.
+Log lines are processed as a stream and only counts are kept, so that memory
+use is bounded for logs of any size.
 """
 
 from __future__ import annotations
@@ -22,44 +22,59 @@
     from collections.abc import Iterator
 
 WINDOW_S = 2
-"""Length of a window in seconds."""
+"""Length of the windows that requests are grouped by."""
 
-FIRST_MS = 500
-"""Time to the first part of an answer that counts as late where the line does
-not tell the target of its route."""
+DEFAULT_FIRST_EVENT_MS = 500
+"""Longest time to the first event that is not late, for lines without the
+target of their route."""
 
-PAUSE_MS = 200
-"""Pause between two events that counts as late where the line does not tell
-the target of its route."""
+DEFAULT_IDLE_MS = 200
+"""Longest time without an event that is not late, for lines without the
+target of their route."""
 
 MAX_GROUPS = 20_000
 """Groups of window, route and cause that are kept."""
 
 MAX_IDS = 3
-"""Requests that are named for each group."""
+"""Request ids that are kept for each group."""
 
 MAX_SERVERS = 3
-"""Servers that are named for each group, those of most requests first."""
+"""Servers that are shown for each group, those with most requests first."""
 
 
 @attrs.frozen
-class Aims:
-    """What counts as late.
+class Thresholds:
+    """Times above which a request counts as late.
 
     Attributes
     ----------
-    first_ms, pause_ms : int or None
-        Longest time to the first part of an answer and between two events;
-        None for the target of each request's own route.
+    first_event_ms : int or None
+        Longest time to the first event of a response, in milliseconds; None
+        for the target of each request's route.
+    idle_ms : int or None
+        Longest time without an event, in milliseconds; None for the target
+        of each request's route.
     """
 
-    first_ms: int | None = None
-    pause_ms: int | None = None
+    first_event_ms: int | None = None
+    idle_ms: int | None = None
 
 
 @attrs.define
 class Group:
-    """Requests of one window and route that were lost for one cause."""
+    """Requests of one window and route that were lost or late for one cause.
+
+    Attributes
+    ----------
+    count : int
+        Number of requests.
+    ids : list of str
+        Ids of the first requests, at most ``MAX_IDS``.
+    servers : collections.Counter of str
+        Requests by server.
+    hosts : set of str
+        Hosts of the entries that logged the requests.
+    """
 
     count: int = 0
     ids: list[str] = attrs.field(factory=list)
@@ -69,7 +84,7 @@
     hosts: set[str] = attrs.field(factory=set)
 
     def add(self, line: logs.Line) -> None:
-        """Count one request."""
+        """Count the request of a log line."""
         self.count += 1
         if len(self.ids) < MAX_IDS:
             self.ids.append(line.fields.get('id', '?'))
@@ -78,84 +93,107 @@
             self.servers.update(_list_servers(line.fields.get('path', '')))
 
 
-NOT_OWED = frozenset({'no_route', 'unknown_key'})
-"""Reasons of refusals that no proper request meets."""
+INVALID_REQUEST_REASONS = frozenset({'no_route', 'unknown_key'})
+"""Reasons for refusing invalid requests, which do not count as lost."""
 
-_ENDS = ('event=request_ended ', 'event=request_refused ')
-"""What the lines have in common that tell how a request ended."""
+_COMPLETION_FIELDS = ('event=request_ended ', 'event=request_refused ')
+"""Text that only the log lines of completed or refused requests contain."""
 
-_Key = tuple[str, str, str]
-"""Begin of the window, route and cause."""
+_GroupKey = tuple[str, str, str]
+"""Start of the window, route and cause."""
 
 
 @attrs.define
 class Losses:
-    """What the logs tell of requests that were lost or late.
+    """Counts of requests that were lost or late.
 
     Attributes
     ----------
-    ended : int
-        Requests whose end was read.
-    groups : dict
-        Those that were lost or late, by window, route and cause.
-    not_owed : collections.Counter of str
-        Refusals of requests that nobody is owed, by reason.
-    left_out : int
-        Requests of further groups.
-    unreadable : int
-        Lines that are none of an entry's log.
+    thresholds : Thresholds
+        Times above which a request counts as late.
+    ended_count : int
+        Requests whose completion or refusal was read, without those of
+        ``invalid_counts``.
+    groups : dict of tuple to Group
+        Lost or late requests by window, route and cause.
+    invalid_counts : collections.Counter of str
+        Refusals of invalid requests by reason.
+    omitted_count : int
+        Lost or late requests that belong to groups beyond ``MAX_GROUPS``.
+    unreadable_count : int
+        Lines that are not log lines of an entry.
     """
 
-    aims: Aims
-    ended: int = 0
-    groups: dict[_Key, Group] = attrs.field(factory=dict)
-    not_owed: collections.Counter[str] = attrs.field(
+    thresholds: Thresholds
+    ended_count: int = 0
+    groups: dict[_GroupKey, Group] = attrs.field(factory=dict)
+    invalid_counts: collections.Counter[str] = attrs.field(
         factory=collections.Counter
     )
-    left_out: int = 0
-    unreadable: int = 0
+    omitted_count: int = 0
+    unreadable_count: int = 0
 
     def add(self, text: str) -> None:
-        """Take one line of a log.
+        """Count the request of a log line.
 
-        Most lines tell of something else and are not taken apart.
+        Lines of other events, which are most of a log, are skipped without
+        parsing.
         """
-        if not any(end in text for end in _ENDS) and ' event=' in text:
+        if (
+            not any(field in text for field in _COMPLETION_FIELDS)
+            and ' event=' in text
+        ):
             return
         line = logs.parse_line(text)
         if line is None:
-            self.unreadable += bool(text.strip())
+            self.unreadable_count += bool(text.strip())
             return
         if line.event not in {'request_ended', 'request_refused'}:
             return
         reason = line.fields.get('reason', '')
-        if line.event == 'request_refused' and reason in NOT_OWED:
-            self.not_owed[reason] += 1
+        if (
+            line.event == 'request_refused'
+            and reason in INVALID_REQUEST_REASONS
+        ):
+            self.invalid_counts[reason] += 1
             return
-        self.ended += 1
-        cause = name_cause(line, self.aims)
+        self.ended_count += 1
+        cause = find_cause(line, self.thresholds)
         if not cause:
             return
         route = line.fields.get('route', '-')
-        key = (_find_window(line.time), route, cause)
+        key = (_compute_window_start(line.time), route, cause)
         group = self.groups.get(key)
         if group is None:
             if len(self.groups) >= MAX_GROUPS:
-                self.left_out += 1
+                self.omitted_count += 1
                 return
             group = self.groups[key] = Group()
         group.add(line)
 
     def count_causes(self) -> list[tuple[str, int]]:
-        """Count requests by cause, the most frequent first."""
+        """Return the causes with their requests, the most frequent first."""
         counts: collections.Counter[str] = collections.Counter()
         for (_, _, cause), group in self.groups.items():
             counts[cause] += group.count
         return counts.most_common()
 
 
-def name_cause(line: logs.Line, aims: Aims) -> str:
-    """Name why a request was lost or late; empty for one that was not."""
+def find_cause(line: logs.Line, thresholds: Thresholds) -> str:
+    """Return the cause for which a request was lost or late.
+
+    Parameters
+    ----------
+    line : logs.Line
+        Line of a completed or refused request.
+    thresholds : Thresholds
+        Times above which the request counts as late.
+
+    Returns
+    -------
+    str
+        The cause; empty if the request was neither lost nor late.
+    """
     fields = line.fields
     reason = fields.get('reason', '')
     if line.event == 'request_refused':
@@ -163,36 +201,39 @@
     outcome = fields.get('outcome', '')
     if outcome != 'served':
         return f'{outcome}: {reason}' if reason else outcome
-    first_ms = _choose_bound(aims.first_ms, fields, 'target_ms', FIRST_MS)
-    if _read_ms(fields, 'first_ms') > first_ms:
+    first_event_ms = _choose_threshold(
+        thresholds.first_event_ms, fields, 'target_ms', DEFAULT_FIRST_EVENT_MS
+    )
+    if _parse_ms(fields, 'first_ms') > first_event_ms:
         return f'late first event: {fields.get("first_cause") or "server"}'
-    pause_ms = _choose_bound(
-        aims.pause_ms, fields, 'target_pause_ms', PAUSE_MS
+    idle_ms = _choose_threshold(
+        thresholds.idle_ms, fields, 'target_pause_ms', DEFAULT_IDLE_MS
     )
-    if _read_ms(fields, 'pause_ms') > pause_ms:
+    if _parse_ms(fields, 'pause_ms') > idle_ms:
         return f'long pause: {fields.get("pause_cause", "?")}'
     return ''
 
 
-def _choose_bound(
-    aim: int | None, fields: dict[str, str], name: str, default: int
+def _choose_threshold(
+    option_ms: int | None, fields: dict[str, str], name: str, default_ms: int
 ) -> float:
-    """Choose what counts as late: as asked, by the route, or by default."""
-    if aim is not None:
-        return aim
-    told = _read_ms(fields, name)
-    return told if told > 0 else default
+    """Return the option if set, else the route's target, else the default."""
+    if option_ms is not None:
+        return option_ms
+    target_ms = _parse_ms(fields, name)
+    return target_ms if target_ms > 0 else default_ms
 
 
-def _read_ms(fields: dict[str, str], name: str) -> float:
+def _parse_ms(fields: dict[str, str], name: str) -> float:
+    """Return a field as a number, or NaN, which exceeds no threshold."""
     try:
         return float(fields.get(name, 'nan'))
     except ValueError:
         return math.nan
 
 
-def _find_window(time: str) -> str:
-    """Return the begin of the window, to the second."""
+def _compute_window_start(time: str) -> str:
+    """Return the start of the window of a time, with a precision of 1 s."""
     head, _, second = time.partition('.')[0].rstrip('Z').rpartition(':')
     if not second.isdigit():
         return time
@@ -200,51 +241,51 @@
 
 
 def _list_servers(path: str) -> Iterator[str]:
-    """List the servers that a line names as the path of a request."""
-    for part in path.rpartition(':')[2].split(','):
-        if part:
-            yield part.partition('=')[0]
+    """List the servers in the path field of a log line."""
+    for hop in path.rpartition(':')[2].split(','):
+        if hop:
+            yield hop.partition('=')[0]
 
 
 def _add_options(parser: argparse.ArgumentParser) -> None:
     parser.add_argument(
         '--first-ms',
         type=int,
-        help='time to the first part of an answer that is not late '
-        '(default: the target of its route)',
+        help='longest time to the first event that is not late (default: '
+        'the target of the route)',
     )
     parser.add_argument(
         '--pause-ms',
         type=int,
-        help='pause between events that is not late (default: the target of '
-        'its route)',
+        help='longest time without an event that is not late (default: the '
+        'target of the route)',
     )
-    logs.add_files(parser)
+    logs.add_log_files(parser)
 
 
 def _run(
     options: argparse.Namespace, console: base.Console
 ) -> exceptions.ExitCode:
-    losses = Losses(Aims(options.first_ms, options.pause_ms))
+    losses = Losses(Thresholds(options.first_ms, options.pause_ms))
     try:
         for text in logs.read_lines(options.logs):
             losses.add(text)
     except OSError as error:
         console.write_error(f'{error.filename}: {error.strerror}.')
         return exceptions.ExitCode.USAGE
-    if not losses.ended:
+    if not losses.ended_count:
         console.write_error(
-            'No line tells how a request ended. Give the logs of entries on '
-            f'the platform; {losses.unreadable} lines could not be read.'
+            'No completed request was found. Specify the logs of entries on '
+            f'the platform; {losses.unreadable_count} lines could not be read.'
         )
         return exceptions.ExitCode.PROBLEM
-    console.write_result(_describe(losses), _format(losses))
+    console.write_result(_build_result(losses), _format_lines(losses))
     return exceptions.ExitCode.OK
 
 
-def _describe(losses: Losses) -> dict[str, typing.Any]:
+def _build_result(losses: Losses) -> dict[str, typing.Any]:
     return {
-        'ended': losses.ended,
+        'ended': losses.ended_count,
         'causes': dict(losses.count_causes()),
         'groups': [
             {
@@ -252,44 +293,44 @@
                 'route': route,
                 'cause': cause,
                 'count': group.count,
-                'servers': _name_most(group),
+                'servers': _list_top_servers(group),
                 'hosts': sorted(group.hosts),
                 'ids': group.ids,
             }
             for (window, route, cause), group in sorted(losses.groups.items())
         ],
-        'not_owed': dict(losses.not_owed),
-        'left_out': losses.left_out,
-        'unreadable': losses.unreadable,
+        'not_owed': dict(losses.invalid_counts),
+        'left_out': losses.omitted_count,
+        'unreadable': losses.unreadable_count,
     }
 
 
-def _name_most(group: Group) -> list[str]:
+def _list_top_servers(group: Group) -> list[str]:
     return [name for name, _ in group.servers.most_common(MAX_SERVERS)]
 
 
-def _format(losses: Losses) -> Iterable[str]:
-    lost = sum(count for _, count in losses.count_causes())
-    yield f'{lost} of {losses.ended} requests were lost or late.'
+def _format_lines(losses: Losses) -> Iterable[str]:
+    lost_count = sum(count for _, count in losses.count_causes())
+    yield f'{lost_count} of {losses.ended_count} requests were lost or late.'
     for cause, count in losses.count_causes():
         yield f'  {count:6} {cause}'
     for (window, route, cause), group in sorted(losses.groups.items()):
         yield (
             f'{window} {route} {cause}: {group.count}; servers '
-            f'{",".join(_name_most(group)) or "-"}; hosts '
+            f'{",".join(_list_top_servers(group)) or "-"}; hosts '
             f'{",".join(sorted(group.hosts))}; ids {",".join(group.ids)}'
         )
-    for reason, count in losses.not_owed.most_common():
-        yield f'{count} refused as {reason}, which nobody is owed.'
-    if losses.left_out:
-        yield f'{losses.left_out} requests of further groups were left out.'
-    if losses.unreadable:
-        yield f'{losses.unreadable} lines could not be read.'
+    for reason, count in losses.invalid_counts.most_common():
+        yield f'{count} refused as {reason}, not counted as lost.'
+    if losses.omitted_count:
+        yield f'{losses.omitted_count} requests of further groups are omitted.'
+    if losses.unreadable_count:
+        yield f'{losses.unreadable_count} lines could not be read.'
 
 
 COMMAND = base.Command(
     'losses',
-    'Tell which requests were lost or late and why, from the logs of hosts.',
+    'Show which requests were lost or late and why, from the logs of hosts.',
     'thornspool losses --pause-ms 200 host-*.log',
     _add_options,
     _run,
--- a/src/thornspool/console/commands/publish.py
+++ b/src/thornspool/console/commands/publish.py
@@ -22,30 +22,34 @@
         'paths',
         nargs='*',
         type=pathlib.Path,
-        help='service files, or directories that hold them',
+        help='service files, or directories that contain them',
     )
     parser.add_argument(
         '--remove',
         action='append',
         default=[],
         metavar='KIND/NAME',
-        help='remove a document, for instance target/engine-7; may be '
-        'given many times',
+        help='document to remove, for instance target/engine-7; may be '
+        'repeated',
     )
-    parser.add_argument('--message', default='', help='note for the history')
     parser.add_argument(
-        '--author', default='', help='author; default: the user name'
+        '--message', default='', help='message for the history'
+    )
+    parser.add_argument(
+        '--author',
+        default='',
+        help='author for the history; default: the user name',
     )
     parser.add_argument(
         '--base',
         type=int,
-        help='version that the files were written against; default: the '
-        'version in force now',
+        help='version that the files are based on; default: the version '
+        'currently in force',
     )
     parser.add_argument(
         '--id',
         default='',
-        help='id of a former try whose outcome was not known',
+        help='id of an earlier attempt whose outcome is unknown',
     )
     client.add_options(parser)
 
@@ -62,18 +66,18 @@
         reply = client.send(options, 'POST', '/v1/publications', body)
     except exceptions.Unreachable as error:
         raise exceptions.Unreachable(
-            f'{error.message} The outcome is not known.', _advise(body)
+            f'{error.message} The outcome is unknown.', _build_hint(body)
         ) from error
     return _report(console, collection, body, reply)
 
 
 def _collect(options: argparse.Namespace) -> files.Collection:
     if options.paths:
-        return collecting.collect(options.paths)
+        return collecting.read_documents(options.paths)
     if options.remove:
         return files.collect_documents(())
     raise exceptions.BadUsage(
-        'There is nothing to publish.', 'Name service files or --remove.'
+        'There is nothing to publish.', 'Specify service files or --remove.'
     )
 
 
@@ -88,23 +92,23 @@
         'id': options.id or str(uuid.uuid4()),
         'base_version': base_version,
         'documents': list(collection.raw),
-        'removals': [_split_removal(one) for one in options.remove],
-        'author': options.author or _read_user(),
+        'removals': [_parse_removal(text) for text in options.remove],
+        'author': options.author or _read_user_name(),
         'message': options.message,
     }
 
 
-def _split_removal(text: str) -> dict[str, str]:
+def _parse_removal(text: str) -> dict[str, str]:
     kind, slash, name = text.partition('/')
     if not (kind and slash and name):
         raise exceptions.BadUsage(
-            f'"{text}" names no document.',
+            f'"{text}" does not identify a document.',
             'Write kind/name, for instance target/engine-7.',
         )
     return {'kind': kind, 'name': name}
 
 
-def _read_user() -> str:
+def _read_user_name() -> str:
     try:
         return getpass.getuser()
     except (KeyError, OSError):
@@ -125,7 +129,9 @@
         console.write_error(client.read_detail(reply))
         return exceptions.ExitCode.CONFLICT
     if reply.status >= 500:
-        raise exceptions.Unreachable(client.read_detail(reply), _advise(body))
+        raise exceptions.Unreachable(
+            client.read_detail(reply), _build_hint(body)
+        )
     accepted = client.expect_ok(reply)
     return _report_accepted(console, accepted)
 
@@ -133,8 +139,12 @@
 def _report_accepted(
     console: base.Console, accepted: dict[str, typing.Any]
 ) -> exceptions.ExitCode:
-    """Tell where it is in force; it is accepted even where it is not."""
-    late = accepted['stragglers']
+    """Report at which entries an accepted version is in force.
+
+    Entries at which it is not in force yet make the command fail, although
+    the version is accepted.
+    """
+    stragglers = accepted['stragglers']
     console.write_result(
         accepted,
         [
@@ -142,16 +152,18 @@
             f'{len(accepted["in_force"])} entries.'
         ],
     )
-    for one in late:
+    for entry in stragglers:
         console.write_error(
-            f'not in force yet at {one["host"]} ({one["incarnation"]}), '
-            f'which reports version {one["version"]}; '
-            '"thornspool status" shows when it is.'
+            f'not in force yet at {entry["host"]} ({entry["incarnation"]}), '
+            f'which reports version {entry["version"]}; '
+            '"thornspool status" shows the current versions.'
         )
-    return exceptions.ExitCode.PROBLEM if late else exceptions.ExitCode.OK
+    return (
+        exceptions.ExitCode.PROBLEM if stragglers else exceptions.ExitCode.OK
+    )
 
 
-def _advise(body: dict[str, typing.Any]) -> str:
+def _build_hint(body: dict[str, typing.Any]) -> str:
     return (
         'Run the command again with '
         f'--id {body["id"]} --base {body["base_version"]}.'
@@ -160,7 +172,7 @@
 
 COMMAND = base.Command(
     'publish',
-    'Publish service files, all or none, and wait until they are in force.',
+    'Publish service files atomically and wait until they are in force.',
     'thornspool publish examples/swan-coast/services --message "New slots"',
     _add_options,
     _run,
--- a/src/thornspool/console/commands/report.py
+++ b/src/thornspool/console/commands/report.py
@@ -1,4 +1,4 @@
-"""The command that shows how fast error budgets are used up."""
+"""The command that shows the burn rates of error budgets."""
 
 from __future__ import annotations
 
@@ -18,20 +18,24 @@
 if typing.TYPE_CHECKING:
     import argparse
 
-_ORDER = (burn.Severity.PAGE, burn.Severity.TICKET, burn.Severity.NONE)
+_SEVERITY_ORDER = (
+    burn.Severity.PAGE,
+    burn.Severity.TICKET,
+    burn.Severity.NONE,
+)
 
 
 def _add_options(parser: argparse.ArgumentParser) -> None:
     parser.add_argument(
         'subject',
         choices=('burn',),
-        help='burn: error budgets of all services and models',
+        help='burn: burn rates of all services and models',
     )
     parser.add_argument(
         '--html',
         type=pathlib.Path,
         metavar='FILE',
-        help='also write the report as one HTML page',
+        help='also write the report as an HTML page to this file',
     )
     client.add_options(parser)
 
@@ -43,38 +47,44 @@
     report = _read_report(value)
     if options.html is not None:
         _write_page(options.html, pages.render_burn_page(report))
-    console.write_result(msgspec.to_builtins(report), _format(report))
+    console.write_result(msgspec.to_builtins(report), _format_report(report))
     if report.entries_answered < report.entries_asked:
         console.write_error(
             f'only {report.entries_answered} of {report.entries_asked} '
-            'entries answered; counts of the others are missing.'
+            'entries responded; the counts of the others are missing.'
         )
-    if any(one.severity is burn.Severity.PAGE for one in report.burns):
+    if any(
+        subject_burn.severity is burn.Severity.PAGE
+        for subject_burn in report.burns
+    ):
         return exceptions.ExitCode.PROBLEM
     return exceptions.ExitCode.OK
 
 
 def _read_report(value: typing.Any) -> objectives.BurnReport:
-    """Return the report of an answer, the worst first.
+    """Decode a report and sort its subjects, the most severe first.
 
-    A burst of a few minutes can have the highest rate and still matter to
-    nobody, so the severity goes before the rate.
+    Subjects are sorted by severity before burn rate, since a burst of a few
+    minutes can have the highest rate without any need to act.
     """
     try:
         report = msgspec.convert(value, objectives.BurnReport)
     except msgspec.ValidationError as error:
         raise exceptions.Unreachable(
-            f'The answer is no report on burn: {error}.',
-            'Use the tool of the same version as the entry.',
+            f'The response is not a burn rate report: {error}.',
+            'Use a tool of the same version as the entry.',
         ) from error
     burns = sorted(
         report.burns,
-        key=lambda one: (_ORDER.index(one.severity), -max(one.rates)),
+        key=lambda subject_burn: (
+            _SEVERITY_ORDER.index(subject_burn.severity),
+            -max(subject_burn.rates),
+        ),
     )
     return attrs.evolve(report, burns=tuple(burns))
 
 
-def _format(report: objectives.BurnReport) -> list[str]:
+def _format_report(report: objectives.BurnReport) -> list[str]:
     windows = [pages.format_window(ms) for ms in report.windows_ms]
     heading = (
         'SEVERITY',
@@ -86,18 +96,18 @@
     )
     rows = [
         (
-            one.severity.value,
-            one.subject.workspace,
-            one.subject.name,
-            pages.format_objective(one),
-            *(f'{rate:.1f}' for rate in one.rates),
-            one.events[-1],
+            subject_burn.severity.value,
+            subject_burn.subject.workspace,
+            subject_burn.subject.name,
+            pages.format_objective(subject_burn),
+            *(f'{rate:.1f}' for rate in subject_burn.rates),
+            subject_burn.events[-1],
         )
-        for one in report.burns
+        for subject_burn in report.burns
     ]
     lines = [
         f'Burn rates, from {report.entries_answered} of '
-        f'{report.entries_asked} entries; events of {windows[-1]}.'
+        f'{report.entries_asked} entries; events within {windows[-1]}.'
     ]
     if not rows:
         return [*lines, 'No requests were counted.']
@@ -110,14 +120,14 @@
     except OSError as error:
         raise exceptions.BadUsage(
             f'The page cannot be written: {error}.',
-            'Name a file that may be written with --html.',
+            'Specify a writable file with --html.',
         ) from error
 
 
 COMMAND = base.Command(
     'report',
-    'Show how fast error budgets are used up, the worst first; exit code 1 '
-    'when one is burnt so fast that somebody must act now.',
+    'Show the burn rates of error budgets, the most severe first; exit code 1 '
+    'if one requires immediate action.',
     'thornspool report burn --html burn.html',
     _add_options,
     _run,
--- a/src/thornspool/console/commands/schema.py
+++ b/src/thornspool/console/commands/schema.py
@@ -1,4 +1,4 @@
-"""The command that prints the schemas that the program checks against."""
+"""The command that prints the JSON Schemas of settings and service files."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def _add_options(parser: argparse.ArgumentParser) -> None:
-    parser.add_argument('name', choices=_NAMES, help='which schema')
+    parser.add_argument('name', choices=_NAMES, help='name of the schema')
 
 
 def _run(
@@ -29,7 +29,7 @@
 
 COMMAND = base.Command(
     'schema',
-    'Print a JSON Schema that files are checked against, for editors.',
+    'Print the JSON Schema of a kind of file, for example for an editor.',
     'thornspool schema service-file',
     _add_options,
     _run,
--- a/src/thornspool/console/commands/status.py
+++ b/src/thornspool/console/commands/status.py
@@ -1,4 +1,4 @@
-"""The command that shows the entries and their versions."""
+"""The command that shows the entries and their configuration versions."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
     status = client.expect_ok(client.send(options, 'GET', '/v1/status'))
     rows = [
         (
-            one['host'],
-            one['incarnation'],
-            one['failure_domain'],
-            one['state'],
-            one['configuration_version'],
-            'behind' if one['behind'] else '',
+            member['host'],
+            member['incarnation'],
+            member['failure_domain'],
+            member['state'],
+            member['configuration_version'],
+            'behind' if member['behind'] else '',
         )
-        for one in status['members']
+        for member in status['members']
     ]
     lines = [f'Version {status["version"]} is in force.']
     if status['isolated']:
-        lines.append('This entry is isolated and takes no new work.')
+        lines.append('This entry is isolated and accepts no new requests.')
     console.write_result(status, [*lines, *base.format_table(_HEADING, rows)])
     if status['stragglers'] or status['isolated']:
         return exceptions.ExitCode.PROBLEM
@@ -40,7 +40,7 @@
 
 COMMAND = base.Command(
     'status',
-    'Show the entries and the version in force at each.',
+    'Show the entries and the configuration version in force at each.',
     'thornspool status --url http://127.0.0.1:7070',
     client.add_options,
     _run,
--- a/src/thornspool/console/exceptions.py
+++ b/src/thornspool/console/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the tool, each with the exit code that it ends with."""
+"""Errors of the tool, each with the exit code that it causes."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ExitCode(enum.IntEnum):
-    """What the tool's exit code tells."""
+    """Exit codes of the tool."""
 
     OK = 0
     PROBLEM = 1
@@ -18,18 +18,18 @@
 
 
 class ConsoleError(exceptions.ThornspoolError):
-    """Base of the errors that end a command."""
+    """Base class of the errors that end a command."""
 
     exit_code = ExitCode.PROBLEM
 
 
 class BadUsage(ConsoleError):
-    """Options, files or environment cannot be used."""
+    """Options, files or environment variables are invalid."""
 
     exit_code = ExitCode.USAGE
 
 
 class Unreachable(ConsoleError):
-    """The entry did not answer, or could not tell."""
+    """The entry did not respond, or the outcome is unknown."""
 
     exit_code = ExitCode.UNREACHABLE
--- a/src/thornspool/console/logs.py
+++ b/src/thornspool/console/logs.py
@@ -1,4 +1,4 @@
-"""Lines of the logs that entries write."""
+"""Parser of the logfmt lines that entries log."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
     from collections.abc import Iterable
     from collections.abc import Iterator
 
-_HIDDEN = frozenset({'timestamp', 'level', 'event', 'host', 'id'})
+_OMITTED_FIELDS = frozenset({'timestamp', 'level', 'event', 'host', 'id'})
 
 
 @attrs.frozen
 class Line:
-    """One line of a log.
+    """One parsed line of a log.
 
     Attributes
     ----------
     time : str
-        When it was written, ISO 8601 in UTC; such texts sort by time.
+        Timestamp in ISO 8601 and UTC, whose text order is the order in time.
     fields : dict of str to str
-        All its fields.
+        All fields of the line, with the timestamp.
     """
 
     time: str
@@ -33,25 +33,35 @@
 
     @property
     def event(self) -> str:
-        """What it tells of."""
+        """Name of the logged event."""
         return self.fields.get('event', '')
 
-    def describe(self) -> str:
-        """Return it for a reader."""
-        rest = ' '.join(
+    def format_text(self) -> str:
+        """Format the line as text, without the level and the request id."""
+        other_fields = ' '.join(
             f'{name}={value}'
             for name, value in self.fields.items()
-            if name not in _HIDDEN and value
+            if name not in _OMITTED_FIELDS and value
         )
         host = self.fields.get('host', '?')
-        return f'{self.time} {host} {self.event} {rest}'.rstrip()
+        return f'{self.time} {host} {self.event} {other_fields}'.rstrip()
 
 
 def parse_line(text: str) -> Line | None:
-    """Parse a line of key=value pairs; None for other text.
+    """Parse a log line of key=value pairs.
 
-    Text before the first pair, such as a collector's own prefix, is passed
-    over.
+    Text before the timestamp, such as the prefix of a log collector, is
+    ignored.
+
+    Parameters
+    ----------
+    text : str
+        The line.
+
+    Returns
+    -------
+    Line or None
+        The parsed line; None if the text is not a log line of an entry.
     """
     start = text.find('timestamp=')
     fields = dict(
@@ -63,45 +73,45 @@
 
 
 def _split_pairs(text: str) -> Iterator[tuple[str, str]]:
-    at = 0
-    while at < len(text):
-        equals = text.find('=', at)
+    position = 0
+    while position < len(text):
+        equals = text.find('=', position)
         if equals < 0:
             return
-        name = text[at:equals]
-        value, at = _read_value(text, equals + 1)
+        name = text[position:equals]
+        value, position = _read_value(text, equals + 1)
         yield name.strip(), value
 
 
-def _read_value(text: str, at: int) -> tuple[str, int]:
-    """Read a value, quoted or not; returns it and where the next begins."""
-    if not text.startswith('"', at):
-        end = text.find(' ', at)
+def _read_value(text: str, position: int) -> tuple[str, int]:
+    """Return the value at a position and the position after it."""
+    if not text.startswith('"', position):
+        end = text.find(' ', position)
         end = len(text) if end < 0 else end
-        return text[at:end], end + 1
+        return text[position:end], end + 1
     value = []
-    at += 1
-    while at < len(text) and text[at] != '"':
-        if text[at] == '\\' and at + 1 < len(text):
-            at += 1
-        value.append(text[at])
-        at += 1
-    return ''.join(value), at + 2
+    position += 1
+    while position < len(text) and text[position] != '"':
+        if text[position] == '\\' and position + 1 < len(text):
+            position += 1
+        value.append(text[position])
+        position += 1
+    return ''.join(value), position + 2
 
 
-def add_files(parser: argparse.ArgumentParser) -> None:
-    """Declare the files with logs on the parser of a command."""
+def add_log_files(parser: argparse.ArgumentParser) -> None:
+    """Add the log files as arguments of a command."""
     parser.add_argument(
         'logs',
         nargs='*',
         type=pathlib.Path,
         metavar='LOG',
-        help='files with the log lines of the hosts; default: standard input',
+        help='log files of the hosts; default: standard input',
     )
 
 
 def read_lines(paths: Iterable[pathlib.Path]) -> Iterator[str]:
-    """Read the lines of files, or of standard input where there are none."""
+    """Read the lines of files, or of standard input if no file is given."""
     paths = list(paths)
     if not paths:
         yield from sys.stdin
--- a/src/thornspool/console/pages.py
+++ b/src/thornspool/console/pages.py
@@ -1,4 +1,4 @@
-"""The report on burn as one HTML page that needs nothing else."""
+"""Rendering of the burn rate report as a self-contained HTML page."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 if typing.TYPE_CHECKING:
     from thornspool.application import objectives
 
-_WIDTH = 260
-_HEIGHT = 84
-_BASE = 66
-_LOWEST_RATE = 0.1
-_HIGHEST_RATE = 100.0
-_BAR = 34
-_GAP = 16
+_PLOT_WIDTH_PX = 260
+_PLOT_HEIGHT_PX = 84
+_BASELINE_PX = 66
+_MIN_RATE = 0.1
+_MAX_RATE = 100.0
+_BAR_WIDTH_PX = 34
+_BAR_GAP_PX = 16
 _COLOURS = {
     burn.Severity.NONE: '#2e7d5b',
     burn.Severity.TICKET: '#b7791f',
@@ -42,45 +42,49 @@
 
 
 def format_window(milliseconds: int) -> str:
-    """Return a window as text, for instance ``5 min`` or ``6 h``."""
+    """Format the length of a window, such as ``5 min`` or ``6 h``."""
     minutes = milliseconds // 60_000
     return f'{minutes // 60} h' if minutes >= 60 else f'{minutes} min'
 
 
-def format_objective(one: burn.Burn) -> str:
-    """Return what is measured and the share that must be good.
+def format_objective(subject_burn: burn.Burn) -> str:
+    """Format the indicator of an objective and its target share.
 
-    Shares are written with as many digits as they have: 99.995% must not
-    show as 100.00%.
+    The share has at least two decimal places and as many as it needs, so that
+    99.995% is not shown as 100.00%.
     """
-    name = one.subject.indicator.value.replace('_', ' ')
-    percent = round(one.objective * 100, 6)
+    name = subject_burn.subject.indicator.value.replace('_', ' ')
+    percent = round(subject_burn.objective * 100, 6)
     return f'{name} {max(f"{percent:.2f}", f"{percent:g}", key=len)}%'
 
 
 def render_burn_page(report: objectives.BurnReport) -> str:
-    """Render a report.
+    """Render a burn rate report as an HTML page.
 
     Parameters
     ----------
     report : objectives.BurnReport
-        Burn of every subject, the worst first.
+        Burn rates of every subject, the most severe first.
 
     Returns
     -------
     str
-        An HTML document with its style and plots inside.
+        HTML document with embedded style and plots.
     """
-    made = datetime.datetime.fromtimestamp(report.wall / 1000, datetime.UTC)
-    rows = '\n'.join(_render_row(report, one) for one in report.burns)
-    gathered = f'{report.entries_answered} of {report.entries_asked} entries'
+    created_at = datetime.datetime.fromtimestamp(
+        report.wall / 1000, datetime.UTC
+    )
+    rows = '\n'.join(
+        _render_row(report, subject_burn) for subject_burn in report.burns
+    )
+    coverage = f'{report.entries_answered} of {report.entries_asked} entries'
     return f"""<!doctype html>
 <html lang="en">
 <head><meta charset="utf-8"><title>Service-level burn</title>
 <style>{_STYLE}</style></head>
 <body>
 <h1>Service-level burn</h1>
-<p class="note">{made:%Y-%m-%d %H:%M:%S} UTC, gathered from {gathered}.
+<p class="note">{created_at:%Y-%m-%d %H:%M:%S} UTC, gathered from {coverage}.
 A rate of 1 uses up the error budget of 30 days in 30 days. Bars are on a
 logarithmic scale; the dashed line marks a rate of 1.</p>
 <table>
@@ -96,53 +100,56 @@
 """
 
 
-def _render_row(report: objectives.BurnReport, one: burn.Burn) -> str:
-    """Render one subject."""
-    subject = one.subject
-    colour = _COLOURS[one.severity]
+def _render_row(report: objectives.BurnReport, subject_burn: burn.Burn) -> str:
+    """Render the table row of one subject."""
+    subject = subject_burn.subject
+    colour = _COLOURS[subject_burn.severity]
     badge = f'<span class="badge" style="background:{colour}">'
     return (
         f'<tr><td>{html.escape(subject.workspace)}</td>'
         f'<td>{html.escape(subject.name)}</td>'
-        f'<td>{format_objective(one)}</td>'
-        f'<td class="number">{one.events[-1]:,}</td>'
-        f'<td>{_render_plot(report.windows_ms, one, colour)}</td>'
-        f'<td>{badge}{one.severity.value}</span></td></tr>'
+        f'<td>{format_objective(subject_burn)}</td>'
+        f'<td class="number">{subject_burn.events[-1]:,}</td>'
+        f'<td>{_render_plot(report.windows_ms, subject_burn, colour)}</td>'
+        f'<td>{badge}{subject_burn.severity.value}</span></td></tr>'
     )
 
 
 def _render_plot(
-    windows_ms: tuple[int, ...], one: burn.Burn, colour: str
+    windows_ms: tuple[int, ...], subject_burn: burn.Burn, colour: str
 ) -> str:
-    """Render the rates of one subject as bars."""
+    """Render the burn rates of one subject as a bar chart."""
     bars = []
-    for place, (window_ms, rate) in enumerate(
-        zip(windows_ms, one.rates, strict=True)
+    for index, (window_ms, rate) in enumerate(
+        zip(windows_ms, subject_burn.rates, strict=True)
     ):
-        left = place * (_BAR + _GAP) + 4
-        top = _BASE - _scale(rate)
-        middle = left + _BAR / 2
+        left = index * (_BAR_WIDTH_PX + _BAR_GAP_PX) + 4
+        top = _BASELINE_PX - _compute_bar_height(rate)
+        middle = left + _BAR_WIDTH_PX / 2
         bars.append(
-            f'<rect x="{left}" y="{top:.1f}" width="{_BAR}" '
-            f'height="{_scale(rate):.1f}" fill="{colour}"/>'
+            f'<rect x="{left}" y="{top:.1f}" width="{_BAR_WIDTH_PX}" '
+            f'height="{_compute_bar_height(rate):.1f}" fill="{colour}"/>'
             f'<text x="{middle}" y="{top - 3:.1f}" text-anchor="middle">'
             f'{rate:.1f}</text>'
-            f'<text x="{middle}" y="{_BASE + 13}" text-anchor="middle">'
+            f'<text x="{middle}" y="{_BASELINE_PX + 13}" text-anchor="middle">'
             f'{format_window(window_ms)}</text>'
         )
-    line = _BASE - _scale(1.0)
+    line = _BASELINE_PX - _compute_bar_height(1.0)
     return (
-        f'<svg width="{_WIDTH}" height="{_HEIGHT}" role="img" '
+        f'<svg width="{_PLOT_WIDTH_PX}" height="{_PLOT_HEIGHT_PX}" role="img" '
         f'aria-label="burn rates">'
-        f'<line x1="0" x2="{_WIDTH}" y1="{line:.1f}" y2="{line:.1f}" '
+        f'<line x1="0" x2="{_PLOT_WIDTH_PX}" y1="{line:.1f}" y2="{line:.1f}" '
         f'stroke="#1c1f23" stroke-dasharray="3 3"/>{"".join(bars)}</svg>'
     )
 
 
-def _scale(rate: float) -> float:
-    """Return the height of a bar; 0 up to the lowest rate that shows."""
-    if rate <= _LOWEST_RATE:
+def _compute_bar_height(rate: float) -> float:
+    """Return the height of a bar in pixels, on a logarithmic scale.
+
+    Rates up to the lowest rate of the scale have the height 0.
+    """
+    if rate <= _MIN_RATE:
         return 0.0
-    span = math.log10(_HIGHEST_RATE / _LOWEST_RATE)
-    share = math.log10(min(rate, _HIGHEST_RATE) / _LOWEST_RATE) / span
-    return share * (_BASE - 14)
+    decades = math.log10(_MAX_RATE / _MIN_RATE)
+    share = math.log10(min(rate, _MAX_RATE) / _MIN_RATE) / decades
+    return share * (_BASELINE_PX - 14)
--- a/tests/console/__init__.py
+++ b/tests/console/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package console."""
+"""Tests of the command-line tool."""
--- a/tests/console/test_application.py
+++ b/tests/console/test_application.py
@@ -1,4 +1,4 @@
-"""The tool against an entry's operator address."""
+"""Tests of the command-line tool against the operator interface."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class _ToolCase(builders.OperatorsCase):
-    """The tool beside an entry, with files of its own."""
+    """Test case with an entry and a temporary directory for files."""
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
@@ -47,7 +47,7 @@
     async def _run(
         self, *arguments: str, as_json: bool = False
     ) -> tuple[int, str, str]:
-        """Run the tool beside the loop that the entry runs on."""
+        """Run the tool in a thread, since the entry uses the event loop."""
         out, err = io.StringIO(), io.StringIO()
         console = base.Console(out, err, as_json)
         code = await asyncio.to_thread(application.main, arguments, console)
@@ -59,7 +59,7 @@
 
 
 class ToolTest(_ToolCase):
-    async def test_examples_are_published_and_shown(self) -> None:
+    async def test_publishes_the_examples_and_shows_them(self) -> None:
         for name in ('swan-coast', 'spjaldamarkadur'):
             with self.subTest(name):
                 path = str(EXAMPLES / name / 'services')
@@ -70,26 +70,29 @@
         )
         self.assertEqual((0, ''), (code, err))
         self.assertIn('Version 1 is in force at 1 entries.', out)
-        for command, shown in {
+        for command, expected in {
             ('history',): 'and 48 more  New shops',
             ('status',): 'perth-a  alive',
-            ('check', path): 'are right on version 1',
+            ('check', path): 'are valid on version 1',
             ('action', 'alpha', 'known'): 'Slot 4',
             ('action', 'alpha', 'bytes'): '//4=',
-            ('drain',): 'takes no new work',
+            ('drain',): 'accepts no new requests',
         }.items():
             with self.subTest(command):
                 code, out, err = await self._run_at_entry(*command)
                 self.assertEqual((0, ''), (code, err))
-                self.assertIn(shown, out)
+                self.assertIn(expected, out)
         self.assertEqual(1, self.drained)
 
-    async def test_entries_reads_the_address_for_callers(self) -> None:
+    async def test_entries_uses_the_caller_interface(self) -> None:
         code, out, _ = await self._run('entries', '--callers-url', self.url)
         self.assertEqual((0, 'URL\nhttp://127.0.0.1:1\n'), (code, out))
 
-    async def test_every_problem_is_told_with_its_file(self) -> None:
-        """A developer's file names what does not exist, and more."""
+    async def test_reports_every_problem_with_its_file(self) -> None:
+        """Guards against problems of a file that are reported one by one.
+
+        The file refers to three models that do not exist.
+        """
         path = self._write(
             'a.json',
             json.dumps(
@@ -106,27 +109,27 @@
         for run in (self._run, self._run_at_entry):
             code, out, err = await run('check', path)
             self.assertEqual((1, ''), (code, out))
-            for place in (
+            for json_path in (
                 '$[0].models[0]',
                 '$[0].models[1]',
                 '$[1].models[0]',
             ):
-                self.assertIn(f'{path}: {place}: unknown-model: Name', err)
-        code, _, again = await self._run_at_entry('publish', path)
-        self.assertEqual((1, err), (code, again))
+                self.assertIn(f'{path}: {json_path}: unknown-model: Name', err)
+        code, _, publish_err = await self._run_at_entry('publish', path)
+        self.assertEqual((1, err), (code, publish_err))
 
-    async def test_exit_code_tells_what_went_wrong(self) -> None:
-        """Scripts that publish go by the exit code alone."""
+    async def test_exit_code_shows_the_kind_of_failure(self) -> None:
+        """Guards scripts that evaluate only the exit code."""
         await self.publish(
             documents=[{**builders.ALPHA, 'limits': {'concurrency': 1}}]
         )
-        good = self._write('good.json', json.dumps(builders.ALPHA))
-        nowhere = ('--url', 'http://127.0.0.1:1', '--token-file')
+        valid = self._write('good.json', json.dumps(builders.ALPHA))
+        closed_port = ('--url', 'http://127.0.0.1:1', '--token-file')
         at_entry = ('--url', self.url, '--token-file')
         cases = (
-            (('publish', good, '--base', '0', *at_entry, self.token_file), 3),
-            (('publish', good, *nowhere, self.token_file), 4),
-            (('publish', good, *at_entry, good), 2),
+            (('publish', valid, '--base', '0', *at_entry, self.token_file), 3),
+            (('publish', valid, *closed_port, self.token_file), 4),
+            (('publish', valid, *at_entry, valid), 2),
             (('publish', *at_entry, self.token_file), 2),
             (('publish', '--remove', 'x', *at_entry, self.token_file), 2),
             (('check', str(self.directory / 'nothing')), 2),
@@ -140,28 +143,32 @@
                 self.assertEqual((expected, ''), (code, out))
                 self.assertTrue(err.startswith('thornspool: '))
 
-    async def test_an_action_without_an_answer_is_a_problem(self) -> None:
-        """A clerk asks whether an action ran, and that is not known.
+    async def test_action_without_recorded_outcome_is_a_problem(self) -> None:
+        """Guards against an unknown outcome that looks like a success.
 
-        A script that takes "unknown" for "done" would go on as if it had.
+        A script looks up an action that is still running or whose key is
+        malformed. With exit code 0 it would continue as after a success.
         """
-        for key, told in (('open', 'Still running.'), ('malformed', 'UUID')):
+        for key, detail in (('open', 'Still running.'), ('malformed', 'UUID')):
             with self.subTest(key):
                 code, out, _ = await self._run_at_entry('action', 'alpha', key)
                 self.assertEqual(1, code)
-                self.assertIn(told, out)
+                self.assertIn(detail, out)
 
-    async def test_unknown_outcome_names_the_id_to_send_again(self) -> None:
-        """The entry cannot reach the platform; nobody knows the outcome."""
+    async def test_unknown_outcome_shows_the_id_for_a_retry(self) -> None:
+        """Guards against a retry of publish that is not recognized as one.
+
+        The entry can't reach the platform, so the outcome is unknown.
+        """
         self.entry.faults.platform_up = False
-        good = self._write('good.json', json.dumps(builders.ALPHA))
+        valid = self._write('good.json', json.dumps(builders.ALPHA))
         code, _, err = await self._run_at_entry(
-            'publish', good, '--id', 'mine', '--timeout', '0.5'
+            'publish', valid, '--id', 'mine', '--timeout', '0.5'
         )
         self.assertEqual(4, code)
         self.assertIn('again with --id mine --base 0', err)
 
-    async def test_results_can_be_had_as_json(self) -> None:
+    async def test_writes_results_as_json(self) -> None:
         options = ('--url', self.url, '--token-file', self.token_file)
         code, out, _ = await self._run('status', *options, as_json=True)
         self.assertEqual((0, 0), (code, json.loads(out)['version']))
@@ -171,11 +178,11 @@
             )
         self.assertEqual([], json.loads(text.getvalue())['history'])
 
-    async def test_report_shows_the_worst_first_and_pages(self) -> None:
-        """A service uses up its error budget within days.
+    async def test_report_shows_the_most_severe_burn_rate_first(self) -> None:
+        """Guards against a severe burn rate that is overlooked.
 
-        Scripts go by the exit code; operators read the first line, also
-        when a short burst elsewhere has the higher rate.
+        Operators read the first line, and scripts evaluate the exit code. A
+        less severe subject has a short burst with a higher burn rate.
         """
         page = self.directory / 'burn.html'
         severities = list(burn.Severity)
@@ -184,21 +191,23 @@
             (severities[:2], 0, ['ticket', 'none']),
             ((), 0, []),
         )
-        for shown, expected, order in cases:
+        for reported, expected, order in cases:
             with self.subTest(expected=order):
-                self.burn_report = builders.build_report(*shown)
+                self.burn_report = builders.build_report(*reported)
                 code, out, err = await self._run_at_entry(
                     'report', 'burn', '--html', str(page)
                 )
                 rows = [line.split()[0] for line in out.splitlines()[2:]]
                 self.assertEqual((expected, order), (code, rows))
-                self.assertIn('only 2 of 3 entries answered', err)
+                self.assertIn('only 2 of 3 entries responded', err)
                 written = page.read_text()
-                places = [written.find(f'{one}-1</td>') for one in order]
-                self.assertEqual(sorted(places), places)
-                self.assertNotIn(-1, places)
+                positions = [
+                    written.find(f'{severity}-1</td>') for severity in order
+                ]
+                self.assertEqual(sorted(positions), positions)
+                self.assertNotIn(-1, positions)
 
-    async def test_report_as_json_and_without_a_place_for_the_page(
+    async def test_report_as_json_and_with_unwritable_page_or_no_report(
         self,
     ) -> None:
         options = ('--url', self.url, '--token-file', self.token_file)
@@ -213,39 +222,49 @@
         self.burn_report = None
         code, _, err = await self._run(*command)
         self.assertEqual(4, code)
-        self.assertIn('no report on burn', err)
+        self.assertIn('is not a burn rate report', err)
 
-    async def test_schema_prints_what_is_shipped(self) -> None:
+    async def test_schema_prints_the_schemas_of_the_package(self) -> None:
         for name in ('settings', 'service-file'):
             with self.subTest(name):
                 code, out, err = await self._run('schema', name)
                 self.assertEqual((0, ''), (code, err))
                 self.assertEqual(schemas.read_schema(name), json.loads(out))
 
-    async def test_check_tells_what_is_wrong_in_settings(self) -> None:
-        """Settings are checked before a host is told to restart.
+    async def test_check_reports_every_problem_of_settings(self) -> None:
+        """Guards against a restart of a host with invalid settings.
 
-        What is wrong in two files must be told at once, also a member that
-        stands twice, of which the daemon would take the last.
+        The problems of two files must be reported together. One of them is a
+        duplicate member name, of which a decoder would use the last member.
         """
         values = test_builders.build_settings()
-        good = self._write('good.json', json.dumps(values))
-        bad = self._write('bad.json', json.dumps({**values, 'host': 'A B'}))
+        valid = self._write('good.json', json.dumps(values))
+        invalid = self._write(
+            'bad.json', json.dumps({**values, 'host': 'A B'})
+        )
         text = json.dumps(values)[:-1] + ', "host": "x"}'
-        twice = self._write('twice.json', text)
-        code, out, _ = await self._run('check', '--settings', good)
-        self.assertEqual((0, '1 settings file(s) are right.\n'), (code, out))
-        names = [one for path in (bad, twice) for one in ('--settings', path)]
-        code, out, err = await self._run('check', *names)
+        duplicate = self._write('twice.json', text)
+        code, out, _ = await self._run('check', '--settings', valid)
+        self.assertEqual((0, '1 settings file(s) are valid.\n'), (code, out))
+        arguments = [
+            argument
+            for path in (invalid, duplicate)
+            for argument in ('--settings', path)
+        ]
+        code, out, err = await self._run('check', *arguments)
         self.assertEqual((1, ''), (code, out))
-        self.assertIn(f'{bad}: $.host: schema: Write text of the form', err)
-        self.assertIn(f'{twice}: $: repeated-member: Keep one', err)
+        self.assertIn(
+            f'{invalid}: $.host: schema: Write text of the form', err
+        )
+        self.assertIn(f'{duplicate}: $: repeated-member: Keep one', err)
         self.assertIn('2 problem(s)', err)
-        code, out, _ = await self._run('check', *names, as_json=True)
+        code, out, _ = await self._run('check', *arguments, as_json=True)
         found = json.loads(out)['problems']
-        self.assertEqual([bad, twice], [one['file'] for one in found])
+        self.assertEqual(
+            [invalid, duplicate], [problem['file'] for problem in found]
+        )
         document = self._write('document.json', '{"kind": "shop"}')
-        code, _, err = await self._run('check', document, *names)
+        code, _, err = await self._run('check', document, *arguments)
         self.assertEqual(1, code)
         self.assertIn(f'{document}: $.kind: schema', err)
         self.assertIn('3 problem(s)', err)
@@ -258,13 +277,14 @@
     starts_isolated = True
 
     async def test_status_of_an_isolated_entry_is_a_problem(self) -> None:
-        """An entry starts while the platform is down.
+        """Guards rolling restarts against an entry that does not serve.
 
-        A script that rolls entries must not take it for one that serves.
+        The entry starts while the platform is down and stays isolated. A
+        script that restarts entries in turn must not continue.
         """
         code, out, _ = await self._run_at_entry('status')
         self.assertEqual(1, code)
-        self.assertIn('takes no new work', out)
+        self.assertIn('accepts no new requests', out)
         options = ('--url', self.url, '--token-file', self.token_file)
         code, out, _ = await self._run('status', *options, as_json=True)
         self.assertEqual(1, code)
--- a/tests/console/test_explain.py
+++ b/tests/console/test_explain.py
@@ -1,4 +1,4 @@
-"""Tests of the story of a request from log lines."""
+"""Tests of the command that shows the log lines of a request."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 
 class ExplainTest(unittest.TestCase):
-    """A caller complains, and the engineer on call has only logs."""
+    """Guards the analysis of failed requests, for which only logs are left."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -62,7 +62,7 @@
         self.log = pathlib.Path(folder.name) / 'all.log'
         self.log.write_text('not a log line\n' + ''.join(build_lines()))
 
-    def test_tells_the_story_in_order_with_its_first_cause(self):
+    def test_shows_lines_in_order_and_only_the_changes_that_affect_them(self):
         code, out, _ = run(REQUEST, self.log)
         self.assertEqual(0, code)
         self.assertLess(out.index('run_repeated'), out.index('outcome=cut'))
@@ -76,20 +76,26 @@
         self.assertEqual(1, code)
         self.assertIn('0000', err)
 
-    def test_a_missing_file_is_named(self):
+    def test_reports_a_missing_file(self):
         code, _, err = run(REQUEST, self.log.with_name('none.log'))
         self.assertEqual(2, code)
         self.assertIn('none.log', err)
 
-    def test_a_story_without_its_end_says_so(self):
-        """The host was killed before it wrote the last line."""
-        lines = [one for one in build_lines() if 'outcome=cut' not in one]
+    def test_reports_that_the_end_of_a_request_is_missing(self):
+        """Guards against an incomplete history that looks complete.
+
+        The host was killed before it logged the end of the request.
+        """
+        lines = [line for line in build_lines() if 'outcome=cut' not in line]
         self.log.write_text(''.join(lines))
         _, out, _ = run(REQUEST, self.log)
-        self.assertIn('Its end is missing', out)
+        self.assertIn('The end of the request is missing', out)
 
     def test_memory_is_bounded(self):
-        """The logs of a day have millions of lines."""
+        """Guards against memory use that grows with the logs.
+
+        The logs of a day have millions of lines.
+        """
         lines = itertools.chain(
             build_lines() * 500,
             (
@@ -98,12 +104,12 @@
                 for number in range(10_000)
             ),
         )
-        story = explain.tell(lines, REQUEST)
-        self.assertEqual(explain.MAX_LINES, len(story.lines))
-        self.assertEqual(1_000 - explain.MAX_LINES, story.left_out)
-        self.assertEqual(explain.MAX_CHANGES, len(story.changes))
+        history = explain.collect_history(lines, REQUEST)
+        self.assertEqual(explain.MAX_LINES, len(history.lines))
+        self.assertEqual(1_000 - explain.MAX_LINES, history.omitted_count)
+        self.assertEqual(explain.MAX_CHANGES, len(history.changes))
 
-    def test_quoted_values_are_read(self):
+    def test_parses_quoted_values(self):
         line = logs.parse_line(
             'x timestamp=1 event=a reason="say \\"no\\" = b" host=h'
         )
--- a/tests/console/test_losses.py
+++ b/tests/console/test_losses.py
@@ -1,4 +1,4 @@
-"""Tests of the command that tells which requests were lost or late."""
+"""Tests of the command that shows which requests were lost or late."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def build_line(number=1, second=1, **fields):
-    """Build the line that tells the end of a request."""
+    """Build the log line of a completed request."""
     values = {
         'level': 'info',
         'event': 'request_ended',
@@ -37,15 +37,15 @@
     return f'timestamp=2026-01-01T10:00:{second:02}.5Z {pairs}\n'
 
 
-def read(*lines):
-    found = losses.Losses(losses.Aims())
+def count_losses(*lines):
+    found = losses.Losses(losses.Thresholds())
     for line in lines:
         found.add(line)
     return found
 
 
 class LossesTest(unittest.TestCase):
-    def test_names_why_a_request_was_late_or_lost(self):
+    def test_finds_the_cause_of_a_late_or_lost_request(self):
         cases = (
             ({}, ''),
             ({'pause_ms': 200}, ''),
@@ -73,7 +73,7 @@
         )
         for fields, cause in cases:
             with self.subTest(fields):
-                found = read(build_line(**fields))
+                found = count_losses(build_line(**fields))
                 expected = [(cause, 1)] if cause else []
                 self.assertEqual(expected, found.count_causes())
 
@@ -82,7 +82,7 @@
             build_line(number, second, outcome='cut', reason='broken')
             for number, second in enumerate((0, 1, 1, 1, 2))
         ]
-        groups = read(*lines).groups
+        groups = count_losses(*lines).groups
         first = groups['2026-01-01T10:00:00', 'r-1', 'cut: broken']
         self.assertEqual(4, first.count)
         self.assertEqual(losses.MAX_IDS, len(first.ids))
@@ -91,29 +91,29 @@
         self.assertEqual(2, len(groups))
 
     def test_memory_is_bounded(self):
-        """Guards against logs whose routes never repeat."""
-        found = losses.Losses(losses.Aims())
+        """Guards against memory use that grows with the number of routes."""
+        found = losses.Losses(losses.Thresholds())
         for number in range(losses.MAX_GROUPS + 5):
             found.add(build_line(route=f'r-{number}', outcome='cut'))
         self.assertEqual(losses.MAX_GROUPS, len(found.groups))
-        self.assertEqual(5, found.left_out)
+        self.assertEqual(5, found.omitted_count)
 
-    def test_requests_that_nobody_is_owed_are_told_apart(self):
-        """Guards against real losses that are hidden by probes."""
-        found = read(
+    def test_counts_refusals_of_invalid_requests_separately(self):
+        """Guards against losses that are hidden by probing requests."""
+        found = count_losses(
             build_line(event='request_refused', reason='no_route'),
             build_line(event='request_refused', reason='not_current'),
         )
-        self.assertEqual({'no_route': 1}, dict(found.not_owed))
+        self.assertEqual({'no_route': 1}, dict(found.invalid_counts))
         self.assertEqual([('refused: not_current', 1)], found.count_causes())
 
-    def test_lines_that_are_none_of_a_log_are_counted(self):
-        found = read('some other text\n', '\n', build_line())
-        self.assertEqual((1, 1), (found.unreadable, found.ended))
+    def test_counts_lines_that_are_not_log_lines(self):
+        found = count_losses('some other text\n', '\n', build_line())
+        self.assertEqual((1, 1), (found.unreadable_count, found.ended_count))
 
 
 class CommandTest(unittest.TestCase):
-    def run_on(self, text, *options):
+    def run_on_log(self, text, *options):
         output, errors = io.StringIO(), io.StringIO()
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder, 'host.log')
@@ -124,30 +124,30 @@
             )
         return code, output.getvalue(), errors.getvalue()
 
-    def test_tells_causes(self):
-        code, output, _ = self.run_on(build_line(pause_ms=900))
+    def test_shows_causes_as_text(self):
+        code, output, _ = self.run_on_log(build_line(pause_ms=900))
         self.assertEqual(exceptions.ExitCode.OK, code)
         self.assertIn('1 of 1 requests', output)
         self.assertIn('long pause: engines', output)
 
-    def test_tells_them_to_tools(self):
-        code, output, _ = self.run_on(build_line(pause_ms=900), '--json')
+    def test_writes_causes_as_json(self):
+        code, output, _ = self.run_on_log(build_line(pause_ms=900), '--json')
         self.assertEqual(exceptions.ExitCode.OK, code)
-        read_back = json.loads(output)
-        self.assertEqual({'long pause: engines': 1}, read_back['causes'])
+        result = json.loads(output)
+        self.assertEqual({'long pause: engines': 1}, result['causes'])
 
     def test_logs_without_requests_are_a_problem(self):
-        code, _, errors = self.run_on('not a log\n')
+        code, _, errors = self.run_on_log('not a log\n')
         self.assertEqual(exceptions.ExitCode.PROBLEM, code)
         self.assertIn('1 lines could not be read', errors)
 
-    def test_bounds_may_be_asked_for(self):
+    def test_options_override_the_targets_of_routes(self):
         line = build_line(pause_ms=160, target_pause_ms=250)
-        _, output, _ = self.run_on(line, '--pause-ms', '150')
+        _, output, _ = self.run_on_log(line, '--pause-ms', '150')
         self.assertIn('1 of 1 requests', output)
 
-    def test_an_output_that_is_closed_early_ends_it_quietly(self):
-        """Guards against a traceback behind a pager or head."""
+    def test_ends_without_error_when_the_output_is_closed(self):
+        """Guards against a traceback when a pager or head closes the pipe."""
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder, 'host.log')
             lines = [
@@ -155,7 +155,7 @@
                 for number in range(5_000)
             ]
             path.write_text(''.join(lines))
-            done = subprocess.run(
+            completed = subprocess.run(
                 f'{sys.executable} -m thornspool.console losses {path}'
                 ' | head -n 1',
                 shell=True,
@@ -163,10 +163,10 @@
                 capture_output=True,
                 text=True,
             )
-        self.assertEqual('', done.stderr)
-        self.assertIn('5000 of 5000', done.stdout)
+        self.assertEqual('', completed.stderr)
+        self.assertIn('5000 of 5000', completed.stdout)
 
-    def test_a_missing_file_is_told(self):
+    def test_reports_a_missing_file(self):
         output, errors = io.StringIO(), io.StringIO()
         code = application.main(
             ['losses', 'no-such.log'], base.Console(output, errors)
--- a/tests/console/test_pages.py
+++ b/tests/console/test_pages.py
@@ -1,4 +1,4 @@
-"""Tests of the report on burn as a page."""
+"""Tests of rendering the burn rate report as an HTML page."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 
 class PagesTest(unittest.TestCase):
-    def test_the_page_shows_every_subject_and_escapes_names(self) -> None:
-        one = burn.Burn(
+    def test_page_shows_every_subject_and_escapes_names(self) -> None:
+        subject_burn = burn.Burn(
             burn.Subject('swan-coast', '<slots>', burn.Indicator.LATENCY),
             0.95,
             (20.0, 16.0, 15.0, 0.5, 0.0),
@@ -19,7 +19,7 @@
             burn.Severity.PAGE,
         )
         report = objectives.BurnReport(
-            1_790_000_000_000, burn.WINDOWS_MS, 3, 2, (one,)
+            1_790_000_000_000, burn.WINDOWS_MS, 3, 2, (subject_burn,)
         )
         page = pages.render_burn_page(report)
         self.assertIn('&lt;slots&gt;', page)
@@ -29,10 +29,10 @@
         self.assertIn('>page</span>', page)
         self.assertNotIn('http', page.replace('http-equiv', ''))
 
-    def test_a_page_without_events_says_so(self) -> None:
+    def test_page_without_events_states_this(self) -> None:
         report = objectives.BurnReport(0, burn.WINDOWS_MS, 1, 1, ())
         self.assertIn('No requests', pages.render_burn_page(report))
 
-    def test_windows_are_short_text(self) -> None:
-        seen = [pages.format_window(ms) for ms in burn.WINDOWS_MS]
-        self.assertEqual(['5 min', '30 min', '1 h', '6 h', '72 h'], seen)
+    def test_formats_windows_in_minutes_or_hours(self) -> None:
+        texts = [pages.format_window(ms) for ms in burn.WINDOWS_MS]
+        self.assertEqual(['5 min', '30 min', '1 h', '6 h', '72 h'], texts)
