--- a/src/thornspool/application/__init__.py
+++ b/src/thornspool/application/__init__.py
@@ -1,1 +1,1 @@
-"""The use cases, written against ports that adapters carry out."""
+"""Use cases of the router, written against ports that adapters implement."""
--- a/src/thornspool/application/admission.py
+++ b/src/thornspool/application/admission.py
@@ -1,7 +1,7 @@
-"""Admission: limits of workspaces, overload and deadlines.
+"""Admission control: workspace limits, overload and deadlines.
 
-Nothing here calls the platform. A request costs local arithmetic; shares of
-the limits move between entries by a few small messages a second.
+Nothing here calls the platform. A request is checked by local arithmetic;
+entries exchange their shares of the limits in a few small messages a second.
 """
 
 from __future__ import annotations
@@ -32,33 +32,34 @@
 SHARE_INTERVAL_MS = 200
 REPORT_LINES_PER_S = 3.0
 REPORT_LINES_BURST = 24.0
-ASK_TIMEOUT_MS = 500
+REPORT_TIMEOUT_MS = 500
 
-_RETRY_SPREAD = 0.25
+_RETRY_JITTER = 0.25
 _MS_PER_S = 1000.0
 
 logger = structlog.get_logger()
 
 
 class AdmissionService:
-    """Admits or refuses requests at once.
+    """Admits or refuses requests without waiting.
 
     Parameters
     ----------
     configuration : callable
         Returns the snapshot in force.
     members : MemberView
-        The entries in view.
+        Entries in view.
     incarnation : str
-        This entry's own.
+        Incarnation of the local entry.
     peers : Peers
-        Messages between entries.
+        Messaging between entries.
     clock : thornspool.clock.Clock
-        Time of the reports of other entries.
+        Source of the monotonic time.
     draw : callable
-        Returns random numbers from 0 to 1, to spread retries.
+        Returns random numbers from 0 to 1, used as jitter of retry delays.
     read_capacity : callable
-        Returns what the ready targets of a group report, by its name.
+        Takes the name of a group and returns the capacity that its ready
+        targets report.
     """
 
     def __init__(
@@ -79,72 +80,73 @@
         self._draw = draw
         self._read_capacity = read_capacity
         self._limiter = limiter.WorkspaceLimiter()
-        self._ledger = shares.ShareLedger()
+        self._share_ledger = shares.ShareLedger()
         self._groups: dict[str, concurrency.GroupLimit] = {}
-        self._lines = buckets.build_bucket(
+        self._line_budget = buckets.build_bucket(
             REPORT_LINES_PER_S, REPORT_LINES_BURST, clock.now()
         )
-        self._view: tuple[str, ...] = ()
-        self._view_changed_at = clock.now()
-        # Before the first request: a bucket built for one entry would hold
-        # the burst of the whole limit at each of them.
-        self._refresh_view(clock.now())
-        peers.handle(messages.DemandReport, self._answer_report)
+        self._members_in_view: tuple[str, ...] = ()
+        self._members_changed_at = clock.now()
+        # The members are read before the first request. A bucket that is
+        # built for a single entry would hold the burst of the whole limit
+        # at each of several entries.
+        self._refresh_members(clock.now())
+        peers.handle(messages.DemandReport, self._handle_report)
 
     @property
     def groups(self) -> Mapping[str, concurrency.GroupLimit]:
-        """The bound of each model and service that was asked for."""
+        """Concurrency limit of each model and service requested so far."""
         return self._groups
 
     def admit(
-        self, workspace: str, asked: messages.Asked, now: int
+        self, workspace: str, request: messages.Asked, now: int
     ) -> messages.Admitted | messages.Refused:
-        """Admit a request, or refuse it before anything was run.
+        """Admit a request, or refuse it before anything runs.
 
         Parameters
         ----------
         workspace : str
             Workspace of the caller.
-        asked : messages.Asked
-            The request.
+        request : messages.Asked
+            Group, kind, size and deadline of the request.
         now : int
             Monotonic milliseconds.
 
         Returns
         -------
         Admitted or Refused
-            `finish` must follow an `Admitted`.
+            The caller must call `finish` once for each `Admitted`.
         """
-        limits = self._find_limits(workspace)
+        limits = self._get_limits(workspace)
         refused = self._limiter.admit(workspace, limits, now)
         if refused is not None:
-            return self._spread(refused)
-        group = self._find_group(asked.group)
-        capacity = self._read_capacity(asked.group)
-        group.hear_capacity(capacity, len(self._view), now)
-        refused = group.admit(asked, now)
+            return self._add_retry_jitter(refused)
+        group = self._get_group(request.group)
+        capacity = self._read_capacity(request.group)
+        group.hear_capacity(capacity, len(self._members_in_view), now)
+        refused = group.admit(request, now)
         if refused is not None:
             self._limiter.withdraw(workspace, now)
-            return self._spread(refused)
-        return messages.Admitted(messages.Ticket(workspace, asked, now))
+            return self._add_retry_jitter(refused)
+        return messages.Admitted(messages.Ticket(workspace, request, now))
 
     def observe(
         self, group: str, kind: str, duration_ms: int, now: int
     ) -> None:
-        """Learn from an answer of a target, or from its first token."""
-        self._find_group(group).observe(kind, duration_ms, now)
+        """Record the time to a response of a target, or to its first token."""
+        self._get_group(group).observe(kind, duration_ms, now)
 
     def observe_rest(
         self, ticket: messages.Ticket, units: int, duration_ms: int, now: int
     ) -> None:
-        """Learn from the tokens after the first of a whole answer."""
-        asked = ticket.asked
-        group = self._find_group(asked.group)
-        group.observe_rest(asked.kind, units, duration_ms, now)
+        """Record the time of the tokens after the first of a response."""
+        request = ticket.asked
+        group = self._get_group(request.group)
+        group.observe_rest(request.kind, units, duration_ms, now)
 
     def note_late(self, group: str, started: int, now: int) -> None:
-        """Take in that a target did not answer in time."""
-        self._find_group(group).note_late(started, now)
+        """Record that a target did not respond in time."""
+        self._get_group(group).note_late(started, now)
 
     def finish(self, ticket: messages.Ticket, tokens: int, now: int) -> None:
         """End an admitted request.
@@ -152,37 +154,40 @@
         Parameters
         ----------
         ticket : Ticket
-            From `admit`.
+            Ticket that `admit` returned.
         tokens : int
-            Tokens generated, charged to the workspace.
+            Number of generated tokens, charged to the workspace.
         now : int
             Monotonic milliseconds.
         """
         self._limiter.finish(ticket.workspace, tokens, now)
-        self._find_group(ticket.asked.group).release()
+        self._get_group(ticket.asked.group).release()
 
-    def _find_group(self, name: str) -> concurrency.GroupLimit:
+    def _get_group(self, name: str) -> concurrency.GroupLimit:
         return self._groups.setdefault(name, concurrency.GroupLimit())
 
     async def share_demand(self, now: int) -> None:
-        """Report what is due to the owners and take their grants into use.
+        """Report demand to the owners of limits and apply their grants.
 
         Called every `SHARE_INTERVAL_MS`.
         """
-        view = self._refresh_view(now)
-        self._lines.refill(now)
-        lines = self._limiter.collect(now, int(self._lines.level))
-        self._lines.level -= len(lines)
+        incarnations = self._refresh_members(now)
+        self._line_budget.refill(now)
+        lines = self._limiter.collect(now, int(self._line_budget.level))
+        self._line_budget.level -= len(lines)
         by_owner: dict[str, list[messages.WorkspaceDemand]] = {}
         for line in lines:
-            owner = ownership.find_owner(line.workspace, view)
+            owner = ownership.find_owner(line.workspace, incarnations)
             by_owner.setdefault(owner, []).append(line)
         await asyncio.gather(
-            *(self._report(owner, due) for owner, due in by_owner.items())
+            *(
+                self._report(owner, owner_lines)
+                for owner, owner_lines in by_owner.items()
+            )
         )
 
     async def run(self) -> None:
-        """Share demand until cancelled."""
+        """Exchange demand and grants periodically until cancelled."""
         while True:
             await self.share_demand(self._clock.now())
             await asyncio.sleep(SHARE_INTERVAL_MS / _MS_PER_S)
@@ -192,14 +197,14 @@
     ) -> None:
         report = messages.pack_report(lines)
         try:
-            reply = await self._ask(owner, report)
+            reply = await self._send_report(owner, report)
         except exceptions.PeerUnreachable:
-            self._note_owner_lost(owner, lines)
+            self._record_owner_lost(owner, lines)
             return
         for grant in messages.unpack_reply(reply):
             self._limiter.apply(grant, self._clock.now())
 
-    def _note_owner_lost(
+    def _record_owner_lost(
         self, owner: str, lines: Sequence[messages.WorkspaceDemand]
     ) -> None:
         now = self._clock.now()
@@ -210,30 +215,30 @@
                 'limits_owner_lost', owner=owner, workspaces=sum(lost)
             )
 
-    async def _ask(
+    async def _send_report(
         self, owner: str, report: messages.DemandReport
     ) -> messages.GrantReply:
         if owner == self._incarnation:
-            return await self._answer_report(owner, report)
+            return await self._handle_report(owner, report)
         member = self._members.find(owner)
         if member is None:
-            raise exceptions.PeerUnreachable(f'{owner} left the view.')
+            raise exceptions.PeerUnreachable(f'{owner} is not in view.')
         reply = await self._peers.ask(
-            member.peer_address, report, ASK_TIMEOUT_MS
+            member.peer_address, report, REPORT_TIMEOUT_MS
         )
         return typing.cast('messages.GrantReply', reply)
 
-    async def _answer_report(
+    async def _handle_report(
         self, sender: str, report: messages.DemandReport
     ) -> messages.GrantReply:
         now = self._clock.now()
-        view = self._refresh_view(now)
-        settled = now - self._view_changed_at >= shares.GRANT_TTL_MS
+        incarnations = self._refresh_members(now)
+        is_settled = now - self._members_changed_at >= shares.GRANT_TTL_MS
         grants = []
         for line in messages.unpack_report(report):
-            limits = self._find_limits(line.workspace)
-            grant = self._ledger.grant(
-                sender, line, limits, len(view), settled, now
+            limits = self._get_limits(line.workspace)
+            grant = self._share_ledger.grant(
+                sender, line, limits, len(incarnations), is_settled, now
             )
             if grant is not None:
                 grants.append(grant)
@@ -241,26 +246,26 @@
             report.sequence, shares.GRANT_TTL_MS, grants
         )
 
-    def _refresh_view(self, now: int) -> tuple[str, ...]:
-        view = tuple(
+    def _refresh_members(self, now: int) -> tuple[str, ...]:
+        incarnations = tuple(
             member.incarnation
             for member in self._members.list_members()
             if member.state
             in (ports.MemberState.ALIVE, ports.MemberState.SUSPECT)
         ) or (self._incarnation,)
-        if view != self._view:
-            self._view = view
-            self._view_changed_at = now
-            self._limiter.set_members(len(view), now)
-        return view
+        if incarnations != self._members_in_view:
+            self._members_in_view = incarnations
+            self._members_changed_at = now
+            self._limiter.set_members(len(incarnations), now)
+        return incarnations
 
-    def _find_limits(self, workspace: str) -> documents.Limits:
+    def _get_limits(self, workspace: str) -> documents.Limits:
         found = self._configuration().workspaces.get(workspace)
         return found.limits if found else documents.Limits()
 
-    def _spread(self, refused: messages.Refused) -> messages.Refused:
-        """Keep callers that were refused together from returning so."""
-        factor = 1.0 + _RETRY_SPREAD * self._draw()
+    def _add_retry_jitter(self, refused: messages.Refused) -> messages.Refused:
+        """Add jitter, so that refused callers do not all retry at once."""
+        factor = 1.0 + _RETRY_JITTER * self._draw()
         return attrs.evolve(
             refused, retry_after_ms=int(refused.retry_after_ms * factor)
         )
--- a/src/thornspool/application/calls.py
+++ b/src/thornspool/application/calls.py
@@ -1,4 +1,4 @@
-"""Idempotent calls to plain services; these may be repeated freely."""
+"""Idempotent calls to plain services, which may be retried freely."""
 
 from __future__ import annotations
 
@@ -25,11 +25,12 @@
     from thornspool.domain.targets import messages as target_messages
 
 MAX_ATTEMPTS = 4
-MARGIN = 2
-"""Calls that a new call's first target may have more than its second."""
+MIN_IN_FLIGHT_MARGIN = 2
+"""Minimum of the margin by which the in-flight calls of the first target of a
+new call may exceed those of the second target."""
 
-SLOTS_AHEAD = 0.25
-"""The same as a part of what targets say that they run at once."""
+MARGIN_PER_BATCH_SLOT = 0.25
+"""The same margin, as a fraction of the mean of the reported batch sizes."""
 
 RETRY_AFTER_MS = 1000
 
@@ -38,27 +39,27 @@
 
 @attrs.frozen
 class CallAnswered:
-    """A target gave a whole answer."""
+    """A target returned a complete response."""
 
-    answer: ports.ServiceAnswer
+    response: ports.ServiceAnswer
 
 
 @attrs.frozen
 class CallFailed:
-    """No target gave a whole answer in time.
+    """No target returned a complete response in time.
 
     Attributes
     ----------
     reason : str
-        What went wrong last.
+        Reason of the last failure.
     ran : bool
         Whether an attempt may have run on a target.
     retry_after_ms : int
-        When to come back.
+        Delay before the caller should retry, in milliseconds.
     """
 
     reason: str
-    ran: bool
+    may_have_run: bool
     retry_after_ms: int
 
 
@@ -66,7 +67,7 @@
 
 
 class CallService:
-    """Sends idempotent calls and repeats them on other targets.
+    """Sends idempotent calls and retries them on other targets.
 
     Parameters
     ----------
@@ -75,18 +76,19 @@
     services : ports.Services
         Sends one call.
     targets : target_messages.TargetView
-        Which targets may be given work.
+        Readiness and load of the targets.
     random_source : random.Random
-        Breaks ties between targets.
-    take_retry : callable
-        Takes one retry from the budget of a service, by name; False when
-        the budget is spent, so that retries can't amplify an outage.
-    note_success : callable
-        Tells the budget of a service of a success.
-    note_failure : callable
-        Tells of a target that failed, with the error.
+        Orders targets randomly.
+    acquire_retry : callable
+        Takes the name of a service and acquires one retry from its budget.
+        Returns False when the budget is spent, so that retries can't amplify
+        an outage.
+    record_success : callable
+        Takes the name of a service and credits its retry budget.
+    record_failure : callable
+        Takes the name of a target that failed and the error.
     trials : service_trials.Trials, optional
-        Keeps calls that crash targets from running.
+        Quarantine of calls that crash targets.
     """
 
     def __init__(
@@ -95,21 +97,23 @@
         services: ports.Services,
         targets: target_messages.TargetView,
         random_source: random.Random,
-        take_retry: Callable[[str], bool],
-        note_success: Callable[[str], None],
-        note_failure: Callable[[str, exceptions.TargetError], None],
+        acquire_retry: Callable[[str], bool],
+        record_success: Callable[[str], None],
+        record_failure: Callable[[str, exceptions.TargetError], None],
         trials: service_trials.Trials | None = None,
     ) -> None:
         self._clock = clock
         self._services = services
         self._targets = targets
         self._random = random_source
-        self._take_retry = take_retry
-        self._note_success = note_success
-        self._note_failure = note_failure
+        self._acquire_retry = acquire_retry
+        self._record_success = record_success
+        self._record_failure = record_failure
         self._trials = trials or service_trials.NoTrials()
         self._in_flight: collections.Counter[str] = collections.Counter()
-        self._asked: collections.Counter[str] = collections.Counter()
+        self._in_flight_by_fingerprint: collections.Counter[str] = (
+            collections.Counter()
+        )
 
     async def call(
         self,
@@ -117,111 +121,134 @@
         body: bytes,
         fingerprint: str = '',
     ) -> CallResult:
-        """Call an operation until a target answers or the budget is spent.
+        """Call an operation until a target responds or no attempt is left.
 
         Parameters
         ----------
         resolved : directory.ResolvedOperation
             An idempotent operation.
         body : bytes
-            Request body, JSON.
+            JSON body of the request.
         fingerprint : str, optional
-            Names what is asked.
+            Hash of the content of the request.
 
         Returns
         -------
         CallAnswered or CallFailed
-            The first whole answer, or the last failure.
+            The first complete response, or the last failure.
         """
         deadline = self._clock.now() + resolved.operation.timeout_ms
-        tried: set[str] = set()
-        ran = False
-        failed = CallFailed('No target is ready.', False, RETRY_AFTER_MS)
+        tried_targets: set[str] = set()
+        may_have_run = False
+        failure = CallFailed('No target is ready.', False, RETRY_AFTER_MS)
         name = resolved.service.name
-        while len(tried) < MAX_ATTEMPTS and self._clock.now() < deadline:
-            if tried and not self._take_retry(name):
+        while (
+            len(tried_targets) < MAX_ATTEMPTS and self._clock.now() < deadline
+        ):
+            if tried_targets and not self._acquire_retry(name):
                 break
             try:
-                target = await self._find_target(
-                    resolved, fingerprint, tried, deadline
+                target = await self._wait_for_target(
+                    resolved, fingerprint, tried_targets, deadline
                 )
-            except service_trials.NoTarget:
+            except service_trials.NoTargetAvailable:
                 break
             except service_trials.Refused as refused:
-                return CallFailed(refused.reason, ran, refused.retry_after_ms)
-            tried.add(target.name)
+                return CallFailed(
+                    refused.reason, may_have_run, refused.retry_after_ms
+                )
+            tried_targets.add(target.name)
             try:
-                answer = await self._send(
+                response = await self._send(
                     target, resolved, body, fingerprint, deadline
                 )
             except exceptions.TargetHeldBack as error:
-                failed = CallFailed(error.message, ran, RETRY_AFTER_MS)
+                failure = CallFailed(
+                    error.message, may_have_run, RETRY_AFTER_MS
+                )
                 continue
             except exceptions.TargetError as error:
-                ran |= not isinstance(error, exceptions.TargetNotReached)
-                failed = CallFailed(error.message, ran, RETRY_AFTER_MS)
-                self._note_failure(target.name, error)
+                may_have_run |= not isinstance(
+                    error, exceptions.TargetNotReached
+                )
+                failure = CallFailed(
+                    error.message, may_have_run, RETRY_AFTER_MS
+                )
+                self._record_failure(target.name, error)
                 logger.warning(
                     'call_failed', target=target.name, reason=error.message
                 )
                 continue
-            self._note_success(name)
-            return CallAnswered(answer)
-        return failed
+            self._record_success(name)
+            return CallAnswered(response)
+        return failure
 
-    async def _find_target(
+    async def _wait_for_target(
         self,
         resolved: directory.ResolvedOperation,
         fingerprint: str,
-        tried: set[str],
+        tried_targets: set[str],
         deadline: int,
     ) -> documents.Target:
-        """Find a target for the next attempt; a suspect waits for its own."""
+        """Find a target for the next attempt.
+
+        A suspected call waits until a target is reserved for it.
+        """
         return await service_trials.find_target(
             self._trials,
             fingerprint,
-            lambda busy: self._choose(
-                resolved.targets, tried | busy, fingerprint
+            lambda busy: self._choose_target(
+                resolved.targets, tried_targets | busy, fingerprint
             ),
             self._clock,
             deadline,
         )
 
-    def _choose(
+    def _choose_target(
         self,
         targets: tuple[documents.Target, ...],
-        tried: set[str],
+        tried_targets: set[str],
         fingerprint: str,
     ) -> documents.Target | None:
         """Choose the less loaded of two ready targets.
 
-        They are drawn at random for a call that ran of late. For a new one
-        all entries draw the same two, and the first of them is taken unless
-        it has clearly more to do; and always beside the same call.
+        For a call that completed recently the two are random. For a new call
+        all entries consider the same two. The first is chosen unless it has
+        more calls in flight by a margin, and always while the same call is
+        in flight.
         """
-        left = tuple(one for one in targets if one.name not in tried)
-        ready = directory.list_ready(left, self._targets, self._random)
-        drawn = service_trials.rank(self._trials, fingerprint, ready)[:2]
+        untried = tuple(
+            one for one in targets if one.name not in tried_targets
+        )
+        ready = directory.list_ready(untried, self._targets, self._random)
+        candidates = service_trials.rank_targets(
+            self._trials, fingerprint, ready
+        )[:2]
         is_new = not self._trials.is_proven(fingerprint)
-        if len(drawn) < 2 or (is_new and self._asked[fingerprint]):
-            return next(iter(drawn), None)
-        first, second = (self._in_flight[one.name] for one in drawn)
-        margin = self._read_margin(ready) if is_new else 0.0
-        return drawn[0] if first <= second + margin else drawn[1]
-
-    def _read_margin(self, ready: Sequence[documents.Target]) -> float:
-        """Return by how many calls a target may be ahead of another.
-
-        A few calls more make no queue at targets that say that they run
-        many at once. Gone past for them, a call that crashes targets would
-        cost one more. An entry polls some of the targets only; the others
-        count like the mean of those.
+        if len(candidates) < 2 or (
+            is_new and self._in_flight_by_fingerprint[fingerprint]
+        ):
+            return next(iter(candidates), None)
+        first, second = (self._in_flight[one.name] for one in candidates)
+        margin = self._compute_margin(ready) if is_new else 0.0
+        return candidates[0] if first <= second + margin else candidates[1]
+
+    def _compute_margin(self, ready: Sequence[documents.Target]) -> float:
+        """Return by how many calls the first target may exceed the second.
+
+        A few more calls cause no queue at targets that report large batches.
+        If they sent a call to the second target, a call that crashes targets
+        would cost one more of them. An entry polls only some of the targets;
+        the others are assumed to have their mean batch size.
         """
         reports = [self._targets.read_load(one.name) for one in ready]
-        slots = [one.max_batch for one in reports if one is not None]
-        if not slots:
-            return MARGIN
-        return max(MARGIN, SLOTS_AHEAD * sum(slots) / len(slots))
+        batch_sizes = [one.max_batch for one in reports if one is not None]
+        if not batch_sizes:
+            return MIN_IN_FLIGHT_MARGIN
+        return max(
+            MIN_IN_FLIGHT_MARGIN,
+            MARGIN_PER_BATCH_SLOT * sum(batch_sizes) / len(batch_sizes),
+        )
 
     async def _send(
         self,
@@ -231,7 +258,7 @@
         fingerprint: str,
         deadline: int,
     ) -> ports.ServiceAnswer:
-        """Send one attempt and count it while it is in flight."""
+        """Send one attempt."""
         call = ports.ServiceCall(
             url=target.url,
             service=resolved.service.name,
@@ -244,19 +271,22 @@
             target=target.name,
             fingerprint=fingerprint,
         )
-        with self._count(target.name, fingerprint):
+        with self._track_in_flight(target.name, fingerprint):
             return await self._services.call(call)
 
     @contextlib.contextmanager
-    def _count(self, target: str, fingerprint: str) -> Iterator[None]:
+    def _track_in_flight(
+        self, target: str, fingerprint: str
+    ) -> Iterator[None]:
         """Count an attempt while it is in flight."""
         self._in_flight[target] += 1
-        self._asked[fingerprint] += 1
+        self._in_flight_by_fingerprint[fingerprint] += 1
         try:
             yield
         finally:
             self._in_flight[target] -= 1
-            self._asked[fingerprint] -= 1
-            # Unlike targets, requests are without number.
-            if not self._asked[fingerprint]:
-                del self._asked[fingerprint]
+            self._in_flight_by_fingerprint[fingerprint] -= 1
+            # The number of distinct requests is unbounded, unlike that of
+            # targets.
+            if not self._in_flight_by_fingerprint[fingerprint]:
+                del self._in_flight_by_fingerprint[fingerprint]
--- a/src/thornspool/application/capacity.py
+++ b/src/thornspool/application/capacity.py
@@ -1,4 +1,4 @@
-"""What the ready targets of a group report, added up."""
+"""Capacity of the ready targets of a group, from their load reports."""
 
 from __future__ import annotations
 
@@ -17,16 +17,17 @@
     from thornspool import clock
     from thornspool.domain.configuration import documents
 
-FRESH_MS = 500
-QUEUE_KNOWN_MS = 5_000
-"""Age up to which a report tells of the queue, and not of the kind alone."""
+READING_TTL_MS = 500
+MAX_QUEUE_AGE_MS = 5_000
+"""Age up to which the queue length of a report is used. The batch size and
+step time of older reports stay in use."""
 
-STEP_WAIT = 0.5
-"""Part of a step that a token waits for, on average, where it comes from
-another stage: it arrives while a step runs."""
+MEAN_STEP_WAIT = 0.5
+"""Mean wait of a token that arrives from another stage, as a fraction of a
+step: it arrives while a step is running."""
 
 Capacity = limit_messages.Capacity
-_LEAST_STEP_MS = 0.1
+_MIN_STEP_MS = 0.1
 
 
 @attrs.frozen
@@ -38,16 +39,16 @@
 
 @attrs.frozen
 class _Span:
-    """Layers held by the same stages.
+    """Consecutive layers that the same stages hold.
 
     Attributes
     ----------
     rate : float
-        Tokens a millisecond that all of them compute.
+        Tokens per millisecond that all these stages compute.
     time_ms : float
-        Time of one token in these layers.
+        Time of one token in these layers, in milliseconds.
     waiting : float
-        Requests in their queues.
+        Number of requests in their queues.
     """
 
     rate: float
@@ -62,12 +63,12 @@
 
 
 class CapacityReader:
-    """Adds up what targets say that they can run at once.
+    """Sums the concurrency and queues that targets report.
 
     Parameters
     ----------
     clock : clock.Clock
-        Source of time; a sum is used for `FRESH_MS`.
+        Source of time; a result is cached for `READING_TTL_MS`.
     snapshot : callable
         Returns the configuration in force.
     targets : messages.TargetView
@@ -86,7 +87,7 @@
         self._readings: dict[str, _Reading] = {}
 
     def read(self, group: str) -> Capacity:
-        """Return what a group can run at once and what waits there.
+        """Return the concurrency and the queue length of a group.
 
         Parameters
         ----------
@@ -96,17 +97,17 @@
         Returns
         -------
         limit_messages.Capacity
-            For a model, what its pipelines can run, and the longest of the
-            queues before any of its layers.
+            For a model, the concurrency of its pipelines and the longest
+            queue in front of any of its layers.
         """
         now = self._clock.now()
-        known = self._readings.get(group)
-        if known is None or now - known.read_at >= FRESH_MS:
-            known = _Reading(self._compute(group), now)
-            self._readings[group] = known
-        return known.capacity
+        reading = self._readings.get(group)
+        if reading is None or now - reading.read_at >= READING_TTL_MS:
+            reading = _Reading(self._compute_capacity(group), now)
+            self._readings[group] = reading
+        return reading.capacity
 
-    def _compute(self, group: str) -> Capacity:
+    def _compute_capacity(self, group: str) -> Capacity:
         snapshot = self._snapshot()
         service = snapshot.services.get(group)
         if service is not None:
@@ -125,8 +126,8 @@
     def _read_reports(self, names: Iterable[str]) -> dict[str, _Report]:
         """Return the report of each ready target.
 
-        An entry hears of the load of some targets only; the others of the
-        group count like the mean of those.
+        An entry receives load reports of only some targets. The others of
+        the group are assumed to have the mean of these reports.
         """
         now = self._clock.now()
         ready = [
@@ -135,42 +136,44 @@
             if self._targets.read_readiness(name) is messages.Readiness.READY
         ]
         loads = {name: self._targets.read_load(name) for name in ready}
-        told = {name: one for name, one in loads.items() if one is not None}
-        if not told:
+        reported = {
+            name: one for name, one in loads.items() if one is not None
+        }
+        if not reported:
             return {}
-        # Answers bring loads seldom. A queue of minutes ago would have an
-        # entry refuse requests that idle targets wait for.
+        # Responses seldom carry load reports. With a queue length that is
+        # minutes old, the entry would refuse requests while targets idle.
         queues = {
             name: float(one.waiting)
-            for name, one in told.items()
-            if now - one.received_at <= QUEUE_KNOWN_MS
+            for name, one in reported.items()
+            if now - one.received_at <= MAX_QUEUE_AGE_MS
         }
-        usual = sum(queues.values()) / max(1, len(queues))
-        known = {
+        mean_queue = sum(queues.values()) / max(1, len(queues))
+        reports = {
             name: _Report(
-                float(one.max_batch), queues.get(name, usual), one.step_ms
+                float(one.max_batch), queues.get(name, mean_queue), one.step_ms
             )
-            for name, one in told.items()
+            for name, one in reported.items()
         }
-        mean = _compute_mean(known.values())
-        return {name: known.get(name, mean) for name in ready}
+        mean = _compute_mean(reports.values())
+        return {name: reports.get(name, mean) for name in ready}
 
 
 def _compute_pipelines(
     model: documents.Model, reports: dict[str, _Report]
 ) -> Capacity:
-    """Add up what pipelines over all layers of a model can run.
+    """Compute the concurrency of the pipelines over all layers of a model.
 
-    A stream is in one stage at a time. So many run at once as tokens can
-    leave the slowest layers in the time that one token takes through all of
-    them (Little's law).
+    A stream occupies one stage at a time. By Little's law the concurrency
+    is the token rate of the slowest layers times the time of one token
+    through all layers.
     """
-    cuts = {0, model.layers}
+    boundaries = {0, model.layers}
     for stage in model.stages:
-        cuts |= {stage.first_layer, stage.end_layer}
+        boundaries |= {stage.first_layer, stage.end_layer}
     spans = [
         _compute_span(model, reports, first, end)
-        for first, end in itertools.pairwise(sorted(cuts))
+        for first, end in itertools.pairwise(sorted(boundaries))
     ]
     if not all(spans):
         return Capacity()
@@ -185,44 +188,49 @@
     first: int,
     end: int,
 ) -> _Span | None:
-    """Sum up layers that are held by the same stages; None if by none."""
-    found = [
+    """Sum up the stages that hold a range of layers; None if none does."""
+    holders = [
         (stage, reports[stage.target])
         for stage in model.stages
         if stage.first_layer <= first
         and end <= stage.end_layer
         and stage.target in reports
     ]
-    if not found:
+    if not holders:
         return None
-    times = [
+    times_ms = [
         _compute_time(model, stage, report.step_ms, end - first)
-        for stage, report in found
+        for stage, report in holders
     ]
     return _Span(
         rate=sum(
-            one.max_batch / max(one.step_ms, _LEAST_STEP_MS)
-            for _, one in found
+            one.max_batch / max(one.step_ms, _MIN_STEP_MS)
+            for _, one in holders
+        ),
+        time_ms=sum(times_ms) / len(times_ms),
+        # Requests that fit into the next batch are not queued.
+        waiting=sum(
+            max(0.0, one.waiting - one.max_batch) for _, one in holders
         ),
-        time_ms=sum(times) / len(times),
-        # What waits for the next step of a batch is no queue.
-        waiting=sum(max(0.0, one.waiting - one.max_batch) for _, one in found),
     )
 
 
 def _compute_time(
     model: documents.Model, stage: documents.Stage, step_ms: float, layers: int
 ) -> float:
-    """Compute the time of one token in some of a stage's layers."""
-    held = stage.end_layer - stage.first_layer
-    wait = 0.0 if held == model.layers else STEP_WAIT
-    return step_ms * (1.0 + wait) * layers / held
+    """Compute the time of one token in a number of layers of a stage.
+
+    Returns milliseconds.
+    """
+    held_layers = stage.end_layer - stage.first_layer
+    step_wait = 0.0 if held_layers == model.layers else MEAN_STEP_WAIT
+    return step_ms * (1.0 + step_wait) * layers / held_layers
 
 
 def _compute_mean(reports: Iterable[_Report]) -> _Report:
-    listed = list(reports)
+    values = list(reports)
     return _Report(
-        sum(one.max_batch for one in listed) / len(listed),
-        sum(one.waiting for one in listed) / len(listed),
-        sum(one.step_ms for one in listed) / len(listed),
+        sum(one.max_batch for one in values) / len(values),
+        sum(one.waiting for one in values) / len(values),
+        sum(one.step_ms for one in values) / len(values),
     )
--- a/src/thornspool/application/directory.py
+++ b/src/thornspool/application/directory.py
@@ -1,4 +1,4 @@
-"""Look-ups of what a caller names in the configuration in force."""
+"""Lookup of the documents that a caller names in the configuration."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
     Attributes
     ----------
     service : documents.Service
-        The service.
+        Service of the workspace.
     operation : documents.Operation
-        One of its operations.
+        Operation of the service.
     targets : tuple of documents.Target
-        Targets that serve it, in the order of the document.
+        Targets of the service, in the order of its document.
     """
 
     service: documents.Service
@@ -42,7 +42,7 @@
     Raises
     ------
     UnknownName
-        When no such workspace is in force.
+        No such workspace is in force.
     """
     workspace = snapshot.workspaces.get(name)
     if workspace is None:
@@ -58,7 +58,7 @@
     Raises
     ------
     UnknownName
-        When workspace or model is not in force, or the workspace may not
+        The workspace or the model is not in force, or the workspace may not
         use the model.
     """
     workspace = find_workspace(snapshot, workspace_name)
@@ -79,8 +79,8 @@
     Raises
     ------
     UnknownName
-        When one of the three is not in force, or the service belongs to
-        another workspace.
+        One of the three is not in force, or the service belongs to another
+        workspace.
     """
     find_workspace(snapshot, workspace_name)
     service = snapshot.services.get(service_name)
@@ -102,16 +102,16 @@
     view: messages.TargetView,
     random_source: random.Random,
 ) -> tuple[documents.Target, ...]:
-    """Return the targets that may be given new work, in a random order.
+    """Return the targets that accept new work, in a random order.
 
     Parameters
     ----------
     targets : tuple of documents.Target
         Targets of a service.
     view : messages.TargetView
-        What this entry believes of targets.
+        Readiness of the targets, as known to the local entry.
     random_source : random.Random
-        Source of the order, so that entries do not all begin with the same.
+        Source of the order, so that entries start with different targets.
     """
     ready = [
         target
--- a/src/thornspool/application/drain.py
+++ b/src/thornspool/application/drain.py
@@ -1,4 +1,4 @@
-"""Leaving without cutting off a request."""
+"""Graceful shutdown of an entry: drains its in-flight requests."""
 
 from __future__ import annotations
 
@@ -18,36 +18,38 @@
 
     from thornspool import clock
 
-SPREAD_MS = 3000
-_CHECK_S = 0.05
+PROPAGATION_MS = 3000
+_CHECK_INTERVAL_S = 0.05
 
 logger = structlog.get_logger(__name__)
 
 
 class DrainService:
-    """The way out of an entry: unlisted, then drained.
+    """Shuts an entry down gracefully: unlists it, then drains it.
 
-    An entry that leaves is unlisted at once and takes no new work. It
-    answers new requests with "not run" and the addresses to use for as long
-    as callers may hold its own, finishes what is in flight and exits.
+    An entry that leaves is unlisted at once and accepts no new work. As long
+    as callers may have its address cached, it responds to new requests with
+    "not run" and the addresses of other entries. It finishes its in-flight
+    requests and exits.
 
     Parameters
     ----------
     clock : Clock
         Source of time.
     announce_leaving : callable
-        Tells the other entries, as ``MembershipService.announce_leaving``.
+        Announces to the other entries that this entry leaves, as
+        ``MembershipService.announce_leaving`` does.
     linger_ms : int, optional
-        How long callers may still come: the time for which they keep an
-        answer, and the time in which the last entry stops giving the
-        address out.
+        Time during which requests may still arrive, in milliseconds: the
+        time for which callers cache a list of entries, plus the time until
+        the last entry no longer lists this address.
     """
 
     def __init__(
         self,
         clock: clock.Clock,
         announce_leaving: Callable[[], None],
-        linger_ms: int = membership.KEEP_MS + SPREAD_MS,
+        linger_ms: int = membership.CALLER_CACHE_MS + PROPAGATION_MS,
     ) -> None:
         self._clock = clock
         self._announce_leaving = announce_leaving
@@ -56,21 +58,21 @@
 
     @property
     def phase(self) -> drains.Phase:
-        """How far the entry is on its way out."""
+        """Current phase of the drain."""
         now = self._clock.now()
         return drains.decide_phase(self._drain, self._linger_ms, now)
 
     @property
     def in_flight(self) -> int:
-        """Requests that have not got their whole answer."""
+        """Number of requests whose response is not complete."""
         return self._drain.in_flight
 
     def is_accepting(self) -> bool:
-        """Return whether new work may begin here."""
+        """Return whether the entry accepts new work."""
         return self.phase is drains.Phase.SERVING
 
     def begin(self) -> None:
-        """Start to leave; calling it again changes nothing."""
+        """Start to drain; further calls have no effect."""
         if not self.is_accepting():
             logger.info('drain_already_begun', in_flight=self.in_flight)
             return
@@ -80,27 +82,27 @@
 
     @contextlib.contextmanager
     def track(self) -> Iterator[None]:
-        """Count a request as in flight until its answer is written.
+        """Count a request as in flight until its response is written.
 
-        It does not refuse: requests that read the outcome of earlier work
-        are served until the end.
+        It never refuses a request: requests for the outcome of earlier work
+        are served until the entry exits.
         """
-        self._count(1)
+        self._add_in_flight(1)
         try:
             yield
         finally:
-            self._count(-1)
+            self._add_in_flight(-1)
 
     async def wait_drained(self) -> None:
-        """Wait until nothing is in flight and no caller may still come.
+        """Wait until nothing is in flight and no more requests can arrive.
 
-        There is no limit of its own: what bounds the wait are the deadlines
-        of the requests in flight.
+        There is no separate timeout: the deadlines of the in-flight requests
+        bound the wait.
         """
         while self.phase is not drains.Phase.DRAINED:
-            await asyncio.sleep(_CHECK_S)
+            await asyncio.sleep(_CHECK_INTERVAL_S)
         logger.info('drain_done')
 
-    def _count(self, change: int) -> None:
+    def _add_in_flight(self, change: int) -> None:
         in_flight = self._drain.in_flight + change
         self._drain = attrs.evolve(self._drain, in_flight=in_flight)
--- a/src/thornspool/application/exceptions.py
+++ b/src/thornspool/application/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the application layer; adapters turn their own into these."""
+"""Errors of the application layer; adapters convert theirs to these."""
 
 from __future__ import annotations
 
@@ -6,52 +6,52 @@
 
 
 class ApplicationError(exceptions.ThornspoolError):
-    """Base of the errors of the use cases."""
+    """Base class of the errors of the use cases."""
 
 
 class PlatformError(ApplicationError):
-    """The platform gave no answer within the time allowed."""
+    """The platform did not respond within the timeout."""
 
 
 class PlatformHeldBack(PlatformError):
-    """Nothing was sent: the platform failed lately and is being spared.
+    """The call was not sent, because recent calls to the platform failed.
 
     Attributes
     ----------
     retry_after_ms : int
-        When a call may be let through, in milliseconds.
+        Time until a call may be sent, in milliseconds.
     """
 
     def __init__(self, retry_after_ms: int) -> None:
         super().__init__(
-            'The platform fails; calls to it are held back.',
+            'The platform is failing; the call was not sent.',
             f'Try again in {retry_after_ms} ms.',
         )
         self.retry_after_ms = retry_after_ms
 
 
 class LedgerMalformed(PlatformError):
-    """A key of the ledger holds something that is no ledger page."""
+    """The value of a ledger key is not a valid ledger page."""
 
 
 class PeerUnreachable(ApplicationError):
-    """A peer gave no reply in time; it may still handle the message."""
+    """A peer did not reply in time; it may still handle the message."""
 
 
 class TargetError(ApplicationError):
-    """Base of the errors of calls to targets."""
+    """Base class of the errors of calls to targets."""
 
 
 class TargetNotReached(TargetError):
-    """Not one byte of the call was written to the target."""
+    """No byte of the call was written to the target."""
 
 
 class TargetAnswerLost(TargetError):
-    """The call was sent, in part or whole, and no whole answer came back."""
+    """The call was at least partly sent, without a complete response."""
 
 
 class TargetConnectionBroken(TargetAnswerLost):
-    """The connection ended under the call; the target may have died."""
+    """The connection closed during the call; the target may have crashed."""
 
 
 class TargetHeldBack(TargetNotReached):
@@ -59,7 +59,7 @@
 
 
 class TargetLeaving(TargetNotReached):
-    """The target refused the call because it leaves; it ran nothing."""
+    """The target refused the call because it is leaving; nothing ran."""
 
 
 class UnknownName(ApplicationError):
@@ -70,7 +70,7 @@
     kind : str
         Kind of the document, for instance ``workspace``.
     name : str
-        The name that was asked for.
+        Requested name of the document.
     """
 
     def __init__(self, kind: str, name: str) -> None:
@@ -81,4 +81,4 @@
 
 
 class MalformedRequest(ApplicationError):
-    """The caller's request can't be understood; nothing was run."""
+    """The request of the caller is malformed; nothing ran."""
--- a/src/thornspool/application/gates.py
+++ b/src/thornspool/application/gates.py
@@ -1,4 +1,4 @@
-"""Whether a request is taken now: limits, deadlines and quarantine."""
+"""Admission checks of requests: limits, deadlines and quarantine."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     from thornspool.application import admission
     from thornspool.application import quarantine
 
-_LIMITS = frozenset(
+_WORKSPACE_LIMITS = frozenset(
     {
         limit_messages.Reason.REQUESTS,
         limit_messages.Reason.TOKENS,
@@ -33,9 +33,9 @@
     clock : clock.Clock
         Source of time.
     service : admission.AdmissionService
-        Limits across entries and bounds of target groups.
+        Limits across entries and concurrency limits of target groups.
     quarantine_service : quarantine.QuarantineService
-        Knows the requests that crash what runs them.
+        Quarantine of the requests that crash targets.
     """
 
     def __init__(
@@ -49,35 +49,37 @@
         self._quarantine = quarantine_service
 
     def admit(self, work: intake.Work) -> intake.Ticket:
-        """Admit a piece of work.
+        """Admit a request, or refuse it.
 
         Raises
         ------
         requests.RequestRefused
-            Names the reason and when to come back.
+            The request was refused, with the reason and a retry delay.
         """
         verdict = self._quarantine.check(work.fingerprint)
         if isinstance(verdict, quarantine_messages.Condemned):
             raise requests.RequestRefused(_CONDEMNED, verdict.retry_after_ms)
-        asked = limit_messages.Asked(
+        request = limit_messages.Asked(
             work.group, work.kind, max(0, work.tokens - 1), work.deadline
         )
         admitted = self._service.admit(
-            work.workspace, asked, self._clock.now()
+            work.workspace, request, self._clock.now()
         )
         if isinstance(admitted, limit_messages.Refused):
-            reason = f'Refused for its {admitted.reason.value}.'
+            reason = f'Request refused: {admitted.reason.value}.'
             raise requests.RequestRefused(
                 reason,
                 admitted.retry_after_ms,
-                by_limit=admitted.reason in _LIMITS,
+                by_limit=admitted.reason in _WORKSPACE_LIMITS,
             )
         is_stream = work.tokens > 0
-        return _Place(self._clock, self._service, admitted.ticket, is_stream)
+        return _AdmittedRequest(
+            self._clock, self._service, admitted.ticket, is_stream
+        )
 
 
-class _Place:
-    """The place of one admitted request."""
+class _AdmittedRequest:
+    """Admitted request, with the times that admission control uses."""
 
     def __init__(
         self,
@@ -92,31 +94,32 @@
         self._is_stream = is_stream
         self._first_at: int | None = None
 
-    def note_first_token(self) -> None:
-        """Learn from the wait for the first token, while others wait too."""
-        asked, now = self._ticket.asked, self._clock.now()
+    def record_first_token(self) -> None:
+        """Record the time to the first token as soon as it arrives."""
+        request, now = self._ticket.asked, self._clock.now()
         self._first_at = now
-        waited = now - self._ticket.admitted_at
-        self._service.observe(asked.group, asked.kind, waited, now)
+        waited_ms = now - self._ticket.admitted_at
+        self._service.observe(request.group, request.kind, waited_ms, now)
 
     def finish(self, tokens: int, outcome: observation.Outcome) -> None:
-        """Give the place back and learn from the request.
+        """Release the request's capacity and record its times.
 
-        Of streams only: calls and actions are timed at the targets. Callers
-        that leave or send what can't be taken say nothing of capacity, and
-        would lower the bound of a healthy target group for everybody.
+        Times are recorded for streams only; calls and actions are timed at
+        the targets. Requests that callers cancel, or that are invalid, carry
+        no information on capacity: they would lower the concurrency limit of
+        a healthy target group for all callers.
         """
         now = self._clock.now()
         if self._first_at is not None:
-            self._learn_rest(self._first_at, tokens, outcome, now)
-        elif self._is_late(outcome, now):
+            self._observe_rest(self._first_at, tokens, outcome, now)
+        elif self._has_timed_out(outcome, now):
             ticket = self._ticket
             self._service.note_late(
                 ticket.asked.group, ticket.admitted_at, now
             )
         self._service.finish(self._ticket, tokens, now)
 
-    def _learn_rest(
+    def _observe_rest(
         self,
         first_at: int,
         tokens: int,
@@ -128,9 +131,9 @@
         rest_ms = now - first_at
         self._service.observe_rest(self._ticket, tokens - 1, rest_ms, now)
 
-    def _is_late(self, outcome: observation.Outcome, now: int) -> bool:
-        """Tell whether a stream did not even begin before its deadline."""
-        failed = outcome not in observation.OF_CALLERS
+    def _has_timed_out(self, outcome: observation.Outcome, now: int) -> bool:
+        """Return whether a stream had not started by its deadline."""
+        failed = outcome not in observation.CALLER_CAUSED
         return (
             self._is_stream and failed and now >= self._ticket.asked.deadline
         )
--- a/src/thornspool/application/intake.py
+++ b/src/thornspool/application/intake.py
@@ -1,4 +1,4 @@
-"""The way of every caller's request: looked up, admitted, run, counted."""
+"""Handling of callers' requests: lookup, admission, execution, metrics."""
 
 from __future__ import annotations
 
@@ -34,29 +34,29 @@
 GENERATION = 'generation'
 ISOLATED_RETRY_MS = 2000
 DRAINING_RETRY_MS = 100
-_ISOLATED = 'This entry reaches neither the platform nor any other entry.'
-_DRAINING = 'This entry is leaving; use another one.'
+_ISOLATED = 'This entry can reach neither the platform nor any other entry.'
+_DRAINING = 'This entry is shutting down; use another one.'
 
 
 @attrs.frozen
 class Work:
-    """What admission weighs.
+    """What admission control needs to know of a request.
 
     Attributes
     ----------
     workspace : str
-        Whose limits count.
+        Workspace whose limits apply.
     group : str
-        Model or service whose targets would run it.
+        Model or service whose targets would run the request.
     fingerprint : str
-        Names the content of the request.
+        Hash of the content of the request.
     deadline : int
         Monotonic milliseconds.
     tokens : int
-        Most tokens that it may generate; 0 for calls.
+        Maximum number of generated tokens; 0 for calls.
     kind : str
-        Names work that takes about as long: the model, or the operation
-        within its service.
+        Name shared by requests of similar duration: the model, or the
+        service and its operation.
     """
 
     workspace: str
@@ -68,31 +68,31 @@
 
 
 class Ticket(typing.Protocol):
-    """A place among the admitted; it has to be given back once."""
+    """An admitted request; its capacity must be released exactly once."""
 
-    def note_first_token(self) -> None:
-        """Tell that the first token of a stream has come."""
+    def record_first_token(self) -> None:
+        """Record that the first token of a stream has arrived."""
         ...
 
     def finish(self, tokens: int, outcome: observation.Outcome) -> None:
-        """Give the place back and tell what became of the request."""
+        """Release the capacity and record the outcome of the request."""
         ...
 
 
 @attrs.frozen
 class Gates:
-    """What decides whether a request is taken.
+    """Checks that decide whether a request is accepted.
 
     Attributes
     ----------
     admit : callable
         Returns a ticket or raises ``RequestRefused``.
     is_accepting : callable
-        False while the entry drains.
+        Returns False while the entry drains.
     is_isolated : callable
-        True while neither platform nor peers answer.
+        Returns True while neither the platform nor any peer responds.
     list_instead : callable
-        URLs of entries to use instead.
+        Returns the URLs of entries to use instead.
     """
 
     admit: Callable[[Work], Ticket]
@@ -108,11 +108,11 @@
     Attributes
     ----------
     actions, calls, generation
-        One for each kind of request.
+        Services for each kind of request.
     list_ready : callable
-        Returns those of some targets that may be given new work.
+        Takes targets and returns those that accept new work.
     trials : service_trials.Trials
-        Keeps calls that crash targets from running.
+        Quarantine of calls that crash targets.
     """
 
     actions: action_service.ActionService
@@ -127,7 +127,7 @@
 
 
 class Intake:
-    """Takes the requests of callers.
+    """Accepts the requests of callers and runs them.
 
     Parameters
     ----------
@@ -136,16 +136,16 @@
     snapshot : callable
         Returns the configuration in force.
     gates : Gates
-        Decide whether a request is taken.
+        Checks that decide whether a request is accepted.
     runners : Runners
-        Run what was taken.
+        Services that run accepted requests.
     track : callable
-        Context manager that counts a request as in flight, so that a drain
-        waits for it.
+        Returns a context manager that counts a request as in flight, so that
+        a drain waits for it.
     metrics : metrics.Metrics
-        Counts requests.
+        Metrics of requests and tokens.
     objective_service : objectives.ObjectiveService
-        Compares requests with their objectives.
+        Counts of requests that meet their objectives.
     """
 
     def __init__(
@@ -175,19 +175,19 @@
         Parameters
         ----------
         request : requests.OperationRequest
-            What to run.
+            Operation to run, with its body.
 
         Returns
         -------
         results.ActionResult
-            What the caller is told.
+            Result to return to the caller.
 
         Raises
         ------
         requests.RequestRefused
-            The request was not taken; nothing ran.
+            The request was refused; nothing ran.
         exceptions.UnknownName
-            Nothing of that name is in force for the workspace.
+            The workspace, service or operation is not in force.
         """
         resolved = directory.find_operation(
             self._snapshot(),
@@ -196,19 +196,19 @@
             request.operation,
         )
         try:
-            with self._admit_operation(request, resolved) as run:
+            with self._admit_operation(request, resolved) as progress:
                 result = await self._operations.run(request, resolved)
-                run.result = result
+                progress.result = result
                 return result
         except requests.RequestRefused as refused:
             if request.resent and not resolved.operation.idempotent:
-                return operations.say_unknown(
+                return operations.build_unknown_result(
                     refused.message, refused.retry_after_ms
                 )
             raise
 
     def mint_key(self, workspace: str) -> str:
-        """Make a key that only this process may ever run.
+        """Create a key that only this process can run.
 
         Parameters
         ----------
@@ -218,21 +218,21 @@
         Returns
         -------
         str
-            For the ``Idempotency-Key`` of one action sent to this entry.
+            Value of ``Idempotency-Key`` for one action sent to this entry.
 
         Raises
         ------
         requests.RequestRefused
-            This entry would not run the key: it drains or is isolated.
+            The entry would not run the key: it is draining or isolated.
         exceptions.UnknownName
             No such workspace is in force.
         """
         directory.find_workspace(self._snapshot(), workspace)
-        self._check_open()
+        self._check_accepting()
         return self._runners.actions.mint_key()
 
     async def look_up(self, workspace: str, key: str) -> results.ActionResult:
-        """Tell what became of an action; also while draining."""
+        """Return the outcome of an action; works while draining too."""
         directory.find_workspace(self._snapshot(), workspace)
         with self._track():
             return await self._runners.actions.look_up(workspace, key)
@@ -245,24 +245,24 @@
         Parameters
         ----------
         request : requests.ModelRequest
-            What to generate.
+            Model, prompt and limits of the generation.
 
         Yields
         ------
         generation.GenerationEvent
-            Tokens, then one ``Finished`` or ``Failed``.
+            Tokens, followed by one ``Finished`` or ``Failed``.
 
         Raises
         ------
         requests.RequestRefused
-            The request was not taken; nothing ran.
+            The request was refused; nothing ran.
         exceptions.UnknownName
-            The workspace may not use such a model.
+            No such model is in force for the workspace.
         """
         directory.find_model(
             self._snapshot(), request.workspace, request.model
         )
-        wanted = generation.GenerationRequest(
+        generation_request = generation.GenerationRequest(
             request_id=request.request_id,
             workspace=request.workspace,
             model=request.model,
@@ -272,23 +272,26 @@
             deadline=self._clock.now() + request.timeout_ms,
             attachments=request.attachments,
         )
-        work = Work(
+        estimate = Work(
             request.workspace,
             request.model,
-            generation_attempts.fingerprint_request(wanted),
-            wanted.deadline,
+            generation_attempts.fingerprint_request(generation_request),
+            generation_request.deadline,
             request.max_tokens,
             request.model,
         )
-        watch = observation.TokenWatch(
+        token_timer = observation.TokenTimer(
             self._clock, self._metrics, self._objectives, request
         )
-        with self._admit(work, GENERATION) as run, contextlib.closing(watch):
-            events = self._runners.generation.stream(wanted)
+        with (
+            self._admit(estimate, GENERATION) as progress,
+            contextlib.closing(token_timer),
+        ):
+            events = self._runners.generation.stream(generation_request)
             async with contextlib.aclosing(events):  # type: ignore[type-var]
                 async for event in events:
-                    run.add_tokens(watch.see(event))
-                    run.result = event
+                    progress.add_tokens(token_timer.record_event(event))
+                    progress.result = event
                     yield event
 
     @contextlib.contextmanager
@@ -296,45 +299,49 @@
         self,
         request: requests.OperationRequest,
         resolved: directory.ResolvedOperation,
-    ) -> Iterator[observation.Run]:
-        """Admit an operation."""
-        work = Work(
+    ) -> Iterator[observation.RequestProgress]:
+        """Admit an operation and record its end."""
+        estimate = Work(
             request.workspace,
             request.service,
             operations.fingerprint_operation(request),
             self._clock.now() + resolved.operation.timeout_ms,
             0,
-            timed_services.name_kind(request.service, request.operation),
+            timed_services.format_work_kind(
+                request.service, request.operation
+            ),
         )
         kind = 'call' if resolved.operation.idempotent else 'action'
-        with self._admit(work, kind) as run:
-            yield run
+        with self._admit(estimate, kind) as progress:
+            yield progress
 
     @contextlib.contextmanager
-    def _admit(self, work: Work, kind: str) -> Iterator[observation.Run]:
-        """Take a request, or refuse it, and count it when it ends."""
-        started = self._clock.now()
+    def _admit(
+        self, estimate: Work, kind: str
+    ) -> Iterator[observation.RequestProgress]:
+        """Admit or refuse a request, and record its end."""
+        started_at = self._clock.now()
         try:
-            self._check_open()
-            ticket = self._gates.admit(work)
+            self._check_accepting()
+            ticket = self._gates.admit(estimate)
         except requests.RequestRefused as refused:
             self._metrics.count_event('request_refused')
             outcome = observation.Outcome.REFUSED
             if refused.by_limit:
                 outcome = observation.Outcome.LIMITED
-            self._count(work, kind, outcome, started)
+            self._record_end(estimate, kind, outcome, started_at)
             raise
-        run = observation.Run(ticket.note_first_token)
+        progress = observation.RequestProgress(ticket.record_first_token)
         try:
             with self._track():
-                yield run
+                yield progress
         finally:
-            outcome = observation.name_outcome(run.result)
-            ticket.finish(run.tokens, outcome)
-            self._count(work, kind, outcome, started)
+            outcome = observation.classify_outcome(progress.result)
+            ticket.finish(progress.tokens, outcome)
+            self._record_end(estimate, kind, outcome, started_at)
 
-    def _check_open(self) -> None:
-        """Refuse new work while draining or cut off from everything."""
+    def _check_accepting(self) -> None:
+        """Refuse new work while the entry is draining or isolated."""
         if not self._gates.is_accepting():
             raise requests.RequestRefused(
                 _DRAINING, DRAINING_RETRY_MS, self._gates.list_instead()
@@ -342,23 +349,28 @@
         if self._gates.is_isolated():
             raise requests.RequestRefused(_ISOLATED, ISOLATED_RETRY_MS)
 
-    def _count(
+    def _record_end(
         self,
-        work: Work,
+        estimate: Work,
         kind: str,
         outcome: observation.Outcome,
-        started: int,
+        started_at: int,
     ) -> None:
-        """Count a request that ended."""
-        duration = self._clock.now() - started
+        """Record a request that ended in the metrics and objectives."""
+        duration_ms = self._clock.now() - started_at
         self._metrics.count_request(
-            kind, work.workspace, outcome.value, duration
+            kind, estimate.workspace, outcome.value, duration_ms
         )
-        if outcome in observation.OF_CALLERS:
+        if outcome in observation.CALLER_CAUSED:
             return
-        done = outcome is observation.Outcome.DONE
-        self._objectives.record_outcome(work.workspace, work.group, done)
-        if kind != GENERATION and done:
+        is_done = outcome is observation.Outcome.DONE
+        self._objectives.record_outcome(
+            estimate.workspace, estimate.group, is_done
+        )
+        if kind != GENERATION and is_done:
             self._objectives.record_time(
-                work.workspace, work.group, burn.Indicator.LATENCY, duration
+                estimate.workspace,
+                estimate.group,
+                burn.Indicator.LATENCY,
+                duration_ms,
             )
--- a/src/thornspool/application/membership.py
+++ b/src/thornspool/application/membership.py
@@ -1,4 +1,4 @@
-"""Who the entries are: the gossip machine run over the ports."""
+"""Membership of entries: runs the gossip state machine over the ports."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
     from thornspool import clock
     from thornspool.domain.membership import records
 
-TICK_MS = 100
-READERS = 3
-READER_MS = 3000
-MIN_READ_MS = 10_000
-READ_MS_PER_MEMBER = 100
-KEEP_MS = 15_000
-FRESH_MS = 3000
-WAKE_MS = 500
+TICK_INTERVAL_MS = 100
+HOST_LIST_READERS = 3
+READER_INTERVAL_MS = 3000
+MIN_READ_INTERVAL_MS = 10_000
+READ_INTERVAL_PER_MEMBER_MS = 100
+CALLER_CACHE_MS = 15_000
+MAX_MESSAGE_AGE_MS = 3000
+RESUME_SETTLING_MS = 500
 
 logger = structlog.get_logger(__name__)
 
@@ -55,7 +55,7 @@
     url : str
         ``http://ip:port`` or ``https://ip:port``.
     failure_domain : str
-        Where it stands.
+        Failure domain of its host.
     """
 
     url: str
@@ -64,16 +64,17 @@
 
 @attrs.frozen
 class EntriesAnswer:
-    """What callers are told about addresses.
+    """Addresses of entries for callers.
 
     Attributes
     ----------
     entries : tuple of Entry
         Entries to use, sorted by URL.
     keep_ms : int
-        How long the answer may be kept; 0 while no other entry is heard.
+        Time for which callers may cache the addresses, in milliseconds; 0
+        while no message of another entry arrives.
     leaving : tuple of str
-        URLs of entries that leave; not to be used for new requests.
+        URLs of entries that are leaving; not to be used for new requests.
     """
 
     entries: tuple[Entry, ...]
@@ -82,29 +83,29 @@
 
 
 class MembershipService:
-    """The port ``MemberView``, kept by gossip.
+    """Implements the port ``MemberView`` by gossip.
 
     Parameters
     ----------
     clock : Clock
         Source of time.
     peers : Peers
-        Messages to the other entries.
+        Messaging between entries.
     platform : Platform
-        Its host list says where entries may be found; it lags, so it only
-        gives addresses to try and never decides who is alive.
+        Platform with the host list. The list is updated late, so it is used
+        only as a source of addresses and never decides who is alive.
     own : Member
-        This entry.
+        The local entry.
     random : random.Random
-        Source of every choice.
+        Source of all random choices.
     read_version : callable
-        Returns the configuration version in force here.
+        Returns the configuration version in force at the local entry.
     on_version : callable
-        Called with a peer address and a version when an entry has a higher
-        version in force than this one; called again, twice a second at
-        most, while that stays so.
+        Called with the peer address and the version of an entry that has a
+        higher version in force than the local one. The call is repeated, at
+        most twice a second, while that is the case.
     settings : Settings, optional
-        Periods, timeouts and bounds of gossip.
+        Intervals, timeouts and limits of gossip.
     """
 
     def __init__(
@@ -121,7 +122,7 @@
         self._clock = clock
         self._peers = peers
         self._platform = platform
-        self._own = ports.Host(
+        self._local_host = ports.Host(
             own.host,
             own.failure_domain,
             ports.HostState.LIVE,
@@ -132,28 +133,28 @@
         self._on_version = on_version
         self._host_watchers: list[HostWatcher] = []
         self._machine = machine.Machine(
-            _identify(own), clock.now(), random, settings
+            _build_identity(own), clock.now(), random, settings
         )
-        self._listed: tuple[ports.Member, ...] = ()
-        self._listed_revision = -1
-        self._heard_at = clock.now()
-        self._running_at = clock.now()
-        self._woke_at = clock.now() - WAKE_MS
+        self._members: tuple[ports.Member, ...] = ()
+        self._members_revision = -1
+        self._last_message_at = clock.now()
+        self._last_active_at = clock.now()
+        self._resumed_at = clock.now() - RESUME_SETTLING_MS
         self._tasks: list[asyncio.Task[None]] = []
         for message_type in messages.MESSAGE_TYPES:
             peers.handle(message_type, self._receive)
 
     def watch_hosts(self, watcher: HostWatcher) -> None:
-        """Have every host list that is read handed on."""
+        """Register a callback for every host list that is read."""
         self._host_watchers.append(watcher)
 
     async def start(self, seeds: Iterable[str] = ()) -> None:
-        """Join and start to probe.
+        """Join the other entries and start to probe them.
 
         Parameters
         ----------
         seeds : iterable of str, optional
-            Peer addresses to try beside those of the platform's list.
+            Peer addresses to try in addition to the platform's host list.
         """
         self._machine.set_seeds(seeds)
         self._tasks = [
@@ -162,8 +163,8 @@
         ]
 
     async def stop(self) -> None:
-        """Tell the others that this entry is gone, and stop."""
-        self._carry_out(self._machine.quit())
+        """Announce that this entry is gone, and stop."""
+        self._execute(self._machine.quit())
         for task in self._tasks:
             task.cancel()
         for task in self._tasks:
@@ -172,59 +173,59 @@
         self._tasks = []
 
     def announce_leaving(self) -> None:
-        """Tell the others that this entry leaves; cannot be taken back."""
+        """Announce that this entry is leaving; this can't be revoked."""
         logger.info('membership_leaving', entry=self._machine.own.incarnation)
-        self._carry_out(self._machine.leave())
+        self._execute(self._machine.leave())
 
     def announce_version(self) -> None:
-        """Spread the version in force here at once instead of shortly."""
-        self._carry_out(self._machine.set_version(self._read_version()))
+        """Announce the local configuration version immediately."""
+        self._execute(self._machine.set_version(self._read_version()))
 
     def poll_versions(self, version: int) -> None:
-        """Ask entries not known to have a version in force.
+        """Request the versions of entries not known to have a version.
 
-        Gossip tells of all of them after some seconds; who waits for it,
-        as a publication does, calls this twice a second meanwhile.
+        Gossip reports the versions of all entries after some seconds. A
+        publication, which waits for them, calls this twice a second.
         """
         commands = self._machine.poll_versions(version, self._clock.now())
-        self._carry_out(commands)
+        self._execute(commands)
 
     def tick(self) -> None:
-        """Do what is due; the loop calls it ten times a second."""
-        self._note_running()
+        """Run the periodic work; called ten times a second."""
+        self._detect_suspension()
         self.announce_version()
-        self._carry_out(self._machine.tick(self._clock.now()))
+        self._execute(self._machine.tick(self._clock.now()))
 
     def list_members(self) -> tuple[ports.Member, ...]:
-        """Return the members believed alive, this entry included.
+        """Return the live members, including this entry.
 
-        The same tuple is returned until something changes.
+        The same tuple object is returned until a member changes.
         """
         view = self._machine.view
-        if view.revision != self._listed_revision:
+        if view.revision != self._members_revision:
             found = (view.find(name) for name in view.list_live())
-            self._listed = tuple(_describe(r) for r in found if r)
-            self._listed_revision = view.revision
-        return self._listed
+            self._members = tuple(_build_member(r) for r in found if r)
+            self._members_revision = view.revision
+        return self._members
 
     def list_all(self) -> tuple[ports.Member, ...]:
-        """Return every remembered member, the dead ones too."""
+        """Return all recorded members, including dead ones."""
         return tuple(
             sorted(
-                (_describe(record) for record in self._machine.view),
+                (_build_member(record) for record in self._machine.view),
                 key=lambda member: member.incarnation,
             )
         )
 
     def find(self, incarnation: str) -> ports.Member | None:
-        """Return a member by incarnation; None when gone or unknown."""
+        """Return a live member by incarnation; None if there is none."""
         record = self._machine.view.find(incarnation)
         if record is None or not record.is_live:
             return None
-        return _describe(record)
+        return _build_member(record)
 
     def list_entries(self) -> EntriesAnswer:
-        """Return the addresses that callers may use, and for how long."""
+        """Return the addresses for callers, with their cache lifetime."""
         members = self.list_members()
         staying = {
             Entry(member.caller_url, member.failure_domain)
@@ -236,62 +237,67 @@
             for member in members
             if member.state is ports.MemberState.LEAVING
         }
-        # A host that was replaced in a hurry may be listed under its old
-        # and its new process at once; its address is in use again.
+        # After a quick restart, the old and the new process of a host may
+        # both be members. The address is then in use again.
         leaving.difference_update(entry.url for entry in staying)
         return EntriesAnswer(
             tuple(sorted(staying, key=lambda entry: entry.url)),
-            self._choose_keep(len(members)),
+            self._choose_cache_ms(len(members)),
             tuple(sorted(leaving)),
         )
 
-    def _choose_keep(self, members: int) -> int:
-        # An entry that leaves stays for as long as callers may keep a list
-        # that was true when it began to. A process that was stopped
-        # meanwhile wakes with an older list; kept as long, it would lead
-        # callers to an address that refuses them.
-        self._note_running()
-        silent_ms = self._clock.now() - self._heard_at
-        if members > 1 and silent_ms > FRESH_MS:
+    def _choose_cache_ms(self, members: int) -> int:
+        # A leaving entry continues to respond for as long as callers may
+        # cache a list from before it began to leave. A process that was
+        # suspended meanwhile holds an older list. Cached for the same time,
+        # that list would direct callers to an address that refuses them.
+        self._detect_suspension()
+        message_age_ms = self._clock.now() - self._last_message_at
+        if members > 1 and message_age_ms > MAX_MESSAGE_AGE_MS:
             return 0
-        return KEEP_MS
+        return CALLER_CACHE_MS
 
     async def refresh_seeds(self, seeds: tuple[str, ...] = ()) -> None:
-        """Read the platform's list and take its addresses as seeds.
+        """Read the platform's host list and use its addresses as seeds.
 
-        This entry is announced first, so that others find it by the list.
+        This entry is announced first, so that others find it in the list.
+
+        Parameters
+        ----------
+        seeds : tuple of str, optional
+            Peer addresses to use in addition.
         """
         try:
-            await self._platform.announce(self._own)
+            await self._platform.announce(self._local_host)
             hosts = await self._platform.list_hosts()
         except exceptions.PlatformError as error:
             logger.warning('host_list_not_read', reason=str(error))
             return
-        listed = [h.peer_address for h in hosts if h.peer_address]
-        self._machine.set_seeds(dict.fromkeys([*seeds, *listed]))
+        addresses = [h.peer_address for h in hosts if h.peer_address]
+        self._machine.set_seeds(dict.fromkeys([*seeds, *addresses]))
         for watcher in self._host_watchers:
             watcher(hosts)
 
     async def _receive(self, sender: str, message: typing.Any) -> None:
         now = self._clock.now()
-        self._note_running()
-        if now - self._woke_at >= WAKE_MS:
-            self._heard_at = now
-        self._carry_out(self._machine.receive(sender, message, now))
+        self._detect_suspension()
+        if now - self._resumed_at >= RESUME_SETTLING_MS:
+            self._last_message_at = now
+        self._execute(self._machine.receive(sender, message, now))
 
-    def _note_running(self) -> None:
-        """Notice that this process was stopped for a while.
+    def _detect_suspension(self) -> None:
+        """Detect that this process was suspended.
 
-        Messages that waited in its sockets are read first when it wakes.
-        They tell of the time before; taken for news, the old list would be
-        given out to be kept.
+        When it resumes, it first reads the messages buffered in its sockets.
+        They describe the time before. If they counted as recent, callers
+        would be allowed to cache an outdated list.
         """
         now = self._clock.now()
-        if now - self._running_at > FRESH_MS:
-            self._woke_at = now
-        self._running_at = now
+        if now - self._last_active_at > MAX_MESSAGE_AGE_MS:
+            self._resumed_at = now
+        self._last_active_at = now
 
-    def _carry_out(self, commands: Iterable[messages.Command]) -> None:
+    def _execute(self, commands: Iterable[messages.Command]) -> None:
         for command in commands:
             match command:
                 case messages.Send():
@@ -301,39 +307,44 @@
 
     async def _run_ticks(self) -> None:
         while True:
-            await _guard(self._tick_once, 'membership_tick_failed')
-            await asyncio.sleep(TICK_MS / 1000)
+            await _log_errors(self._tick_once, 'membership_tick_failed')
+            await asyncio.sleep(TICK_INTERVAL_MS / 1000)
 
     async def _tick_once(self) -> None:
         self.tick()
 
     async def _run_reads(self, seeds: tuple[str, ...]) -> None:
         while True:
-            await _guard(lambda: self.refresh_seeds(seeds), 'host_list_failed')
+            await _log_errors(
+                lambda: self.refresh_seeds(seeds), 'host_list_failed'
+            )
             await asyncio.sleep(self._choose_read_interval() / 1000)
 
     def _choose_read_interval(self) -> float:
-        # The platform counts every call and its rate grows more slowly than
-        # the fleet, so a few members read often, and all the others
-        # together ten times a second at most, whatever their number.
+        # The platform limits the rate of calls, and that limit grows more
+        # slowly than the fleet. A few members therefore read the list often,
+        # and all others together at most ten times a second, regardless of
+        # their number.
         live = self._machine.view.list_live()
-        interval = max(MIN_READ_MS, READ_MS_PER_MEMBER * len(live))
-        readers = rendezvous.choose('host list', live, READERS)
+        interval = max(
+            MIN_READ_INTERVAL_MS, READ_INTERVAL_PER_MEMBER_MS * len(live)
+        )
+        readers = rendezvous.choose('host list', live, HOST_LIST_READERS)
         if self._machine.own.incarnation in readers:
-            interval = READER_MS
+            interval = READER_INTERVAL_MS
         return interval * self._random.uniform(0.75, 1.25)
 
 
-async def _guard(work: Callable[[], Awaitable[None]], event: str) -> None:
-    # An error in one round must not end the loop: the entry would go on
-    # serving, but drop out of every list without a word.
+async def _log_errors(work: Callable[[], Awaitable[None]], event: str) -> None:
+    # An error in one round must not end the loop. The entry would continue
+    # to serve, but disappear from all lists of entries without any log line.
     try:
         await work()
     except Exception:
         logger.exception(event)
 
 
-def _identify(member: ports.Member) -> messages.Identity:
+def _build_identity(member: ports.Member) -> messages.Identity:
     return messages.Identity(
         member.incarnation,
         member.host,
@@ -344,7 +355,7 @@
     )
 
 
-def _describe(record: records.Record) -> ports.Member:
+def _build_member(record: records.Record) -> ports.Member:
     state = _STATES[record.status]
     if record.is_live and record.leaving:
         state = ports.MemberState.LEAVING
--- a/src/thornspool/application/objectives.py
+++ b/src/thornspool/application/objectives.py
@@ -1,7 +1,7 @@
-"""Keeps counts for objectives here and gathers them from all entries.
+"""Counts requests for objectives and collects the counts of all entries.
 
-Entries keep nothing on disk, so the counts of an entry end with its process;
-a report says how many entries it was gathered from.
+Entries store nothing on disk, so the counts of an entry are lost when its
+process ends. A report contains the number of entries that it covers.
 """
 
 from __future__ import annotations
@@ -31,12 +31,12 @@
 
 @attrs.frozen
 class CountsAsked:
-    """Asks an entry for its counts."""
+    """Requests the counts of an entry."""
 
 
 @attrs.frozen
 class SubjectCounts:
-    """Counts of one subject at one entry, for each window of the rules."""
+    """Counts of one subject at one entry, for each window."""
 
     workspace: str
     name: str
@@ -54,18 +54,18 @@
 
 @attrs.frozen
 class BurnReport:
-    """Burn of every subject.
+    """Burn rates of the error budgets of all subjects.
 
     Attributes
     ----------
     wall : int
         Milliseconds since the Unix epoch.
     windows_ms : tuple of int
-        Windows, in the order of each burn's rates.
+        Lengths of the windows, in the order of the rates of each burn.
     entries_asked, entries_answered : int
-        How many entries it was gathered from.
+        Number of entries that were requested, and that replied.
     burns : tuple of burn.Burn
-        The worst first.
+        Burns in descending order of their highest rate.
     """
 
     wall: int
@@ -76,7 +76,7 @@
 
 
 class ObjectiveService:
-    """Counts of this entry, and reports over all entries.
+    """Keeps the counts of the local entry and reports on all entries.
 
     Parameters
     ----------
@@ -85,11 +85,11 @@
     snapshot : callable
         Returns the configuration in force.
     peers : ports.Peers
-        Messages between entries.
+        Messaging between entries.
     members : ports.MemberView
-        Entries to gather from.
+        Entries in view.
     incarnation : str
-        This process, which is not asked over the network.
+        Incarnation of the local entry, which is read without a message.
     """
 
     def __init__(
@@ -106,12 +106,12 @@
         self._members = members
         self._incarnation = incarnation
         self._counts: dict[burn.Subject, objective_counts.SlidingCounts] = {}
-        peers.handle(CountsAsked, self._answer_counts)
+        peers.handle(CountsAsked, self._handle_counts_request)
 
     def record_outcome(self, workspace: str, name: str, good: bool) -> None:
-        """Count a request that ended, towards availability."""
+        """Count a completed request towards the availability objective."""
         subject = burn.Subject(workspace, name, burn.Indicator.AVAILABILITY)
-        self._add(subject, int(good), int(not good))
+        self._add_counts(subject, int(good), int(not good))
 
     def record_time(
         self,
@@ -120,7 +120,7 @@
         indicator: burn.Indicator,
         milliseconds: int,
     ) -> None:
-        """Compare a time with the bound of its objective and count it."""
+        """Compare a time with the limit of its objective and count it."""
         self.record_times(workspace, name, indicator, (milliseconds,))
 
     def record_times(
@@ -130,25 +130,30 @@
         indicator: burn.Indicator,
         times_ms: Sequence[int],
     ) -> None:
-        """Compare times with the bound of their objective and count them."""
+        """Compare times with the limit of their objective and count them."""
         objective = self._find_objective(workspace, name)
         if objective is None:
             return
-        for checked, _, bound in burn.list_checks(objective):
-            if checked is indicator and bound is not None:
+        for checked, _, max_ms in burn.list_checks(objective):
+            if checked is indicator and max_ms is not None:
                 subject = burn.Subject(workspace, name, indicator)
-                good = sum(time <= bound for time in times_ms)
-                self._add(subject, good, len(times_ms) - good)
+                good = sum(time <= max_ms for time in times_ms)
+                self._add_counts(subject, good, len(times_ms) - good)
 
     async def report(
         self, workspaces: tuple[str, ...] | None = None
     ) -> BurnReport:
-        """Gather the counts of all entries and work out every burn.
+        """Collect the counts of all entries and compute all burn rates.
 
         Parameters
         ----------
         workspaces : tuple of str, optional
-            Workspaces to report on; all when left out.
+            Workspaces to report on; all of them by default.
+
+        Returns
+        -------
+        BurnReport
+            Burn rates over the entries that replied in time.
         """
         others = [
             member
@@ -156,10 +161,10 @@
             if member.incarnation != self._incarnation
         ]
         replies = await asyncio.gather(
-            *(self._ask(member.peer_address) for member in others)
+            *(self._request_counts(member.peer_address) for member in others)
         )
         answered = [reply for reply in replies if reply is not None]
-        answered.append(self._read_all())
+        answered.append(self._read_local_counts())
         return BurnReport(
             wall=self._clock.wall(),
             windows_ms=burn.WINDOWS_MS,
@@ -167,24 +172,24 @@
             entries_answered=len(answered),
             burns=tuple(
                 one
-                for one in self._assess(answered)
+                for one in self._compute_burns(answered)
                 if workspaces is None or one.subject.workspace in workspaces
             ),
         )
 
-    def _add(self, subject: burn.Subject, good: int, bad: int) -> None:
+    def _add_counts(self, subject: burn.Subject, good: int, bad: int) -> None:
         counts = self._counts.get(subject)
         if counts is None:
             counts = self._counts[subject] = objective_counts.SlidingCounts()
         counts.add(self._clock.now(), good, bad)
 
-    async def _answer_counts(
+    async def _handle_counts_request(
         self, sender: str, message: CountsAsked
     ) -> CountsReply:
-        return self._read_all()
+        return self._read_local_counts()
 
-    async def _ask(self, peer_address: str) -> CountsReply | None:
-        """Ask one entry; None when it does not answer in time."""
+    async def _request_counts(self, peer_address: str) -> CountsReply | None:
+        """Request the counts of one entry; None without a timely reply."""
         try:
             reply: CountsReply = await self._peers.ask(
                 peer_address, CountsAsked(), GATHER_TIMEOUT_MS
@@ -196,8 +201,8 @@
             return None
         return reply
 
-    def _read_all(self) -> CountsReply:
-        """Read the counts of this entry."""
+    def _read_local_counts(self) -> CountsReply:
+        """Read the counts of the local entry."""
         now = self._clock.now()
         subjects = []
         for subject, counts in self._counts.items():
@@ -213,35 +218,37 @@
             )
         return CountsReply(tuple(subjects))
 
-    def _assess(self, replies: list[CountsReply]) -> tuple[burn.Burn, ...]:
-        """Sum the counts of all entries and work out each burn."""
+    def _compute_burns(
+        self, replies: list[CountsReply]
+    ) -> tuple[burn.Burn, ...]:
+        """Sum the counts of all entries and compute each burn rate."""
         totals: dict[burn.Subject, list[objective_counts.Counts]] = {}
         for reply in replies:
             for line in reply.subjects:
                 subject = burn.Subject(
                     line.workspace, line.name, burn.Indicator(line.indicator)
                 )
-                before = totals.get(
+                summed = totals.get(
                     subject,
                     [objective_counts.Counts()] * len(burn.WINDOWS_MS),
                 )
                 totals[subject] = [
                     counts.add(objective_counts.Counts(good, bad))
                     for counts, good, bad in zip(
-                        before, line.good, line.bad, strict=True
+                        summed, line.good, line.bad, strict=True
                     )
                 ]
         burns = [
-            self._assess_one(subject, windows)
+            self._compute_burn(subject, windows)
             for subject, windows in totals.items()
         ]
-        known = [one for one in burns if one is not None]
-        return tuple(sorted(known, key=lambda one: -max(one.rates)))
+        computed = [one for one in burns if one is not None]
+        return tuple(sorted(computed, key=lambda one: -max(one.rates)))
 
-    def _assess_one(
+    def _compute_burn(
         self, subject: burn.Subject, windows: list[objective_counts.Counts]
     ) -> burn.Burn | None:
-        """Work out one burn; None when its objective is gone."""
+        """Compute one burn rate; None if the objective no longer exists."""
         objective = self._find_objective(subject.workspace, subject.name)
         if objective is None:
             return None
@@ -259,7 +266,7 @@
     def _find_objective(
         self, workspace: str, name: str
     ) -> documents.Objective | None:
-        """Return the objective of a service, or of a workspace's models."""
+        """Return the objective of a service or of a workspace's models."""
         snapshot = self._snapshot()
         service = snapshot.services.get(name)
         if service is not None and service.workspace == workspace:
--- a/src/thornspool/application/observation.py
+++ b/src/thornspool/application/observation.py
@@ -1,4 +1,4 @@
-"""What is noted of a request while it runs and when it ends."""
+"""Measurements of a request while it runs, and its outcome."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
     from thornspool.application import requests
 
 
-TELL_EVERY_MS = 1_000
+FLUSH_INTERVAL_MS = 1_000
 
 
 class Outcome(enum.Enum):
-    """How a request ended; the values are labels of metrics."""
+    """Outcome of a request; the values are labels of metrics."""
 
     DONE = 'done'
     NOT_RUN = 'not_run'
@@ -33,48 +33,50 @@
     LEFT = 'left'
 
 
-OF_CALLERS = frozenset({Outcome.LIMITED, Outcome.REJECTED, Outcome.LEFT})
-"""Endings that callers bring about; no objective and no capacity is missed."""
+CALLER_CAUSED = frozenset({Outcome.LIMITED, Outcome.REJECTED, Outcome.LEFT})
+"""Outcomes that callers cause; they count neither towards objectives nor as a
+sign of missing capacity."""
 
 
-class Run:
-    """What is known of a request when it ends.
+class RequestProgress:
+    """Number of tokens and last result of a request.
 
     Parameters
     ----------
     note_first_token : callable
-        Told once that tokens come.
+        Called once, with the first tokens.
     """
 
-    def __init__(self, note_first_token: Callable[[], None]) -> None:
+    def __init__(self, record_first_token: Callable[[], None]) -> None:
         self.result: typing.Any = None
         self.tokens = 0
-        self._note_first_token = note_first_token
+        self._record_first_token = record_first_token
 
     def add_tokens(self, count: int) -> None:
-        """Count tokens that were handed over."""
+        """Count tokens that were passed to the caller."""
         if self.tokens == 0 and count:
-            self._note_first_token()
+            self._record_first_token()
         self.tokens += count
 
 
-class TokenWatch:
-    """Times the tokens of one stream.
+class TokenTimer:
+    """Measures the times of the tokens of one stream.
 
-    Objectives count by the minute, so they are told of the times between
-    tokens each second and not of each: to look an objective up and count one
-    time in it costs as much as the check of the token.
+    The times between tokens are passed to the objectives once a second
+    rather than with each token. Objectives count by the minute, and looking
+    an objective up and counting one time costs as much as verifying the
+    token.
 
     Parameters
     ----------
     clock : clock.Clock
         Source of time.
     metrics : metrics.Metrics
-        Told of each time.
+        Receives each time.
     objective_service : objectives.ObjectiveService
-        Told of the times now and then.
+        Receives the times in batches.
     request : requests.ModelRequest
-        Request that the stream answers.
+        Request of the stream.
     """
 
     def __init__(
@@ -88,54 +90,54 @@
         self._metrics = metrics
         self._objectives = objective_service
         self._workspace, self._model = request.workspace, request.model
-        self._started = clock.now()
-        self._last: int | None = None
-        self._gaps: list[int] = []
-        self._told_at = self._started
+        self._started_at = clock.now()
+        self._last_token_at: int | None = None
+        self._gaps_ms: list[int] = []
+        self._flushed_at = self._started_at
 
-    def see(self, event: generation.GenerationEvent) -> int:
+    def record_event(self, event: generation.GenerationEvent) -> int:
         """Record the times of an event and return its number of tokens."""
         if not isinstance(event, generation.Tokens):
             return 0
         count = len(event.texts)
         now = self._clock.now()
-        if self._last is None:
-            waited = now - self._started
-            self._metrics.observe_first_token(self._workspace, waited)
+        if self._last_token_at is None:
+            waited_ms = now - self._started_at
+            self._metrics.observe_first_token(self._workspace, waited_ms)
             self._objectives.record_time(
                 self._workspace,
                 self._model,
                 burn.Indicator.FIRST_TOKEN,
-                waited,
+                waited_ms,
             )
         else:
-            waited = (now - self._last) // max(1, count)
-            self._gaps.append(waited)
-        self._metrics.observe_tokens(self._workspace, count, waited)
-        self._last = now
-        if now - self._told_at >= TELL_EVERY_MS:
-            self._tell(now)
+            waited_ms = (now - self._last_token_at) // max(1, count)
+            self._gaps_ms.append(waited_ms)
+        self._metrics.observe_tokens(self._workspace, count, waited_ms)
+        self._last_token_at = now
+        if now - self._flushed_at >= FLUSH_INTERVAL_MS:
+            self._flush_gaps(now)
         return count
 
     def close(self) -> None:
-        """Tell of the last times, also when the caller left."""
-        self._tell(self._clock.now())
-
-    def _tell(self, now: int) -> None:
-        """Have the times since the last telling counted."""
-        gaps, self._gaps = self._gaps, []
-        self._told_at = now
-        if gaps:
+        """Pass the remaining times on, also when the caller cancelled."""
+        self._flush_gaps(self._clock.now())
+
+    def _flush_gaps(self, now: int) -> None:
+        """Pass the times since the last flush to the objectives."""
+        gaps_ms, self._gaps_ms = self._gaps_ms, []
+        self._flushed_at = now
+        if gaps_ms:
             self._objectives.record_times(
                 self._workspace,
                 self._model,
                 burn.Indicator.BETWEEN_TOKENS,
-                gaps,
+                gaps_ms,
             )
 
 
-def name_outcome(result: typing.Any) -> Outcome:
-    """Return how a request ended, from its last result or event."""
+def classify_outcome(result: typing.Any) -> Outcome:
+    """Return the outcome of a request, given its last result or event."""
     match result:
         case results.ActionDone() | generation.Finished():
             return Outcome.DONE
--- a/src/thornspool/application/operations.py
+++ b/src/thornspool/application/operations.py
@@ -1,4 +1,4 @@
-"""Operations of plain services, run in the way that is safe for each."""
+"""Runs operations of plain services as idempotent calls or as actions."""
 
 from __future__ import annotations
 
@@ -20,8 +20,10 @@
     from thornspool.application import requests
     from thornspool.domain.configuration import documents
 
-_RESENT = 'The key was sent before and this entry can not look it up now.'
-_MAY_RUN = frozenset({results.UNKNOWN_NO_RECORD, results.UNKNOWN_UNCHECKED})
+_KEY_RESENT = 'The key was sent before, and this entry can not look it up now.'
+_RUNNABLE_REASONS = frozenset(
+    {results.UNKNOWN_NO_RECORD, results.UNKNOWN_UNCHECKED}
+)
 
 
 class OperationRunner:
@@ -32,7 +34,7 @@
     clock : clock.Clock
         Source of time.
     runners : intake.Runners
-        The use cases of calls and actions.
+        Services that run calls and actions.
     """
 
     def __init__(self, clock: clock.Clock, runners: intake.Runners) -> None:
@@ -44,24 +46,24 @@
         request: requests.OperationRequest,
         resolved: directory.ResolvedOperation,
     ) -> results.ActionResult:
-        """Run an admitted operation in the way that is safe for it."""
+        """Run an admitted operation as an idempotent call or as an action."""
         fingerprint = fingerprint_operation(request)
         if resolved.operation.idempotent:
-            called = await self._runners.calls.call(
+            call_result = await self._runners.calls.call(
                 resolved, request.body, fingerprint
             )
-            return _describe_call(called)
+            return _convert_call_result(call_result)
         deadline = self._clock.now() + resolved.operation.timeout_ms
 
         def list_ready() -> tuple[documents.Target, ...]:
             return self._runners.list_ready(resolved.targets)
 
-        if await self._is_settled(request, resolved, fingerprint):
+        if await self._has_final_result(request, resolved, fingerprint):
             return await self._run_action(
                 request, resolved, list_ready(), deadline
             )
         try:
-            async with service_trials.hold_targets(
+            async with service_trials.reserve_targets(
                 self._runners.trials,
                 fingerprint,
                 list_ready,
@@ -73,7 +75,9 @@
                 )
         except service_trials.Refused as refused:
             if request.resent:
-                return say_unknown(refused.reason, refused.retry_after_ms)
+                return build_unknown_result(
+                    refused.reason, refused.retry_after_ms
+                )
             return results.ActionNotRun(refused.reason, refused.retry_after_ms)
 
     async def _run_action(
@@ -83,33 +87,36 @@
         targets: tuple[documents.Target, ...],
         deadline: int,
     ) -> results.ActionResult:
-        usable = attrs.evolve(resolved, targets=targets)
+        restricted = attrs.evolve(resolved, targets=targets)
         return await self._runners.actions.run(
-            build_action(request, usable, deadline)
+            build_action(request, restricted, deadline)
         )
 
-    async def _is_settled(
+    async def _has_final_result(
         self,
         request: requests.OperationRequest,
         resolved: directory.ResolvedOperation,
         fingerprint: str,
     ) -> bool:
-        """Tell whether a suspect's key has an end that no trial changes.
+        """Return whether the key of a suspected call has a final result.
 
-        Its caller would otherwise wait for targets only to be told what
-        the first call came to. If the key is not settled after all, its
-        call is held back before it is sent.
+        A trial can't change that result, so the caller need not wait for a
+        target to be reserved. If the key turns out not to have a final
+        result, its call is blocked before it is sent.
         """
         verdict = self._runners.trials.check(fingerprint)
         if isinstance(verdict, quarantine_messages.Clear):
             return False
-        known = await self._runners.actions.look_up(
+        recorded = await self._runners.actions.look_up(
             request.workspace, request.key
         )
-        if not isinstance(known, results.ActionUnknown):
+        if not isinstance(recorded, results.ActionUnknown):
             return True
-        may_run = known.reason in _MAY_RUN or resolved.operation.deduplicates
-        return not may_run
+        may_still_run = (
+            recorded.reason in _RUNNABLE_REASONS
+            or resolved.operation.deduplicates
+        )
+        return not may_still_run
 
 
 def build_action(
@@ -117,16 +124,21 @@
     resolved: directory.ResolvedOperation,
     deadline: int,
 ) -> actions.ActionRequest:
-    """Build the request of an action from that of a caller.
+    """Build the request of an action from the request of a caller.
 
     Parameters
     ----------
     request : requests.OperationRequest
-        What the caller sent.
+        Request of the caller.
     resolved : directory.ResolvedOperation
-        What the configuration says of it.
+        Operation with the targets that it may use.
     deadline : int
         Monotonic milliseconds after which nothing is sent.
+
+    Returns
+    -------
+    actions.ActionRequest
+        Request to run the action on these targets.
     """
     return actions.ActionRequest(
         workspace=request.workspace,
@@ -144,28 +156,37 @@
 
 
 def fingerprint_operation(request: requests.OperationRequest) -> str:
-    """Name what is asked, whichever key it is asked under."""
+    """Return the hash of a request's content, without its key."""
     return fingerprints.fingerprint_call(
         request.workspace, request.service, request.operation, request.body
     )
 
 
-def say_unknown(reason: str, retry_after_ms: int) -> results.ActionUnknown:
-    """Answer for a key that was sent before and can't be looked up now.
+def build_unknown_result(
+    reason: str, retry_after_ms: int
+) -> results.ActionUnknown:
+    """Build the result for a resent key that can't be looked up now.
 
-    "Not run" would be read as a statement about the key, which an earlier
-    send may have run; the caller would then book again under a new key.
+    An earlier request with the key may have run. A caller that received "not
+    run" would take it as a statement about the key and repeat its booking
+    under a new key.
     """
-    return results.ActionUnknown(f'{_RESENT} {reason}', retry_after_ms)
+    return results.ActionUnknown(f'{_KEY_RESENT} {reason}', retry_after_ms)
 
 
-def _describe_call(called: calls.CallResult) -> results.ActionResult:
-    """Return the result that stands for an idempotent call."""
-    if isinstance(called, calls.CallAnswered):
-        answer = called.answer
+def _convert_call_result(
+    call_result: calls.CallResult,
+) -> results.ActionResult:
+    """Convert the result of an idempotent call to that of an action."""
+    if isinstance(call_result, calls.CallAnswered):
+        response = call_result.response
         return results.ActionDone(
-            answer.status, answer.content_type, answer.body, False
+            response.status, response.content_type, response.body, False
         )
-    if called.ran:
-        return results.ActionUnknown(called.reason, called.retry_after_ms)
-    return results.ActionNotRun(called.reason, called.retry_after_ms, True)
+    if call_result.may_have_run:
+        return results.ActionUnknown(
+            call_result.reason, call_result.retry_after_ms
+        )
+    return results.ActionNotRun(
+        call_result.reason, call_result.retry_after_ms, True
+    )
--- a/src/thornspool/application/outages.py
+++ b/src/thornspool/application/outages.py
@@ -1,11 +1,10 @@
-"""Ends an outage of the platform at every entry as soon as one sees it end.
-
-Each entry that waited for its own next call would go on refusing actions
-for as long as its backoff lasts, though others are served. So an entry whose
-call is answered after failures tells a few others, and who hears it calls
-the platform at once and, when it is answered, tells a few more. What is told
-is never believed: only an answer of the platform ends a backoff, so a false
-word costs one read.
+"""Spreads the end of a platform outage from one entry to all others.
+
+An entry that only waited for its own next call would refuse actions until
+its backoff ends, although other entries already serve them. An entry whose
+call succeeds after failures therefore notifies a few others. Each of them
+calls the platform at once and, if that succeeds, notifies a few more. Only a
+response of the platform ends a backoff, so a wrong notice costs one read.
 """
 
 from __future__ import annotations
@@ -26,18 +25,19 @@
 
     from thornspool import clock as clock_module
 
-FAN_OUT = 8
-"""Entries told by one that was answered; three rounds reach 350."""
+NOTICE_FAN_OUT = 8
+"""Number of entries that one entry notifies; three rounds reach 350."""
 
-SPREAD_MS_PER_ENTRY = 1
-"""Spread of the reads of all entries: a thousand a second at most."""
+READ_DELAY_PER_ENTRY_MS = 1
+"""Range of the random delay of a read, per entry: all entries together send at
+most a thousand reads a second."""
 
-HEED_INTERVAL_MS = 1_000
-"""Least time between two words that are followed, for a platform that
-answers now and then."""
+MIN_NOTICE_INTERVAL_MS = 1_000
+"""Minimum interval between two notices that cause a read. It limits the reads
+when the platform responds only intermittently."""
 
-_LEAST_WAIT_MS = 10
-"""Between two probes, also when none may leave for want of a budget."""
+_MIN_PROBE_DELAY_MS = 10
+"""Minimum delay between two probes, also while the call budget is empty."""
 
 _MS_PER_S = 1000.0
 
@@ -46,28 +46,28 @@
 
 @attrs.frozen
 class PlatformBack:
-    """Tells that the platform answered the sender after failures."""
+    """Notice that the platform responded to the sender after failures."""
 
 
 class OutageService:
-    """Follows the outages of the platform on this entry.
+    """Handles outages of the platform at the local entry.
 
     Parameters
     ----------
     clock : clock_module.Clock
         Source of time.
     platform : ports.FailingPlatform
-        The platform's client.
+        Client of the platform.
     peers : ports.Peers
-        Messages to the other entries.
+        Messaging between entries.
     members : ports.MemberView
-        The entries in view.
+        Entries in view.
     incarnation : str
-        This entry's own.
+        Incarnation of the local entry.
     random_source : random.Random
-        Chooses who is told, and when to read.
+        Chooses the entries to notify and the delay of reads.
     note_back : callable
-        Called when an outage ends for this entry.
+        Called when an outage ends at this entry.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
         members: ports.MemberView,
         incarnation: str,
         random_source: randoms.Random,
-        note_back: Callable[[], None],
+        on_recovery: Callable[[], None],
     ) -> None:
         self._clock = clock
         self._platform = platform
@@ -86,30 +86,30 @@
         self._members = members
         self._incarnation = incarnation
         self._random = random_source
-        self._note_back = note_back
-        self._heeded_at: int | None = None
+        self._on_recovery = on_recovery
+        self._last_notice_at: int | None = None
         self._task: asyncio.Task[None] | None = None
-        peers.handle(PlatformBack, self._hear)
+        peers.handle(PlatformBack, self._handle_notice)
         platform.follow_outages(
-            self._count_members, self._begin_probing, self._take_recovery
+            self._count_members, self._start_probing, self._handle_recovery
         )
 
     def _count_members(self) -> int:
         return len(self._members.list_members())
 
-    def _begin_probing(self) -> None:
-        """Call the platform until it answers, at the pace of its gate.
+    def _start_probing(self) -> None:
+        """Probe the platform until it responds, as its call budget allows.
 
-        Left to the calls of others, the next one may be long in coming, and
-        the first caller after the outage would be refused.
+        Without probes, the next call may come much later, and the first
+        caller after the outage would be refused.
         """
         if self._task is None or self._task.done():
             loop = asyncio.get_running_loop()
-            self._task = loop.create_task(self._probe_until_back())
+            self._task = loop.create_task(self._probe_until_recovered())
 
-    async def _probe_until_back(self) -> None:
+    async def _probe_until_recovered(self) -> None:
         while (wait_ms := self._platform.read_backoff()) is not None:
-            await asyncio.sleep(max(wait_ms, _LEAST_WAIT_MS) / _MS_PER_S)
+            await asyncio.sleep(max(wait_ms, _MIN_PROBE_DELAY_MS) / _MS_PER_S)
             await self._probe()
 
     async def stop(self) -> None:
@@ -128,32 +128,34 @@
         except exceptions.PlatformError as error:
             logger.debug('platform_probe_failed', reason=str(error))
 
-    def _take_recovery(self) -> None:
+    def _handle_recovery(self) -> None:
         logger.info('platform_back')
-        self._note_back()
+        self._on_recovery()
         others = [
             member
             for member in self._members.list_members()
             if member.incarnation != self._incarnation
             and member.state is not ports.MemberState.DEAD
         ]
-        chosen = self._random.sample(others, min(FAN_OUT, len(others)))
+        chosen = self._random.sample(others, min(NOTICE_FAN_OUT, len(others)))
         for member in chosen:
             self._peers.tell(member.peer_address, PlatformBack())
 
-    async def _hear(self, _sender: str, _news: PlatformBack) -> None:
-        if self._platform.read_backoff() is None or not self._may_heed():
+    async def _handle_notice(
+        self, _sender: str, _notice: PlatformBack
+    ) -> None:
+        if self._platform.read_backoff() is None or not self._accept_notice():
             return
-        spread_ms = self._count_members() * SPREAD_MS_PER_ENTRY
-        delay_ms = self._random.uniform(0, spread_ms)
+        max_delay_ms = self._count_members() * READ_DELAY_PER_ENTRY_MS
+        delay_ms = self._random.uniform(0, max_delay_ms)
         await asyncio.sleep(delay_ms / _MS_PER_S)
         self._platform.end_backoff()
         await self._probe()
 
-    def _may_heed(self) -> bool:
+    def _accept_notice(self) -> bool:
         now = self._clock.now()
-        last = self._heeded_at
-        if last is not None and now - last < HEED_INTERVAL_MS:
+        last = self._last_notice_at
+        if last is not None and now - last < MIN_NOTICE_INTERVAL_MS:
             return False
-        self._heeded_at = now
+        self._last_notice_at = now
         return True
--- a/src/thornspool/application/ports.py
+++ b/src/thornspool/application/ports.py
@@ -1,4 +1,4 @@
-"""Ports: what the use cases need from the outside, as typed protocols."""
+"""Ports of the use cases, as typed protocols that adapters implement."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 @attrs.frozen
 class Versioned:
-    """A value of the platform's key-value service with its version.
+    """A value of the platform's key-value store with its version.
 
     Attributes
     ----------
     value : bytes
         At most one megabyte.
     version : int
-        Grows by any positive amount with each write of the key; 0 stands
-        for a key that does not exist.
+        Version of the key, which increases by any positive amount with each
+        write; 0 for a key that does not exist.
     """
 
     value: bytes
@@ -31,7 +31,7 @@
 
 @attrs.frozen
 class WriteDone:
-    """The write took effect and made this version."""
+    """The write took effect and created this version."""
 
     version: int
 
@@ -43,10 +43,10 @@
 
 @attrs.frozen
 class WriteUnknown:
-    """Nobody can tell yet: the write took effect, may still, or never will.
+    """The outcome is unknown: the write may have taken or still take effect.
 
-    Reading the old version back proves nothing, since the write may still
-    be on its way. Only a later version without it settles that it was lost.
+    Reading the old version back is not conclusive, since the write may still
+    be in transit. Only a later version without it shows that it was lost.
     """
 
 
@@ -54,7 +54,7 @@
 
 
 class HostState(enum.Enum):
-    """What the platform's list says of a host; it lags."""
+    """State of a host in the platform's list, which is updated late."""
 
     LIVE = 'live'
     LEAVING = 'leaving'
@@ -62,16 +62,16 @@
 
 @attrs.frozen
 class Host:
-    """A line of the platform's list of hosts.
+    """A host in the platform's host list.
 
     Attributes
     ----------
     name : str
         Name of the host.
     failure_domain : str
-        Where it stands.
+        Failure domain of the host.
     state : HostState
-        Live or leaving, some seconds late.
+        State of the host, delayed by some seconds.
     peer_address : str
         ``tcp://ip:port`` of the entry on it; empty for a target host.
     """
@@ -83,44 +83,44 @@
 
 
 class Platform(typing.Protocol):
-    """The platform's key-value service and host list.
+    """The platform's key-value store and host list.
 
-    Every method raises ``PlatformError`` of ``application.exceptions``
-    when no answer could be had within the adapter's timeout, except that a
-    write whose fate is open returns ``WriteUnknown``.
+    Every method raises ``PlatformError`` of ``application.exceptions`` when
+    the platform does not respond within the adapter's timeout. As an
+    exception, a write whose outcome is unknown returns ``WriteUnknown``.
     """
 
     async def get(self, key: str) -> Versioned:
-        """Read a key; version 0 and no bytes when it does not exist."""
+        """Read a key; version 0 and no bytes if it does not exist."""
         ...
 
     async def put(
         self, key: str, value: bytes, expected_version: int
     ) -> WriteResult:
-        """Write a key if its version still is the expected one."""
+        """Write a key if it still has the expected version."""
         ...
 
     async def watch(
         self, key: str, after_version: int, timeout_ms: int
     ) -> Versioned | None:
-        """Wait until a key is past a version; None when time is up."""
+        """Wait for a version after the given one; None after the timeout."""
         ...
 
     async def announce(self, own: Host) -> None:
-        """Put an entry into the list of hosts for some time, or keep it.
+        """Add an entry to the host list, or renew it there.
 
-        It leaves the list by itself when it is not announced again.
+        The entry expires from the list unless it is announced again.
         """
         ...
 
     async def list_hosts(self) -> tuple[Host, ...]:
-        """Read the list of live and leaving hosts."""
+        """Return the live and leaving hosts."""
         ...
 
 
 @attrs.frozen
 class Envelope:
-    """A message between entries, before its body is decoded.
+    """A message between entries, with its body still encoded.
 
     Attributes
     ----------
@@ -138,11 +138,11 @@
 
 
 Handler = typing.Callable[[str, typing.Any], 'Awaitable[typing.Any]']
-"""Takes the sender's incarnation and a message, returns the reply."""
+"""Takes the sender's incarnation and a message, and returns the reply."""
 
 
 class FailingPlatform(typing.Protocol):
-    """How outages of the platform are followed at its client."""
+    """Client of the platform that detects outages and reports them."""
 
     def follow_outages(
         self,
@@ -150,35 +150,42 @@
         note_failing: Callable[[], None],
         note_back: Callable[[], None],
     ) -> None:
-        """Name what counts the entries and what is told of an outage.
-
-        ``note_failing`` is called when calls begin to be held back,
-        ``note_back`` at the first answer after that.
+        """Register the callbacks for outages.
+
+        Parameters
+        ----------
+        count_entries : callable
+            Returns the number of entries.
+        note_failing : callable
+            Called when the client starts to reject calls.
+        note_back : callable
+            Called at the first response of the platform after that.
         """
         ...
 
     def read_backoff(self) -> int | None:
-        """Return the milliseconds until a call may leave.
+        """Return the milliseconds until a call may be sent.
 
-        None while calls are not held back.
+        None while calls are not rejected.
         """
         ...
 
     def end_backoff(self) -> None:
-        """Let the next call leave at once."""
+        """Allow the next call to be sent immediately."""
         ...
 
     async def probe(self) -> None:
-        """Call the platform for its answer alone."""
+        """Call the platform only to check that it responds."""
         ...
 
 
 class Peers(typing.Protocol):
-    """Messages between entries; delivery is at most once and unordered.
+    """Messaging between entries; delivery is at most once and unordered.
 
     Messages and replies are frozen ``attrs`` classes. ``ask`` raises
-    ``PeerUnreachable`` of ``application.exceptions`` when no reply came in
-    time; the message may still have been, or may still be, handled.
+    ``PeerUnreachable`` of ``application.exceptions`` when no reply arrives
+    in time; the peer may nevertheless have handled the message, or may
+    still do so.
     """
 
     async def ask(
@@ -188,7 +195,7 @@
         ...
 
     def tell(self, peer_address: str, message: typing.Any) -> None:
-        """Send a message without waiting; it may be lost."""
+        """Send a message without waiting for a reply; it may be lost."""
         ...
 
     def handle(
@@ -196,31 +203,30 @@
         message_type: type,
         handler: Callable[[str, typing.Any], Awaitable[typing.Any]],
     ) -> None:
-        """Have a coroutine answer every message of one type.
+        """Register a coroutine as the handler of one type of message.
 
-        The handler returns the reply, or None when the message was told
-        and not asked.
+        The handler returns the reply, or None if the sender expects none.
         """
         ...
 
 
 class MemberView(typing.Protocol):
-    """Who the entries are, as seen from here; views of entries differ."""
+    """The entries, as known to the local entry; views of entries differ."""
 
     def list_members(self) -> tuple[Member, ...]:
-        """Return the members believed alive, this entry included.
+        """Return the live members, including the local entry.
 
-        Sorted by incarnation; leaving members are part of it.
+        They are sorted by incarnation and include leaving members.
         """
         ...
 
     def find(self, incarnation: str) -> Member | None:
-        """Return a member by incarnation; None when gone or unknown."""
+        """Return a live member by incarnation; None if there is none."""
         ...
 
 
 class MemberState(enum.Enum):
-    """What an entry believes of a member."""
+    """State of a member, as known to the local entry."""
 
     ALIVE = 'alive'
     SUSPECT = 'suspect'
@@ -230,17 +236,17 @@
 
 @attrs.frozen
 class Member:
-    """An entry as the others know it.
+    """An entry, as known to the other entries.
 
     Attributes
     ----------
     incarnation : str
-        Names one process from its start to its end; a restarted entry has
-        another one.
+        Identifies one process from its start to its end; a restarted entry
+        has a new one.
     host : str
-        Host that it runs on.
+        Host on which the entry runs.
     failure_domain : str
-        Where the host stands.
+        Failure domain of the host.
     region : str
         Region of the failure domain.
     peer_address : str
@@ -248,9 +254,9 @@
     caller_url : str
         ``http://ip:port`` or ``https://ip:port`` for callers.
     state : MemberState
-        What is believed of it.
+        State of the member, as known to the local entry.
     configuration_version : int
-        Last configuration version that it said was in force there.
+        Last configuration version that the member reported as in force.
     """
 
     incarnation: str
@@ -265,33 +271,33 @@
 
 @attrs.frozen
 class ServiceCall:
-    """One call to a plain service's target.
+    """One call to a target of a plain service.
 
     Attributes
     ----------
     url : str
         ``http://ip:port`` of the target.
     service : str
-        Service that the target serves.
+        Service of the target.
     operation : str
         Operation to call.
     workspace : str
-        Workspace on whose behalf it is called.
+        Workspace of the caller.
     key : str
-        Idempotency key, empty for idempotent operations.
+        Idempotency key; empty for idempotent operations.
     fencing_token : int
-        Grows with each grant of a key; 0 where there is none.
+        Token that increases with each grant of a key; 0 if there is none.
     body : bytes
         Request body, JSON.
     timeout_ms : int
-        Longest time for the whole answer.
+        Time limit for the complete response, in milliseconds.
     target : str
         Name of the target.
     fingerprint : str
-        Names what is asked, whatever the key; empty when it is not known.
+        Hash of the content of the request, without its key; empty if unknown.
     alone : bool
-        Whether the call needs a connection of its own, so that a broken one
-        can't have been broken before.
+        Whether the call needs a connection of its own. A connection that
+        breaks then can't have been broken before the call.
     """
 
     url: str
@@ -309,7 +315,7 @@
 
 @attrs.frozen
 class ServiceAnswer:
-    """A whole answer of a plain service.
+    """A complete response of a plain service.
 
     Attributes
     ----------
@@ -318,7 +324,7 @@
     content_type : str
         Media type of the body.
     body : bytes
-        The whole body.
+        Body of the response.
     """
 
     status: int
@@ -329,12 +335,12 @@
 class Services(typing.Protocol):
     """Calls to plain services.
 
-    ``call`` raises ``TargetNotReached`` when not one byte was written and
-    ``TargetAnswerLost`` when a byte may have been written and no whole
-    answer came back, of which ``TargetConnectionBroken`` says that the
-    connection ended under the call.
+    ``call`` raises ``TargetNotReached`` when no byte was written. It raises
+    ``TargetAnswerLost`` when a byte may have been written and no complete
+    response arrived, and its subclass ``TargetConnectionBroken`` when the
+    connection closed during the call.
     """
 
     async def call(self, call: ServiceCall) -> ServiceAnswer:
-        """Call an operation once; never repeats it."""
+        """Call an operation once; never retries it."""
         ...
--- a/src/thornspool/application/requests.py
+++ b/src/thornspool/application/requests.py
@@ -1,4 +1,4 @@
-"""Typed requests and results between callers' interface and use cases."""
+"""Requests that the caller interface passes to the use cases."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 @attrs.frozen
 class OperationRequest:
-    """A call of a service's operation.
+    """A request to run an operation of a service.
 
     Attributes
     ----------
     workspace, service, operation : str
-        What is called.
+        Names of the operation and of what it belongs to.
     key : str
-        Idempotency key, empty when the caller gave none.
+        Idempotency key; empty if the caller sent none.
     body : bytes
         JSON text.
     resent : bool
-        Whether the caller says that it sent the key before.
+        Whether the caller marked the key as sent before.
     """
 
     workspace: str
@@ -45,19 +45,19 @@
     Attributes
     ----------
     request_id : str
-        Chosen by the entry.
+        Identifier that the entry chose.
     workspace, model : str
-        What is asked.
+        Workspace of the caller and requested model.
     prompt : str
         Text that the model continues.
     max_tokens : int
-        Bound on the number of tokens.
+        Maximum number of generated tokens.
     priority : int
-        Higher ones go first.
+        Requests of higher priority are served first.
     timeout_ms : int
-        Bound on the whole answer, in milliseconds.
+        Time limit for the complete response, in milliseconds.
     attachments : tuple of generation_attachments.Attachment
-        Files that the model sees along with the prompt.
+        Files passed to the model with the prompt.
     """
 
     request_id: str
@@ -71,18 +71,18 @@
 
 
 class RequestRefused(exceptions.ApplicationError):
-    """The request was given up before anything ran.
+    """The request was refused before anything ran.
 
     Parameters
     ----------
     reason : str
-        Why, in one sentence.
+        Reason, as one sentence.
     retry_after_ms : int
-        When to come back, in milliseconds.
+        Delay before the caller should retry, in milliseconds.
     instead : tuple of str
         Addresses of entries to use instead of this one.
     by_limit : bool
-        Whether a limit of the workspace stood against it.
+        Whether a limit of the workspace is the reason.
     """
 
     def __init__(
@@ -92,7 +92,7 @@
         instead: tuple[str, ...] = (),
         by_limit: bool = False,
     ) -> None:
-        super().__init__(reason, f'Come back in {retry_after_ms} ms.')
+        super().__init__(reason, f'Retry in {retry_after_ms} ms.')
         self.retry_after_ms = retry_after_ms
         self.instead = instead
         self.by_limit = by_limit
--- a/src/thornspool/application/service_trials.py
+++ b/src/thornspool/application/service_trials.py
@@ -1,4 +1,4 @@
-"""Calls to plain services that may crash the targets that run them."""
+"""Trials of calls to plain services that may crash their targets."""
 
 from __future__ import annotations
 
@@ -24,14 +24,15 @@
     from thornspool.domain.configuration import documents
 
 CONDEMNED = 'This request crashed the targets that ran it.'
-WAITED = (
-    'Targets died under this request or beside it; '
-    'it could not run apart from other such requests in time.'
+WAIT_EXPIRED = (
+    'Targets crashed while they ran this request or others with it; '
+    'it could not run separately from other such requests in time.'
 )
 RETRY_AFTER_MS = 1000
-KEEP_MS = quarantine.DEFAULT_TRIAL_MS
-NEWS_MS = 50
-"""News of a death are everywhere within it, unless they are lost."""
+TRIAL_MS = quarantine.DEFAULT_TRIAL_MS
+UPDATE_PROPAGATION_MS = 50
+"""Time within which all entries receive the update on a crash, unless it is
+lost."""
 
 _MS_PER_S = 1000
 
@@ -39,14 +40,14 @@
 
 
 class Trials(generation_trials.Trials, typing.Protocol):
-    """Quarantine, as far as calls to plain services need it."""
+    """Port to the quarantine, for calls to plain services."""
 
     def may_send(self, fingerprint: str, target: str) -> bool:
-        """Say whether a call may be sent to a target at this moment."""
+        """Return whether a call may be sent to a target now."""
         ...
 
     def find_trial(self, fingerprint: str) -> object | None:
-        """Return the trial that is kept for a request."""
+        """Return the current trial of a request; None if there is none."""
         ...
 
     def give_up(self, fingerprint: str, trial: object) -> None:
@@ -54,56 +55,56 @@
         ...
 
     def clear(self, fingerprint: str) -> None:
-        """Note that a target ran a request to its end and lives."""
+        """Record that a target completed a request and is alive."""
         ...
 
     def is_proven(self, fingerprint: str) -> bool:
-        """Say whether a request lately ran to its end from here."""
+        """Return whether a request recently completed through this entry."""
         ...
 
     def note_death(self, target: str, fingerprints: tuple[str, ...]) -> None:
-        """Note that a target died, and what was in flight on it."""
+        """Record that a target crashed, and the requests in flight on it."""
         ...
 
 
 class NoTrials(generation_trials.NoTrials):
-    """Holds every call for harmless."""
+    """Quarantine that lets every call run."""
 
     def may_send(self, fingerprint: str, target: str) -> bool:
-        """Say that a call may be sent."""
+        """Return that the call may be sent."""
         return True
 
     def find_trial(self, fingerprint: str) -> object | None:
-        """Say that there is none."""
+        """Return that there is no trial."""
         return None
 
     def give_up(self, fingerprint: str, trial: object) -> None:
-        """Take note of nothing."""
+        """Do nothing; there are no trials."""
 
     def clear(self, fingerprint: str) -> None:
-        """Take note of nothing."""
+        """Do nothing; completions are not recorded."""
 
     def is_proven(self, fingerprint: str) -> bool:
-        """Say that every request is known."""
+        """Return that every request completed recently."""
         return True
 
     def note_death(self, target: str, fingerprints: tuple[str, ...]) -> None:
-        """Take note of nothing."""
+        """Do nothing; crashes are not recorded."""
 
 
-class NoTarget(Exception):
-    """No target may be given the call."""
+class NoTargetAvailable(Exception):
+    """No target is available for the call."""
 
 
 class Refused(Exception):
-    """The call may not run now; nothing of it was sent.
+    """The call may not run now; nothing was sent.
 
     Parameters
     ----------
     reason : str
-        Why, for the caller.
+        Reason for the caller.
     retry_after_ms : int
-        When to come back.
+        Delay before the caller should retry, in milliseconds.
     """
 
     def __init__(self, reason: str, retry_after_ms: int) -> None:
@@ -114,35 +115,41 @@
 
 @attrs.frozen
 class Place:
-    """A target that a call may be sent to."""
+    """Plan of a call, which consists of one target."""
 
     target: documents.Target
 
     def list_targets(self) -> tuple[str, ...]:
-        """Return its name."""
+        """Return the name of the target as the only one."""
         return (self.target.name,)
 
 
-def rank(
+def rank_targets(
     trials: Trials, fingerprint: str, ready: tuple[documents.Target, ...]
 ) -> tuple[documents.Target, ...]:
-    """Rank the targets that a call may be sent to.
+    """Rank the targets to which a call may be sent.
 
-    A call that crashes targets may be sent through several entries at the
-    same moment, before any of them can know of it, and each would lose a
-    target. So a call that is new here goes to the target that all entries
-    find first for it, without a message between them; it costs one target
-    then. Calls that ran of late go anywhere, or the same status read, sent
-    many times a second, would use one target of its service.
+    A call that crashes targets may arrive at several entries at the same
+    time, before any of them has learned of a crash; each entry would then
+    lose a target. A call that is new to this entry is therefore sent to the
+    first target of a ranking that all entries compute alike, without any
+    message, and costs one target only. Calls that completed recently may go
+    to any target. Otherwise the same status read, sent many times a second,
+    would use a single target of its service.
 
     Parameters
     ----------
     trials : Trials
-        Knows which calls ran.
+        Quarantine, which records completed calls.
     fingerprint : str
-        The call's.
+        Hash of the content of the call.
     ready : tuple of documents.Target
-        Targets in a random order.
+        Ready targets in a random order.
+
+    Returns
+    -------
+    tuple of documents.Target
+        The same targets, in the order in which to use them.
     """
     if trials.is_proven(fingerprint):
         return ready
@@ -158,62 +165,69 @@
     clock: clock_module.Clock,
     deadline: int,
 ) -> documents.Target:
-    """Find a target that a call may be sent to, or wait for one.
+    """Find a target to which a call may be sent, or wait for one.
 
     Parameters
     ----------
     trials : Trials
-        Knows the suspects.
+        Quarantine, which records suspected calls.
     fingerprint : str
-        The call's.
+        Hash of the content of the call.
     choose : callable
-        Chooses a target that is not among the given names, if it can.
+        Takes names of targets and returns a target that is not among them,
+        or None.
     clock : clock_module.Clock
         Source of time.
     deadline : int
         Monotonic milliseconds after which the wait ends.
 
+    Returns
+    -------
+    documents.Target
+        Target that the call may use; a suspected call has it reserved.
+
     Raises
     ------
     Refused
-        The call is condemned, or got no target for itself in time.
+        The call is condemned, or no target was reserved for it in time.
     NoTarget
-        There is none to choose.
+        No target is available.
     """
 
     def plan(busy: frozenset[str]) -> Place:
         target = choose(busy) or choose(frozenset())
         if target is None:
-            raise NoTarget
+            raise NoTargetAvailable
         return Place(target)
 
     try:
-        # An action may be sent just before the deadline and take as long
-        # again. Beyond that it is kept on, since an entry that missed the
-        # news of a death under the trial would try the call once more.
-        keep_ms = KEEP_MS + max(0, deadline - clock.now())
+        # An action may be sent just before the deadline and then run for
+        # the same time again. The trial lasts beyond that, because an entry
+        # that missed the update on a crash during the trial would try the
+        # call once more.
+        trial_ms = TRIAL_MS + max(0, deadline - clock.now())
         place = await generation_trials.find_route(
-            trials, fingerprint, plan, clock, deadline, keep_ms
+            trials, fingerprint, plan, clock, deadline, trial_ms
         )
     except generation_trials.TimeSpent:
-        raise Refused(WAITED, RETRY_AFTER_MS) from None
+        raise Refused(WAIT_EXPIRED, RETRY_AFTER_MS) from None
     if isinstance(place, generation_trials.Condemned):
         raise Refused(CONDEMNED, place.retry_after_ms)
     return place.target
 
 
 @contextlib.asynccontextmanager
-async def hold_targets(
+async def reserve_targets(
     trials: Trials,
     fingerprint: str,
     list_ready: Callable[[], tuple[documents.Target, ...]],
     clock: clock_module.Clock,
     deadline: int,
 ) -> AsyncIterator[tuple[documents.Target, ...]]:
-    """Give the targets that an action may use, before it asks for a grant.
+    """Yield the targets that an action may use, before it requests a grant.
 
-    All that are ready to an action without suspicion; one, kept for it, to
-    a suspect.
+    An action that is not suspected gets all ready targets. A suspected one
+    gets a single target, which is reserved for it.
 
     Raises
     ------
@@ -223,45 +237,45 @@
 
     def choose(busy: frozenset[str]) -> documents.Target | None:
         ready = tuple(one for one in list_ready() if one.name not in busy)
-        return next(iter(rank(trials, fingerprint, ready)), None)
+        return next(iter(rank_targets(trials, fingerprint, ready)), None)
 
     try:
         target = await find_target(
             trials, fingerprint, choose, clock, deadline
         )
-    except NoTarget:
+    except NoTargetAvailable:
         yield ()
         return
     trial = trials.find_trial(fingerprint)
     if trial is None:
         others = tuple(one for one in list_ready() if one != target)
-        yield (target, *rank(trials, fingerprint, others))
+        yield (target, *rank_targets(trials, fingerprint, others))
         return
     try:
         yield (target,)
     finally:
-        # A call that was sent ends its trial itself, maybe after its caller
-        # has gone; one that got no grant never starts it.
+        # A call that was sent ends its trial itself, possibly after its
+        # caller cancelled. A call without a grant never starts its trial.
         trials.give_up(fingerprint, trial)
 
 
 class WatchedServices:
-    """Calls to plain services, of which quarantine is told.
+    """Implements the port ``Services`` and reports crashes to quarantine.
 
-    A target counts as dead if the connection ended under a call and the
-    target's host then refuses connections. Calls whose connection ended so
-    are suspects. No answer in time counts for nothing.
+    A target counts as crashed if the connection closes during a call and its
+    host then refuses connections. Calls whose connection closed in this way
+    become suspects. A timeout is not evidence of a crash.
 
     Parameters
     ----------
     services : ports.Services
         Sends one call.
     trials : Trials
-        Says whether a call may be sent, and is told of its end.
+        Quarantine, which allows calls and records how they end.
     is_refusing : coroutine function
-        Tells whether connections to a URL are refused.
+        Returns whether connections to a URL are refused.
     note_failure : callable
-        Told the name of a target that died, and why it is held for dead.
+        Called with the name of a crashed target and the reason.
     """
 
     def __init__(
@@ -275,58 +289,59 @@
         self._trials = trials
         self._is_refusing = is_refusing
         self._note_failure = note_failure
-        self._broken: dict[str, set[str]] = {}
-        self._judging: dict[str, asyncio.Task[None]] = {}
+        self._broken_calls: dict[str, set[str]] = {}
+        self._crash_checks: dict[str, asyncio.Task[None]] = {}
 
     async def call(self, call: ports.ServiceCall) -> ports.ServiceAnswer:
-        """Call an operation once; never repeats it.
+        """Call an operation once; never retries it.
 
         Raises
         ------
         exceptions.TargetHeldBack
-            A target died under this request since it was placed; nothing
-            was sent.
+            A target crashed while running the same request after this one
+            got its target; nothing was sent.
         exceptions.TargetError
-            As the services say.
+            The call failed, as the port describes.
         """
         if not call.fingerprint:
             return await self._services.call(call)
         if not self._trials.may_send(call.fingerprint, call.target):
             raise exceptions.TargetHeldBack(
-                'A target died under this request; it was not sent again.',
-                'Nothing was run; send the request again.',
+                'A target crashed while it ran this request; it was not sent.',
+                'Nothing ran; send the request again.',
             )
         on_trial = self._trials.start(call.fingerprint, call.target)
         succeeded = False
         try:
-            answer = await self._services.call(
+            response = await self._services.call(
                 attrs.evolve(call, alone=on_trial)
             )
             succeeded = True
         except exceptions.TargetConnectionBroken:
-            # Told before the trial ends, or it would not count as its.
-            await self._judge(call)
-            await self._wait_for_news(call)
+            # The crash is recorded before the trial ends; otherwise it would
+            # not be attributed to the trial.
+            await self._detect_crash(call)
+            await self._wait_for_updates(call)
             raise
         except exceptions.TargetNotReached:
-            await self._wait_for_news(call)
+            await self._wait_for_updates(call)
             raise
         finally:
-            self._end(call, on_trial, succeeded)
-        return answer
+            self._record_end(call, on_trial, succeeded)
+        return response
 
-    async def _wait_for_news(self, call: ports.ServiceCall) -> None:
-        """Wait before a new call that failed is sent elsewhere.
+    async def _wait_for_updates(self, call: ports.ServiceCall) -> None:
+        """Wait before a new call that failed is sent to another target.
 
-        The target may have died a moment ago, or be about to, under the
-        same call of another entry, whose news is on its way; sent on at
-        once, the call would cost the next target.
+        The target may just have crashed, or be about to crash, because of
+        the same call through another entry, whose update is in transit. If
+        the call were retried at once, it would crash the next target.
         """
         is_new = not self._trials.is_proven(call.fingerprint)
         if is_new and self._trials.may_send(call.fingerprint, call.target):
-            await asyncio.sleep(NEWS_MS / _MS_PER_S)
+            await asyncio.sleep(UPDATE_PROPAGATION_MS / _MS_PER_S)
 
-    def _end(
+    def _record_end(
         self, call: ports.ServiceCall, on_trial: bool, succeeded: bool
     ) -> None:
         if on_trial:
@@ -334,26 +349,27 @@
         elif succeeded:
             self._trials.clear(call.fingerprint)
 
-    async def _judge(self, call: ports.ServiceCall) -> None:
-        """Tell of a death if the target of a broken call died.
+    async def _detect_crash(self, call: ports.ServiceCall) -> None:
+        """Record a crash if the target of a broken call crashed.
 
-        All calls on a target break with it. They share one judgement, so
-        that the other entries are told once and not for each of them.
+        All calls in flight on a target break when it crashes. They share one
+        check, so that the other entries receive one update and not one for
+        each call.
         """
-        self._broken.setdefault(call.target, set()).add(call.fingerprint)
-        task = self._judging.get(call.target)
+        self._broken_calls.setdefault(call.target, set()).add(call.fingerprint)
+        task = self._crash_checks.get(call.target)
         if task is None:
-            task = asyncio.create_task(self._tell_death(call))
-            self._judging[call.target] = task
+            task = asyncio.create_task(self._check_crash(call))
+            self._crash_checks[call.target] = task
         await asyncio.shield(task)
 
-    async def _tell_death(self, call: ports.ServiceCall) -> None:
+    async def _check_crash(self, call: ports.ServiceCall) -> None:
         try:
-            is_dead = await self._is_refusing(call.url)
+            has_crashed = await self._is_refusing(call.url)
         finally:
-            broken = self._broken.pop(call.target)
-            del self._judging[call.target]
-        if not is_dead:
+            fingerprints = self._broken_calls.pop(call.target)
+            del self._crash_checks[call.target]
+        if not has_crashed:
             return
-        self._note_failure(call.target, 'It refuses connections.')
-        self._trials.note_death(call.target, tuple(sorted(broken)))
+        self._note_failure(call.target, 'The target refuses connections.')
+        self._trials.note_death(call.target, tuple(sorted(fingerprints)))
--- a/src/thornspool/application/targets.py
+++ b/src/thornspool/application/targets.py
@@ -1,4 +1,4 @@
-"""Which targets may be given new work, and how loaded they are."""
+"""Readiness and load of targets, by polls and updates of other entries."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
     from thornspool import clock
     from thornspool.domain.configuration import documents
 
-TICK_MS = 100
-POLL_MS = 1500
-POLL_JITTER = 0.1
+TICK_INTERVAL_MS = 100
+POLL_INTERVAL_MS = 1500
+POLL_JITTER_FRACTION = 0.1
 POLL_TIMEOUT_MS = 1000
-CHECK_TIMEOUT_MS = 100
-CHECK_INTERVAL_MS = 2000
-POLLERS = 2
-MAX_POLLS_IN_FLIGHT = 32
-CHECKS_PER_S = 2
-TELL_BATCH = 32
+PROBE_TIMEOUT_MS = 100
+PROBE_TTL_MS = 2000
+POLLERS_PER_TARGET = 2
+MAX_IN_FLIGHT_POLLS = 32
+RECOVERY_POLLS_PER_S = 2
+SEND_BATCH_SIZE = 32
 
 Readiness = messages.Readiness
 FetchLoad = typing.Callable[
@@ -43,22 +43,24 @@
 
 
 class TargetService:
-    """The view of targets, kept by polls, answers and the other entries.
+    """Maintains readiness and load of targets.
+
+    Its sources are polls, responses of targets and updates of other entries.
 
     Parameters
     ----------
     clock : Clock
         Source of time.
     peers : Peers
-        Messages to the other entries.
+        Messaging between entries.
     members : MemberView
-        The other entries.
+        Entries in view.
     incarnation : str
-        This process.
+        Incarnation of the local entry.
     read_snapshot : callable
         Returns the configuration in force.
     fetch_load : coroutine function
-        Asks a target for its load; raises ``TargetError``.
+        Fetches the load report of a target; raises ``TargetError``.
     random : random.Random
         Source of jitter.
     """
@@ -80,24 +82,24 @@
         self._read_snapshot = read_snapshot
         self._fetch_load = fetch_load
         self._random = random
-        self._known: dict[str, availability.Availability] = {}
+        self._availabilities: dict[str, availability.Availability] = {}
         self._loads: dict[str, messages.LoadReport] = {}
         self._leaving_hosts: frozenset[str] = frozenset()
-        self._assignment = rendezvous.Assignment(POLLERS)
+        self._assignment = rendezvous.Assignment(POLLERS_PER_TARGET)
         self._assigned: frozenset[str] = frozenset()
-        self._seen_members: tuple[ports.Member, ...] | None = None
-        self._listed: tuple[str, ...] = ()
-        self._version: int | None = None
-        self._poll_at: dict[str, int] = {}
-        self._check_credit = 0.0
+        self._last_members: tuple[ports.Member, ...] | None = None
+        self._incarnations: tuple[str, ...] = ()
+        self._configuration_version: int | None = None
+        self._next_poll_at: dict[str, int] = {}
+        self._recovery_poll_credit = 0.0
         self._polls: set[asyncio.Task[bool]] = set()
-        self._checks: dict[str, asyncio.Future[bool]] = {}
-        self._answered_at: dict[str, int] = {}
-        self._tells: set[asyncio.Task[None]] = set()
-        self._told: dict[str, int] = {}
+        self._probes: dict[str, asyncio.Future[bool]] = {}
+        self._responded_at: dict[str, int] = {}
+        self._send_tasks: set[asyncio.Task[None]] = set()
+        self._leaving_announcements: dict[str, int] = {}
         self._task: asyncio.Task[None] | None = None
-        peers.handle(messages.TargetNews, self._receive_news)
-        peers.handle(messages.HostNews, self._receive_hosts)
+        peers.handle(messages.TargetNews, self._apply_target_update)
+        peers.handle(messages.HostNews, self._apply_host_update)
 
     async def start(self) -> None:
         """Start to poll."""
@@ -107,8 +109,8 @@
         """Stop polling."""
         tasks: list[asyncio.Future[typing.Any]] = [
             *self._polls,
-            *self._tells,
-            *self._checks.values(),
+            *self._send_tasks,
+            *self._probes.values(),
         ]
         if self._task is not None:
             tasks.append(self._task)
@@ -120,41 +122,41 @@
                 await task
 
     def read_readiness(self, target: str) -> Readiness:
-        """Return whether a target may be given new work now.
+        """Return whether a target accepts new work.
 
-        One that is not configured may not: it was taken out.
+        A target that is no longer configured counts as leaving.
         """
         document = self._read_snapshot().targets.get(target)
         if document is None:
             return Readiness.LEAVING
         return availability.decide(
-            self._find(target),
+            self._get_availability(target),
             document.leaving,
             document.host in self._leaving_hosts,
         )
 
     def read_load(self, target: str) -> messages.LoadReport | None:
-        """Return the last load report of a target, None before the first."""
+        """Return the last load report of a target; None before the first."""
         return self._loads.get(target)
 
     def note_failure(self, target: str, reason: str) -> None:
-        """Note that a call of a target failed; it gets no work for now."""
-        self._note_failure(target, reason, is_certain=True)
+        """Record a failed call; the target gets no work for some time."""
+        self._record_failure(target, reason, is_certain=True)
 
     def hear_load(self, report: messages.LoadReport) -> None:
-        """Take in a load report of an answer or of a poll."""
+        """Apply a load report of a response or a poll."""
         if report.target not in self._read_snapshot().targets:
             return
         self._loads[report.target] = report
-        before = self._find(report.target)
+        before = self._get_availability(report.target)
         now = self._clock.now()
         after = availability.hear_word(before, report.readiness, now)
-        self._put(report.target, after)
+        self._set_availability(report.target, after)
         if report.target in self._assigned:
-            self._tell_change(report.target, before, after)
+            self._announce_change(report.target, before, after)
 
     def hear_hosts(self, hosts: Iterable[ports.Host]) -> None:
-        """Take in the platform's list of hosts, and pass a change on."""
+        """Apply the platform's host list and broadcast a change."""
         leaving = frozenset(
             host.name
             for host in hosts
@@ -164,45 +166,50 @@
             return
         self._leaving_hosts = leaving
         logger.info('hosts_leaving', hosts=','.join(sorted(leaving)))
-        self._tell_all(messages.HostNews(tuple(sorted(leaving))))
+        self._broadcast(messages.HostNews(tuple(sorted(leaving))))
 
     def tick(self) -> None:
-        """Do what is due; the loop calls it ten times a second."""
-        self._follow_configuration()
-        self._follow_members()
+        """Run the periodic work; called ten times a second."""
+        self._apply_configuration()
+        self._apply_members()
         now = self._clock.now()
         for target in self._list_due(now):
             self._start_poll(target, now)
 
     async def is_answering(self, target: str) -> bool:
-        """Ask a target at once, for somebody who waits for it.
+        """Probe a target immediately, for a request that waits for it.
+
+        Many requests wait for the same target when it is unresponsive; they
+        share one probe. A target that responded is not probed again for
+        `PROBE_TTL_MS`: when all targets are overloaded, every entry waits
+        for each of them, and their probes would add to the load.
 
-        Many wait for the same target when it is silent; one question serves
-        them all. One that answered is not asked again for a while: when all
-        targets are overloaded, every entry waits for every one of them, and
-        their questions would add to the load.
+        Returns
+        -------
+        bool
+            Whether the target responded.
         """
-        answered_at = self._answered_at.get(target)
+        responded_at = self._responded_at.get(target)
         now = self._clock.now()
-        if answered_at is not None and now - answered_at < CHECK_INTERVAL_MS:
+        if responded_at is not None and now - responded_at < PROBE_TTL_MS:
             return True
-        check = self._checks.get(target)
-        if check is None:
-            check = asyncio.ensure_future(self._check(target))
-            self._checks[target] = check
-            check.add_done_callback(lambda _: self._checks.pop(target))
-        return await asyncio.shield(check)
-
-    async def _check(self, target: str) -> bool:
-        answers = await self.poll(target, CHECK_TIMEOUT_MS)
-        if answers:
-            self._answered_at[target] = self._clock.now()
-        return answers
+        probe = self._probes.get(target)
+        if probe is None:
+            probe = asyncio.ensure_future(self._probe(target))
+            self._probes[target] = probe
+            probe.add_done_callback(lambda _: self._probes.pop(target))
+        return await asyncio.shield(probe)
+
+    async def _probe(self, target: str) -> bool:
+        responded = await self.poll(target, PROBE_TIMEOUT_MS)
+        if responded:
+            self._responded_at[target] = self._clock.now()
+        return responded
 
     async def poll(
         self, target: str, timeout_ms: int = POLL_TIMEOUT_MS
     ) -> bool:
-        """Ask one target for its load and return whether it answered."""
+        """Poll the load of a target and return whether it responded."""
         document = self._read_snapshot().targets.get(target)
         if document is None:
             return False
@@ -210,93 +217,99 @@
             async with asyncio.timeout(timeout_ms / 1000):
                 report = await self._fetch_load(document)
         except exceptions.TargetNotReached as error:
-            self._note_failure(target, str(error), is_certain=True)
+            self._record_failure(target, str(error), is_certain=True)
         except (exceptions.TargetError, TimeoutError) as error:
-            self._note_failure(target, str(error), is_certain=False)
+            self._record_failure(target, str(error), is_certain=False)
         else:
             self.hear_load(report)
             return True
         return False
 
-    # What is known.
+    # Availability of targets.
 
-    def _find(self, target: str) -> availability.Availability:
-        return self._known.get(target, availability.Availability())
+    def _get_availability(self, target: str) -> availability.Availability:
+        return self._availabilities.get(target, availability.Availability())
 
-    def _put(
-        self, target: str, known: availability.Availability, reason: str = ''
+    def _set_availability(
+        self, target: str, current: availability.Availability, reason: str = ''
     ) -> None:
-        before = self._find(target)
-        if before.is_usable != known.is_usable:
+        before = self._get_availability(target)
+        if before.is_usable != current.is_usable:
             logger.info(
                 'target_changed',
                 target=target,
-                leaving=known.is_leaving,
-                failed=known.is_failed,
+                leaving=current.is_leaving,
+                failed=current.is_failed,
                 reason=reason,
             )
-        if known == availability.Availability():
-            self._known.pop(target, None)
+        if current == availability.Availability():
+            self._availabilities.pop(target, None)
             return
-        self._known[target] = known
+        self._availabilities[target] = current
 
-    def _note_failure(
+    def _record_failure(
         self, target: str, reason: str, is_certain: bool
     ) -> None:
         if target not in self._read_snapshot().targets:
             return
-        known = availability.note_failure(
-            self._find(target),
+        current = availability.note_failure(
+            self._get_availability(target),
             self._clock.now(),
             self._random.random(),
             is_certain,
         )
-        self._put(target, known, reason)
+        self._set_availability(target, current, reason)
 
-    def _follow_configuration(self) -> None:
+    def _apply_configuration(self) -> None:
         snapshot = self._read_snapshot()
-        if snapshot.version == self._version:
+        if snapshot.version == self._configuration_version:
             return
-        self._version = snapshot.version
+        self._configuration_version = snapshot.version
         names = snapshot.targets.keys()
-        for table in (
-            self._known,
+        for by_target in (
+            self._availabilities,
             self._loads,
-            self._told,
-            self._poll_at,
-            self._answered_at,
+            self._leaving_announcements,
+            self._next_poll_at,
+            self._responded_at,
         ):
-            for name in table.keys() - names:
-                del table[name]
+            for name in by_target.keys() - names:
+                del by_target[name]
         self._assignment.set_tasks(names)
         self._assign()
 
-    def _follow_members(self) -> None:
+    def _apply_members(self) -> None:
         members = self._members.list_members()
-        if members is self._seen_members:
+        if members is self._last_members:
             return
-        self._seen_members = members
-        listed = tuple(member.incarnation for member in members)
-        if listed == self._listed:
+        self._last_members = members
+        incarnations = tuple(member.incarnation for member in members)
+        if incarnations == self._incarnations:
             return
-        self._listed = listed
-        added = self._assignment.set_members(listed)
+        self._incarnations = incarnations
+        added = self._assignment.set_members(incarnations)
         self._assign()
-        self._greet([m for m in members if m.incarnation in added])
+        self._send_leaving_targets(
+            [m for m in members if m.incarnation in added]
+        )
 
-    def _greet(self, members: Iterable[ports.Member]) -> None:
-        """Tell new members which targets leave.
+    def _send_leaving_targets(self, members: Iterable[ports.Member]) -> None:
+        """Send the leaving targets to new members.
 
-        They missed the news, and would give new work to targets that have
-        been leaving for long.
+        New members missed the earlier updates. They would give new work to
+        targets that began to leave before they joined.
         """
-        leaving = self._list_leaving()
+        leaving = self._list_leaving_targets()
         if leaving:
-            self._tell(members, messages.TargetNews(leaving=leaving))
+            self._send(members, messages.TargetNews(leaving=leaving))
 
-    def _list_leaving(self) -> tuple[str, ...]:
+    def _list_leaving_targets(self) -> tuple[str, ...]:
         return tuple(
-            sorted(t for t in self._assigned if self._find(t).is_leaving)
+            sorted(
+                t
+                for t in self._assigned
+                if self._get_availability(t).is_leaving
+            )
         )
 
     # Polling.
@@ -305,39 +318,44 @@
         assigned = frozenset(self._assignment.list_tasks(self._incarnation))
         now = self._clock.now()
         for target in sorted(assigned - self._assigned):
-            delay = self._random.randrange(POLL_MS // 3)
-            self._poll_at[target] = now + delay
+            delay = self._random.randrange(POLL_INTERVAL_MS // 3)
+            self._next_poll_at[target] = now + delay
         for target in self._assigned - assigned:
-            self._poll_at.pop(target, None)
+            self._next_poll_at.pop(target, None)
         self._assigned = assigned
 
     def _list_due(self, now: int) -> list[str]:
-        due = [target for target, at in self._poll_at.items() if at <= now]
-        self._check_credit = min(
-            float(CHECKS_PER_S),
-            self._check_credit + CHECKS_PER_S * TICK_MS / 1000,
+        due = [
+            target for target, at in self._next_poll_at.items() if at <= now
+        ]
+        self._recovery_poll_credit = min(
+            float(RECOVERY_POLLS_PER_S),
+            self._recovery_poll_credit
+            + RECOVERY_POLLS_PER_S * TICK_INTERVAL_MS / 1000,
         )
-        checks = sorted(
-            (known.check_at, target)
-            for target, known in self._known.items()
-            if not known.is_usable
-            and known.check_at <= now
+        recovery_polls = sorted(
+            (current.check_at, target)
+            for target, current in self._availabilities.items()
+            if not current.is_usable
+            and current.check_at <= now
             and target not in self._assigned
         )
-        chosen = checks[: int(self._check_credit)]
-        self._check_credit -= len(chosen)
+        chosen = recovery_polls[: int(self._recovery_poll_credit)]
+        self._recovery_poll_credit -= len(chosen)
         return due + [target for _, target in chosen]
 
     def _start_poll(self, target: str, now: int) -> None:
-        if len(self._polls) >= MAX_POLLS_IN_FLIGHT:
+        if len(self._polls) >= MAX_IN_FLIGHT_POLLS:
             return
         if target in self._assigned:
-            share = self._random.uniform(1 - POLL_JITTER, 1 + POLL_JITTER)
-            self._poll_at[target] = now + int(POLL_MS * share)
-        known = self._known.get(target)
-        if known is not None:
-            waiting = availability.postpone(known, now)
-            self._known[target] = waiting
+            jitter = self._random.uniform(
+                1 - POLL_JITTER_FRACTION, 1 + POLL_JITTER_FRACTION
+            )
+            self._next_poll_at[target] = now + int(POLL_INTERVAL_MS * jitter)
+        current = self._availabilities.get(target)
+        if current is not None:
+            postponed = availability.postpone(current, now)
+            self._availabilities[target] = postponed
         task = asyncio.create_task(self.poll(target))
         self._polls.add(task)
         task.add_done_callback(self._finish_poll)
@@ -349,77 +367,82 @@
 
     async def _run(self) -> None:
         while True:
-            # An error in one round must not end the polling: targets that
-            # leave would be given new work without anybody noticing.
+            # An error in one round must not end the polling. Otherwise
+            # leaving targets would be given new work, without any log line.
             try:
                 self.tick()
             except Exception:
                 logger.exception('target_tick_failed')
-            await asyncio.sleep(TICK_MS / 1000)
+            await asyncio.sleep(TICK_INTERVAL_MS / 1000)
 
-    # News between entries.
+    # Updates between entries.
 
-    def _tell_change(
+    def _announce_change(
         self,
         target: str,
         before: availability.Availability,
         after: availability.Availability,
     ) -> None:
         if after.is_leaving:
-            self._tell_leaving(target)
+            self._announce_leaving(target)
         elif not before.is_usable:
-            self._told.pop(target, None)
-            self._tell_all(messages.TargetNews(ready=(target,)))
+            self._leaving_announcements.pop(target, None)
+            self._broadcast(messages.TargetNews(ready=(target,)))
 
-    def _tell_leaving(self, target: str) -> None:
-        # A message may be lost, so the next poll tells it once more.
-        told = self._told.get(target, 0)
-        if told < 2:
-            self._told[target] = told + 1
-            self._tell_all(messages.TargetNews(leaving=(target,)))
+    def _announce_leaving(self, target: str) -> None:
+        # A message may be lost, so the next poll announces it again.
+        announcements = self._leaving_announcements.get(target, 0)
+        if announcements < 2:
+            self._leaving_announcements[target] = announcements + 1
+            self._broadcast(messages.TargetNews(leaving=(target,)))
 
-    def _tell_all(self, news: typing.Any) -> None:
-        self._tell(self._members.list_members(), news)
+    def _broadcast(self, update: typing.Any) -> None:
+        self._send(self._members.list_members(), update)
 
-    def _tell(self, members: Iterable[ports.Member], news: typing.Any) -> None:
+    def _send(
+        self, members: Iterable[ports.Member], update: typing.Any
+    ) -> None:
         addresses = [
             member.peer_address
             for member in members
             if member.incarnation != self._incarnation
         ]
-        for address in addresses[:TELL_BATCH]:
-            self._peers.tell(address, news)
-        if len(addresses) <= TELL_BATCH:
+        for address in addresses[:SEND_BATCH_SIZE]:
+            self._peers.tell(address, update)
+        if len(addresses) <= SEND_BATCH_SIZE:
             return
         task = asyncio.create_task(
-            self._tell_rest(addresses[TELL_BATCH:], news)
+            self._send_remaining(addresses[SEND_BATCH_SIZE:], update)
         )
-        self._tells.add(task)
-        task.add_done_callback(self._tells.discard)
+        self._send_tasks.add(task)
+        task.add_done_callback(self._send_tasks.discard)
 
-    async def _tell_rest(self, addresses: list[str], news: typing.Any) -> None:
-        # At 350 entries one round takes the loop some 30 ms, which every
-        # token stream would notice, so the others get their turn between.
-        for start in range(0, len(addresses), TELL_BATCH):
+    async def _send_remaining(
+        self, addresses: list[str], update: typing.Any
+    ) -> None:
+        # Sending to 350 entries occupies the event loop for about 30 ms,
+        # which would delay every token stream. Other tasks therefore run
+        # between the batches.
+        for start in range(0, len(addresses), SEND_BATCH_SIZE):
             await asyncio.sleep(0)
-            for address in addresses[start : start + TELL_BATCH]:
-                self._peers.tell(address, news)
+            for address in addresses[start : start + SEND_BATCH_SIZE]:
+                self._peers.tell(address, update)
 
-    async def _receive_news(
-        self, sender: str, news: messages.TargetNews
+    async def _apply_target_update(
+        self, sender: str, update: messages.TargetNews
     ) -> None:
         now = self._clock.now()
         for names, readiness in (
-            (news.leaving, Readiness.LEAVING),
-            (news.ready, Readiness.READY),
+            (update.leaving, Readiness.LEAVING),
+            (update.ready, Readiness.READY),
         ):
             for name in names:
                 if name in self._read_snapshot().targets:
-                    known = self._find(name)
-                    heard = availability.hear_news(known, readiness, now)
-                    self._put(name, heard)
+                    current = self._get_availability(name)
+                    updated = availability.hear_news(current, readiness, now)
+                    self._set_availability(name, updated)
 
-    async def _receive_hosts(
-        self, sender: str, news: messages.HostNews
+    async def _apply_host_update(
+        self, sender: str, update: messages.HostNews
     ) -> None:
-        self._leaving_hosts = frozenset(news.leaving)
+        self._leaving_hosts = frozenset(update.leaving)
--- a/src/thornspool/application/timed_services.py
+++ b/src/thornspool/application/timed_services.py
@@ -1,4 +1,4 @@
-"""Times the calls of plain services' targets for the adaptive bound."""
+"""Measures calls of plain services for the adaptive concurrency limit."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class TimedServices:
-    """The port ``Services``, with each call timed from when it is sent.
+    """Implements the port ``Services`` and measures calls from their sending.
 
-    What a request waits for before that, such as its grant in the ledger,
-    says nothing about the targets; taken for their time, a slow platform
-    would look like overloaded services. Answers that were recorded earlier
-    and are given again take no time at a target at all.
+    The time that a request waits before that, for instance for its grant in
+    the ledger, doesn't depend on the targets. If it were included, a slow
+    platform would look like an overload of the services. Recorded responses
+    that are returned again don't involve a target and are not measured.
 
     Parameters
     ----------
@@ -28,10 +28,11 @@
     services : ports.Services
         Sends the calls.
     observe : callable
-        Told service, kind of work, milliseconds and time of each answer.
+        Called for each response with the service, the kind of work, the
+        duration in milliseconds and the time.
     note_late : callable
-        Told service, start and end of each call that was not answered in
-        time.
+        Called for each call without a timely response, with the service and
+        the start and end of the call.
     """
 
     def __init__(
@@ -39,29 +40,29 @@
         clock: clock.Clock,
         services: ports.Services,
         observe: Callable[[str, str, int, int], None],
-        note_late: Callable[[str, int, int], None],
+        record_timeout: Callable[[str, int, int], None],
     ) -> None:
         self._clock = clock
         self._services = services
         self._observe = observe
-        self._note_late = note_late
+        self._record_timeout = record_timeout
 
     async def call(self, call: ports.ServiceCall) -> ports.ServiceAnswer:
-        """Call an operation once; never repeats it."""
-        started = self._clock.now()
+        """Call an operation once; never retries it."""
+        started_at = self._clock.now()
         try:
-            answer = await self._services.call(call)
+            response = await self._services.call(call)
         except exceptions.TargetError:
             now = self._clock.now()
-            if now - started >= call.timeout_ms:
-                self._note_late(call.service, started, now)
+            if now - started_at >= call.timeout_ms:
+                self._record_timeout(call.service, started_at, now)
             raise
         now = self._clock.now()
-        kind = name_kind(call.service, call.operation)
-        self._observe(call.service, kind, now - started, now)
-        return answer
+        kind = format_work_kind(call.service, call.operation)
+        self._observe(call.service, kind, now - started_at, now)
+        return response
 
 
-def name_kind(service: str, operation: str) -> str:
-    """Name the work of one operation; its calls take about as long."""
+def format_work_kind(service: str, operation: str) -> str:
+    """Return the kind of work of an operation, whose calls are comparable."""
     return f'{service}/{operation}'
--- a/tests/application/__init__.py
+++ b/tests/application/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package application."""
+"""Tests of the use cases."""
--- a/tests/application/builders.py
+++ b/tests/application/builders.py
@@ -1,4 +1,4 @@
-"""Builders of action services on fakes."""
+"""Builders of action services on fake ports."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @attrs.define
 class Fleet:
-    """Entries over one fake platform, network and service."""
+    """Entries that share a fake platform, network and services."""
 
     clock: builders.FakeClock
     platform: fakes.FakePlatform
@@ -30,22 +30,22 @@
     settings: actions.ActionSettings | None = None
 
     def restart(self, number: int) -> None:
-        """Start an entry anew at the address that it had or will have."""
-        made = builders.build_member(
+        """Start or restart an entry at its address."""
+        member = builders.build_member(
             f'entry-{number}',
             incarnation=f'entry-{number}-{len(self.entries)}',
         )
         self.view.members = (
-            *(m for m in self.view.members if m.host != made.host),
-            made,
+            *(m for m in self.view.members if m.host != member.host),
+            member,
         )
         service = actions.ActionService(
             self.clock,
             self.platform,
-            fakes.FakePeers(self.network, made),
+            fakes.FakePeers(self.network, member),
             self.services,
             self.view,
-            made,
+            member,
             random.Random(len(self.entries)),
             self.settings,
         )
@@ -54,7 +54,7 @@
     def build_request(
         self, seed: int = 1, **changes: typing.Any
     ) -> actions.ActionRequest:
-        """Build a request whose key follows from a seed."""
+        """Build a request with a key derived from a seed."""
         values: dict[str, typing.Any] = {
             'workspace': 'swan',
             'service': 'booking',
@@ -69,7 +69,7 @@
 
 
 def build_target(name: str) -> documents.Target:
-    """Build a plain service's target."""
+    """Build a target of a plain service."""
     return documents.Target(
         name=name,
         kind=documents.TargetKind.SERVICE,
@@ -98,12 +98,12 @@
 
 
 def slow_down(fleet: Fleet) -> None:
-    """Have the first target run its next call and answer it late."""
+    """Make the first target respond late to its next call."""
     fleet.services.faults['http://booking-1'] = collections.deque(['slow'])
 
 
 def count_kinds(results: Iterable[actions.ActionResult]) -> dict[str, int]:
-    """Count results by the name of their class."""
+    """Count results by class name."""
     kinds: dict[str, int] = {}
     for result in results:
         name = type(result).__name__
--- a/tests/application/fakes.py
+++ b/tests/application/fakes.py
@@ -1,4 +1,4 @@
-"""In-memory fakes of the ports, with faults, on a virtual clock."""
+"""In-memory fakes of the ports, with injected faults and virtual time."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class VirtualSelector(selectors.DefaultSelector):
-    """Moves the fake clock instead of sleeping."""
+    """Selector that advances the fake clock instead of sleeping."""
 
     def __init__(self, clock: builders.FakeClock) -> None:
         super().__init__()
@@ -29,7 +29,7 @@
 
     def select(self, timeout: float | None = None) -> typing.Any:
         if timeout is None:
-            raise RuntimeError('Nothing is left to wait for.')
+            raise RuntimeError('The event loop has nothing to wait for.')
         if timeout > 0:
             before = int(self.time * 1000)
             self.time += timeout
@@ -39,21 +39,21 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Event loop whose time is the fake clock's."""
+    """Event loop that runs on the time of the fake clock."""
 
     def __init__(self, clock: builders.FakeClock) -> None:
-        self._virtual = VirtualSelector(clock)
-        super().__init__(self._virtual)
+        self._virtual_selector = VirtualSelector(clock)
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
-        return self._virtual.time
+        return self._virtual_selector.time
 
 
 def run(
     clock: builders.FakeClock,
     work: typing.Coroutine[typing.Any, typing.Any, typing.Any],
 ) -> typing.Any:
-    """Run a coroutine to its end in virtual time, with its logs kept in."""
+    """Run a coroutine in virtual time, with its log output captured."""
     with (
         testing.capture_logs(),
         asyncio.Runner(loop_factory=lambda: VirtualLoop(clock)) as runner,
@@ -62,11 +62,11 @@
 
 
 class FakePlatform:
-    """The key-value service; the next writes' faults are queued.
+    """Key-value store with a queue of faults for the next writes.
 
-    Faults: 'unknown-done' took effect and lost its answer, 'unknown-late'
-    takes effect ``late_ms`` after its answer was lost, 'unknown-never'
-    never takes effect.
+    'unknown-done': the write takes effect, its response is lost.
+    'unknown-late': it takes effect ``late_ms`` after its response was lost.
+    'unknown-never': it never takes effect.
     """
 
     def __init__(self, latency_ms: int = 3) -> None:
@@ -126,7 +126,7 @@
 
 
 class FakeNetwork:
-    """Delivers messages between fake peers; entries may be cut off."""
+    """Delivers messages between fake peers; entries can be disconnected."""
 
     def __init__(self, latency_ms: int = 1) -> None:
         self.latency_ms = latency_ms
@@ -137,12 +137,12 @@
 
 
 class FakePeers:
-    """One entry's end of the fake network."""
+    """Peer messaging of one entry over the fake network."""
 
     def __init__(self, network: FakeNetwork, member: ports.Member) -> None:
         self.member = member
         self._network = network
-        self._told: list[asyncio.Future[typing.Any]] = []
+        self._send_tasks: list[asyncio.Future[typing.Any]] = []
         self._handlers: dict[
             type, Callable[[str, typing.Any], Awaitable[typing.Any]]
         ] = {}
@@ -163,22 +163,22 @@
                 self._deliver(peer_address, message), timeout_ms / 1000
             )
         except TimeoutError:
-            raise exceptions.PeerUnreachable('No reply came.') from None
+            raise exceptions.PeerUnreachable('No reply in time.') from None
 
     def tell(self, peer_address: str, message: typing.Any) -> None:
         work = self._deliver(peer_address, message)
-        self._told.append(asyncio.ensure_future(work))
+        self._send_tasks.append(asyncio.ensure_future(work))
 
     async def _deliver(self, address: str, message: typing.Any) -> typing.Any:
         network = self._network
         await asyncio.sleep(network.latency_ms / 1000)
-        away = {address, self.member.peer_address} & network.cut
+        unreachable = {address, self.member.peer_address} & network.cut
         lost = type(message).__name__ in network.lose
-        if away or lost or address not in network.nodes:
+        if unreachable or lost or address not in network.nodes:
             await asyncio.Event().wait()
         node = network.nodes[address]
         handler = node._handlers[type(message)]
-        # Shielded: the peer goes on when the asker has given up.
+        # The handler continues even if the sender stops waiting.
         reply = await asyncio.shield(
             asyncio.ensure_future(handler(self.member.incarnation, message))
         )
@@ -191,9 +191,11 @@
 class FakeServices:
     """Plain services that count executions by key.
 
-    ``faults`` maps a target's url to the faults of its next calls:
-    'refused' not reached, 'lost' runs and loses the answer, 'lost-before'
-    loses the answer without having run, 'slow' runs and answers late.
+    ``faults`` maps the URL of a target to the faults of its next calls.
+    'refused': the target is not reached.
+    'lost': the call runs, its response is lost.
+    'lost-before': the call doesn't run, its response is lost.
+    'slow': the call runs, its response is late.
     """
 
     def __init__(self, latency_ms: int = 5) -> None:
@@ -223,7 +225,7 @@
 
 
 class FakeMembers:
-    """A view of entries that a test sets."""
+    """Member view that a test sets."""
 
     def __init__(self, members: tuple[ports.Member, ...]) -> None:
         self.members = members
--- a/tests/application/fleet.py
+++ b/tests/application/fleet.py
@@ -1,4 +1,4 @@
-"""Builders of several entries in one process, with messages that fail."""
+"""Fake network between several entries of one process, with faults."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 
 class FakeNetwork:
-    """Carries messages; loses requests, replies and told ones on demand."""
+    """Delivers messages; loses requests, replies and one-way messages."""
 
     def __init__(self) -> None:
         self.handlers: dict[str, dict[type, Handler]] = {}
         self.gone: set[str] = set()
         self.lose_replies = 0
         self.lose_tells = 0
-        self.told: list[tuple[str, str, typing.Any]] = []
+        self.queued: list[tuple[str, str, typing.Any]] = []
         self.failing: set[str] = set()
         self.asked = 0
 
     async def deliver(self) -> None:
-        """Hand over what was told, in order."""
-        while self.told:
-            sender, address, message = self.told.pop(0)
+        """Deliver the queued one-way messages in order."""
+        while self.queued:
+            sender, address, message = self.queued.pop(0)
             handler = self.handlers.get(address, {}).get(type(message))
             if handler is not None and address not in self.gone:
                 await handler(sender, message)
@@ -35,11 +35,11 @@
 class FakePeers:
     def __init__(self, network: FakeNetwork, member: ports.Member) -> None:
         self._network = network
-        self._me = member
+        self._member = member
         network.handlers[member.peer_address] = {}
 
     def handle(self, message_type: type, handler: Handler) -> None:
-        handlers = self._network.handlers[self._me.peer_address]
+        handlers = self._network.handlers[self._member.peer_address]
         handlers[message_type] = handler
 
     async def ask(
@@ -48,23 +48,23 @@
         network = self._network
         network.asked += 1
         if peer_address in network.gone:
-            network.failing.add(self._me.incarnation)
-            raise exceptions.PeerUnreachable('no answer')
+            network.failing.add(self._member.incarnation)
+            raise exceptions.PeerUnreachable('peer unreachable')
         handler = network.handlers[peer_address][type(message)]
-        reply = await handler(self._me.incarnation, message)
+        reply = await handler(self._member.incarnation, message)
         if network.lose_replies > 0:
             network.lose_replies -= 1
-            network.failing.add(self._me.incarnation)
+            network.failing.add(self._member.incarnation)
             raise exceptions.PeerUnreachable('reply lost')
-        network.failing.discard(self._me.incarnation)
+        network.failing.discard(self._member.incarnation)
         return reply
 
     def tell(self, peer_address: str, message: typing.Any) -> None:
         if self._network.lose_tells > 0:
             self._network.lose_tells -= 1
             return
-        sender = self._me.incarnation
-        self._network.told.append((sender, peer_address, message))
+        sender = self._member.incarnation
+        self._network.queued.append((sender, peer_address, message))
 
 
 def build_members(count: int) -> tuple[ports.Member, ...]:
--- a/tests/application/test_admission.py
+++ b/tests/application/test_admission.py
@@ -21,11 +21,11 @@
 from thornspool.domain.limits import shares
 
 FAR = 10**9
-ASKED = messages.Asked('m', 'm', 0, FAR)
+REQUEST = messages.Asked('m', 'm', 0, FAR)
 
 
 class Fleet:
-    """Entries that admit for one workspace under a fake clock."""
+    """Entries that admit requests of one workspace, on a fake clock."""
 
     def __init__(self, count: int, limits: documents.Limits) -> None:
         self.clock = builders.FakeClock(now=1_000_000)
@@ -53,7 +53,7 @@
     def offer(self, entry: int, count: int, keep: bool = False) -> None:
         now = self.clock.now()
         for _ in range(count):
-            answer = self.entries[entry].admit('w', ASKED, now)
+            answer = self.entries[entry].admit('w', REQUEST, now)
             if isinstance(answer, messages.Refused):
                 continue
             self.admitted[entry] += 1
@@ -74,15 +74,15 @@
         await self.network.deliver()
 
     async def run(self, offers: list[float], seconds: float) -> list[int]:
-        """Offer so many requests a second at each entry; return admitted."""
+        """Offer requests to each entry at these rates; return the admitted."""
         before = list(self.admitted)
-        owed = [0.0] * len(offers)
+        due = [0.0] * len(offers)
         for _ in range(int(seconds * 1000 / admission.SHARE_INTERVAL_MS)):
             await self.step()
             for entry, rate in enumerate(offers):
-                owed[entry] += rate * admission.SHARE_INTERVAL_MS / 1000
-                self.offer(entry, int(owed[entry]))
-                owed[entry] -= int(owed[entry])
+                due[entry] += rate * admission.SHARE_INTERVAL_MS / 1000
+                self.offer(entry, int(due[entry]))
+                due[entry] -= int(due[entry])
         return [
             new - old for new, old in zip(self.admitted, before, strict=True)
         ]
@@ -90,13 +90,13 @@
 
 @mock.patch.object(admission, 'logger')
 class AdmissionTest(unittest.IsolatedAsyncioTestCase):
-    async def test_limit_holds_over_any_spread_of_callers(
+    async def test_limit_holds_for_any_distribution_of_callers(
         self, _: mock.Mock
     ) -> None:
-        """Callers spread over one, some or all entries, or move.
+        """Callers use one, some or all entries, or change to others.
 
-        With a fixed part for each entry, a caller that uses one of nine
-        entries would get a ninth of what was agreed.
+        If each entry had a fixed share of the limit, a caller that uses one
+        of nine entries would get only a ninth of it.
         """
         limit = 100.0
         for used, total in ((1, 1), (1, 9), (2, 9), (9, 9), (5, 40)):
@@ -126,10 +126,10 @@
         self.assertAlmostEqual(10 * 1000, total, delta=1000)
 
     async def test_concurrency_holds_over_entries(self, _: mock.Mock) -> None:
-        """Callers hold more requests open than was agreed.
+        """Callers keep more requests open than the limit allows.
 
-        Each entry may keep one without asking, so the bound is the limit
-        and one for each entry.
+        Each entry may admit one request without a grant, so the bound is the
+        limit plus one for each entry.
         """
         subject = Fleet(4, documents.Limits(concurrency=20))
         for _ in range(60):
@@ -139,13 +139,13 @@
         self.assertLessEqual(18, len(subject.tickets))
         self.assertLessEqual(len(subject.tickets), 20 + 4)
 
-    async def test_silent_owner_leaves_an_equal_part(
+    async def test_unresponsive_owner_leaves_equal_shares(
         self, _: mock.Mock
     ) -> None:
-        """The entry that shares a limit out dies and is still in view.
+        """The entry that owns a limit crashes and is still in view.
 
-        Callers of the others must not be cut down to the floor until the
-        death is noticed.
+        Until the crash is detected, the other entries must not limit their
+        callers to the minimum share.
         """
         subject = Fleet(3, documents.Limits(90.0))
         offers = [100.0, 100.0, 100.0]
@@ -164,58 +164,62 @@
         admitted = sum(await subject.run(offers, 10))
         self.assertAlmostEqual(600, admitted, delta=60)
 
-    def test_late_request_is_refused_at_once(self, _: mock.Mock) -> None:
+    def test_request_with_unattainable_deadline_is_refused(
+        self, _: mock.Mock
+    ) -> None:
         subject = Fleet(1, documents.Limits())
         now = subject.clock.now()
         subject.entries[0].observe('m', 'm', 500, now)
-        asked = messages.Asked('m', 'm', 0, now + 499)
-        answer = subject.entries[0].admit('w', asked, now)
+        request = messages.Asked('m', 'm', 0, now + 499)
+        answer = subject.entries[0].admit('w', request, now)
         assert isinstance(answer, messages.Refused)
         self.assertIs(messages.Reason.DEADLINE, answer.reason)
         self.assertGreater(answer.retry_after_ms, 0)
 
-    async def test_reports_stay_within_their_budget(
+    async def test_reports_stay_within_their_rate_limit(
         self, _: mock.Mock
     ) -> None:
-        """Thousands of workspaces are in use on one entry.
+        """Very many workspaces are in use on one entry.
 
-        Reports must not use up the bandwidth that is left for control.
+        Reports must not use up the bandwidth for control messages.
         """
         subject = Fleet(2, documents.Limits())
-        many = {
+        workspaces = {
             f'w{number}': documents.Workspace(
                 f'w{number}', limits=documents.Limits(1.0)
             )
             for number in range(500)
         }
         entry = subject.entries[0]
-        entry._configuration = lambda: documents.Snapshot(1, many)
+        entry._configuration = lambda: documents.Snapshot(1, workspaces)
         seconds = 20
-        lines = 0
-        original = entry._limiter.collect
+        line_count = 0
+        original_collect = entry._limiter.collect
 
-        def count(now: int, most: int) -> typing.Any:
-            nonlocal lines
-            collected = original(now, most)
-            lines += len(collected)
+        def count(now: int, max_lines: int) -> typing.Any:
+            nonlocal line_count
+            collected = original_collect(now, max_lines)
+            line_count += len(collected)
             return collected
 
         entry._limiter.collect = count  # type: ignore[method-assign]
         for _ in range(seconds * 5):
-            for name in many:
-                entry.admit(name, ASKED, subject.clock.now())
+            for name in workspaces:
+                entry.admit(name, REQUEST, subject.clock.now())
             await subject.step()
         allowed = seconds * admission.REPORT_LINES_PER_S
-        self.assertLessEqual(lines, allowed + admission.REPORT_LINES_BURST)
-        self.assertGreaterEqual(lines, 0.9 * allowed)
+        self.assertLessEqual(
+            line_count, allowed + admission.REPORT_LINES_BURST
+        )
+        self.assertGreaterEqual(line_count, 0.9 * allowed)
 
 
 class LimitsMachine(stateful.RuleBasedStateMachine):
-    """Oracle: admitted <= limit * (time + doubtful time) + the burst.
+    """Oracle: admitted <= limit * (time + uncertain time) + the burst.
 
-    Time is doubtful while an entry's last ask failed, and from a change of
-    any view until the grants of former owners have ended; each distinct
-    view may then have an owner of its own.
+    Time is uncertain while the last report of an entry failed, and from a
+    change of any view until the grants of former owners have expired. Each
+    distinct view may then have a different owner.
     """
 
     LIMIT = 20.0
@@ -223,8 +227,8 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.silence = mock.patch.object(admission, 'logger')
-        self.silence.start()
+        self.log_patch = mock.patch.object(admission, 'logger')
+        self.log_patch.start()
         self.fleet = Fleet(self.COUNT, documents.Limits(self.LIMIT))
         self.loop = asyncio.new_event_loop()
         self.started = self.fleet.clock.now()
@@ -233,7 +237,7 @@
         self.views_seen = 1
 
     def teardown(self) -> None:
-        self.silence.stop()
+        self.log_patch.stop()
         self.loop.close()
 
     @stateful.rule(
@@ -252,7 +256,7 @@
         for _ in range(steps):
             self.fleet.offer(entry, count)
             self.loop.run_until_complete(self.fleet.step())
-            self._count_doubt()
+            self._count_uncertain_time()
 
     @stateful.rule(count=strategies.integers(1, 6))
     def lose_replies(self, count: int) -> None:
@@ -263,7 +267,7 @@
         other=strategies.integers(0, COUNT - 1),
     )
     def change_view(self, entry: int, other: int) -> None:
-        """Have one entry lose another from view, or find it again."""
+        """Remove an entry from the view of another, or add it again."""
         if entry == other:
             return
         view = self.fleet.views[entry]
@@ -274,7 +278,7 @@
         views = {one.members for one in self.fleet.views}
         self.views_seen = max(self.views_seen, len(views))
 
-    def _count_doubt(self) -> None:
+    def _count_uncertain_time(self) -> None:
         step = admission.SHARE_INTERVAL_MS
         if self.fleet.network.failing:
             self.extra_ms += step
@@ -296,9 +300,9 @@
 
 
 class StableLimitsMachine(LimitsMachine):
-    """The same while views agree and replies come: no doubtful time."""
+    """The same while views agree and replies arrive: no uncertain time."""
 
-    def _count_doubt(self) -> None:
+    def _count_uncertain_time(self) -> None:
         pass
 
     def change_view(self, entry: int, other: int) -> None:
