--- a/tests/application/test_calls.py
+++ b/tests/application/test_calls.py
@@ -1,4 +1,4 @@
-"""Tests of idempotent calls under failures of their targets."""
+"""Tests of idempotent calls with failing targets."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 REFUSED = exceptions.TargetNotReached('refused')
 LEAVING = exceptions.TargetLeaving('leaving')
 LOST = exceptions.TargetAnswerLost('lost')
-ANSWER = ports.ServiceAnswer(200, 'application/json', b'{}')
+RESPONSE = ports.ServiceAnswer(200, 'application/json', b'{}')
 
-# What each target does, retries in the budget, whether the call is answered,
+# Result of each target, retries in the budget, whether the call succeeds,
 # the number of attempts, and whether a failed call may have run.
 FAULTS = (
-    ((ANSWER, ANSWER, ANSWER), 3, True, 1, False),
-    ((REFUSED, ANSWER, ANSWER), 3, True, None, False),
-    ((LOST, LOST, ANSWER), 3, True, None, False),
+    ((RESPONSE, RESPONSE, RESPONSE), 3, True, 1, False),
+    ((REFUSED, RESPONSE, RESPONSE), 3, True, None, False),
+    ((LOST, LOST, RESPONSE), 3, True, None, False),
     ((REFUSED, REFUSED, REFUSED), 3, False, 3, False),
     ((LEAVING, LEAVING, LEAVING), 3, False, 3, False),
     ((LOST, LOST, LOST), 3, False, 3, True),
@@ -36,11 +36,11 @@
 
 
 class FakeTargets:
-    """Every target is ready but those named."""
+    """All targets are ready except the given ones."""
 
     def __init__(self, not_ready=()) -> None:
         self.not_ready = not_ready
-        self.slots = None
+        self.max_batch = None
 
     def read_readiness(self, target):
         if target in self.not_ready:
@@ -48,21 +48,21 @@
         return messages.Readiness.READY
 
     def read_load(self, target):
-        if self.slots is None:
+        if self.max_batch is None:
             return None
         ready = messages.Readiness.READY
-        return messages.LoadReport(target, 0, ready, max_batch=self.slots)
+        return messages.LoadReport(target, 0, ready, max_batch=self.max_batch)
 
 
 class NewCalls(service_trials.NoTrials):
-    """Holds every call for one that did not run of late."""
+    """Treats every call as one that did not complete recently."""
 
     def is_proven(self, fingerprint) -> bool:
         return False
 
 
 class HangingServices:
-    """Targets that never answer."""
+    """Targets that never respond."""
 
     def __init__(self) -> None:
         self.sent = []
@@ -73,7 +73,7 @@
 
 
 class ScriptedServices:
-    """Targets that answer or fail as the test says, by URL."""
+    """Targets with a scripted response or error, by URL."""
 
     def __init__(self, by_url) -> None:
         self.by_url = by_url
@@ -81,22 +81,22 @@
 
     async def call(self, call):
         self.sent.append(call.url)
-        answer = self.by_url[call.url]
-        if isinstance(answer, Exception):
-            raise answer
-        return answer
+        response = self.by_url[call.url]
+        if isinstance(response, Exception):
+            raise response
+        return response
 
 
 class CallServiceTest(unittest.IsolatedAsyncioTestCase):
-    def build(self, answers, retries=3, not_ready=()):
+    def build(self, responses, retries=3, not_ready=()):
         targets = tuple(
             application_builders.build_target(f'slots-{number}')
-            for number in range(len(answers))
+            for number in range(len(responses))
         )
         self.services = ScriptedServices(
-            {t.url: a for t, a in zip(targets, answers, strict=True)}
+            {t.url: a for t, a in zip(targets, responses, strict=True)}
         )
-        self.left = retries
+        self.retries_left = retries
         self.resolved = directory.ResolvedOperation(
             documents.Service('slots', 'swan-coast', (), ()),
             documents.Operation('status', True, 500),
@@ -107,58 +107,64 @@
             self.services,
             FakeTargets(not_ready),
             random.Random(3),
-            self.take_retry,
+            self.acquire_retry,
             lambda name: None,
             lambda target, reason: None,
         )
 
-    def take_retry(self, name) -> bool:
-        self.left -= 1
-        return self.left >= 0
+    def acquire_retry(self, name) -> bool:
+        self.retries_left -= 1
+        return self.retries_left >= 0
 
     async def test_faults_of_targets(self) -> None:
-        """Targets refuse, leave or lose their answers.
+        """Targets refuse calls, leave, or their responses are lost.
 
-        A user would see a failed status although another target could have
-        answered, or an outage made worse by repeated calls.
+        A call must not fail while another target could respond, and retries
+        must not amplify an outage.
         """
-        for answers, retries, answered, attempts, ran in FAULTS:
-            with self.subTest(answers=answers, retries=retries):
-                service = self.build(answers, retries)
+        for responses, retries, succeeds, attempts, may_have_run in FAULTS:
+            with self.subTest(responses=responses, retries=retries):
+                service = self.build(responses, retries)
                 result = await service.call(self.resolved, b'{}')
-                seen = isinstance(result, calls.CallAnswered)
-                self.assertEqual(answered, seen)
+                has_succeeded = isinstance(result, calls.CallAnswered)
+                self.assertEqual(succeeds, has_succeeded)
                 if attempts is not None:
                     self.assertEqual(attempts, len(self.services.sent))
-                if not answered:
-                    self.assertEqual(ran, result.ran)
+                if not succeeds:
+                    self.assertEqual(may_have_run, result.may_have_run)
                     self.assertGreater(result.retry_after_ms, 0)
 
-    async def test_a_target_that_is_not_ready_gets_nothing(self) -> None:
-        service = self.build((ANSWER, ANSWER), not_ready=('slots-0',))
+    async def test_target_that_is_not_ready_gets_no_call(self) -> None:
+        service = self.build((RESPONSE, RESPONSE), not_ready=('slots-0',))
         for _ in range(20):
             await service.call(self.resolved, b'{}')
         self.assertEqual(1, len(set(self.services.sent)))
 
-    async def test_new_calls_stay_with_targets_that_run_many(self) -> None:
-        """Many new calls find the same target of two first, at one entry.
+    async def test_new_calls_stay_with_their_first_target_up_to_a_margin(
+        self,
+    ) -> None:
+        """Many new calls at one entry rank the same target first.
 
-        One that crashes targets would cost two at once, if the others drove
-        it to another target here and not at the other entries.
+        If their load moved a call that crashes targets to another target at
+        this entry only, the call would crash two targets at once.
         """
-        cases = ((None, calls.MARGIN), (4, calls.MARGIN), (64, 16))
-        for slots, margin in cases:
-            with self.subTest(slots=slots):
-                service = self.build((ANSWER, ANSWER))
-                service._targets.slots = slots
+        cases = (
+            (None, calls.MIN_IN_FLIGHT_MARGIN),
+            (4, calls.MIN_IN_FLIGHT_MARGIN),
+            (64, 16),
+        )
+        for max_batch, margin in cases:
+            with self.subTest(max_batch=max_batch):
+                service = self.build((RESPONSE, RESPONSE))
+                service._targets.max_batch = max_batch
                 service._trials = NewCalls()
                 service._services = hanging = HangingServices()
                 names = [f'call {number}' for number in range(200)]
                 first = self.resolved.targets[0]
-                same = [
+                same_first = [
                     name
                     for name in names
-                    if service_trials.rank(
+                    if service_trials.rank_targets(
                         NewCalls(), name, self.resolved.targets
                     )[0]
                     == first
@@ -167,7 +173,7 @@
                     asyncio.create_task(
                         service.call(self.resolved, b'{}', name)
                     )
-                    for name in same[: margin + 2]
+                    for name in same_first[: margin + 2]
                 ]
                 await asyncio.sleep(0.01)
                 for task in tasks:
@@ -175,12 +181,12 @@
                 self.assertEqual(margin + 1, hanging.sent.count(first.url))
 
     async def test_no_ready_target_runs_nothing(self) -> None:
-        service = self.build((ANSWER,), not_ready=('slots-0',))
+        service = self.build((RESPONSE,), not_ready=('slots-0',))
         result = await service.call(self.resolved, b'{}')
-        self.assertFalse(result.ran)
+        self.assertFalse(result.may_have_run)
         self.assertEqual([], self.services.sent)
 
-    async def test_a_target_is_tried_once_in_a_call(self) -> None:
+    async def test_each_target_is_tried_once_per_call(self) -> None:
         service = self.build((LOST, LOST, LOST))
         await service.call(self.resolved, b'{}')
         self.assertEqual(3, len(set(self.services.sent)))
--- a/tests/application/test_capacity.py
+++ b/tests/application/test_capacity.py
@@ -1,4 +1,4 @@
-"""Tests of what the targets of a group report, added up."""
+"""Tests of the capacity computed from load reports."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 )
 SERVICE = documents.Service('slots', 'w', ('engine-1', 'engine-2'), ())
 
-# Largest batch and queue by target that reported, targets that leave, and
-# what the model and the service come to. Each step takes 1 ms. A stream that
-# changes stages waits for half a step at each.
+# Maximum batch and queue length of the targets that reported, leaving
+# targets, and the expected capacity of the model and of the service. Each
+# step takes 1 ms. A stream that changes stages waits half a step at each.
 CASES = (
     ({}, (), (0, 0), (0, 0)),
     (
@@ -87,11 +87,11 @@
             target, at, messages.Readiness.READY, 0, waiting, batch
         )
 
-    def test_sums(self) -> None:
+    def test_capacity_of_models_and_services(self) -> None:
         for reported, leaving, model, service in CASES:
             with self.subTest(reported=reported, leaving=leaving):
                 self.reported, self.leaving = reported, leaving
-                self.clock.advance(capacity.FRESH_MS)
+                self.clock.advance(capacity.READING_TTL_MS)
                 self.assertEqual(
                     limits.Capacity(*model), self.reader.read('drafter')
                 )
@@ -100,17 +100,17 @@
                 )
                 self.assertEqual(limits.Capacity(), self.reader.read('nobody'))
 
-    def test_queue_of_long_ago_counts_like_the_queues_that_are_known(
+    def test_outdated_queue_length_is_replaced_by_the_mean(
         self,
     ) -> None:
-        """A target had a queue when an answer told its load, minutes ago.
+        """The last load report of a target is minutes old and has a queue.
 
-        Engines are asked for loads seldom. Were the old queue taken for one
-        of now, entries would refuse callers while the target is idle.
+        Load reports of engines are rare. If an old queue length counted as
+        current, entries would refuse requests while the target is idle.
         """
         self.reported = {'engine-1': (16, 40), 'engine-2': (4, 3)}
         self.clock.advance(60_000)
         self.assertEqual(limits.Capacity(20, 0), self.reader.read('slots'))
         self.received_at['engine-2'] = self.clock.now()
-        self.clock.advance(capacity.FRESH_MS)
+        self.clock.advance(capacity.READING_TTL_MS)
         self.assertEqual(limits.Capacity(20, 6), self.reader.read('slots'))
--- a/tests/application/test_drain.py
+++ b/tests/application/test_drain.py
@@ -1,4 +1,4 @@
-"""Tests of leaving without cutting off a request."""
+"""Tests of the graceful shutdown of an entry."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from thornspool.domain.membership import drains
 
 LINGER_MS = 18_000
-LONG_MS = 3_600_000
+HOUR_MS = 3_600_000
 Phase = drains.Phase
 
 
@@ -23,28 +23,28 @@
     def announce(self) -> None:
         self.announced += 1
 
-    async def settle(self) -> None:
-        """Let the waiting task look at the clock again."""
+    async def wait_for_check(self) -> None:
+        """Wait until the waiting task has checked the phase again."""
         await asyncio.sleep(0.12)
 
     def test_phases(self) -> None:
-        """A stop is ordered while requests are in flight.
+        """An entry is told to stop while requests are in flight.
 
-        Exiting too soon cuts off a request, or leaves callers that still
-        hold the address with a refused connection.
+        If it exits too early, a request is aborted, or callers that have its
+        address cached get a refused connection.
         """
-        began = drains.begin(drains.Drain(), 1000)
+        draining = drains.begin(drains.Drain(), 1000)
         busy = drains.Drain(1000, in_flight=1)
         table = (
-            ('not begun', drains.Drain(), LONG_MS, Phase.SERVING),
+            ('not begun', drains.Drain(), HOUR_MS, Phase.SERVING),
             ('busy, not begun', drains.Drain(None, 3), 0, Phase.SERVING),
-            ('callers may come', began, 999 + LINGER_MS, Phase.UNLISTED),
-            ('nobody comes', began, 1000 + LINGER_MS, Phase.DRAINED),
+            ('requests may arrive', draining, 999 + LINGER_MS, Phase.UNLISTED),
+            ('none can arrive', draining, 1000 + LINGER_MS, Phase.DRAINED),
             ('in flight', busy, 1000 + LINGER_MS, Phase.UNLISTED),
-            ('in flight for long', busy, LONG_MS, Phase.UNLISTED),
+            ('in flight for long', busy, HOUR_MS, Phase.UNLISTED),
             (
-                'ordered twice',
-                drains.begin(began, 9000),
+                'begun twice',
+                drains.begin(draining, 9000),
                 1000 + LINGER_MS,
                 Phase.DRAINED,
             ),
@@ -54,36 +54,36 @@
                 phase = drains.decide_phase(state, LINGER_MS, now)
                 self.assertIs(expected, phase)
 
-    async def test_nothing_in_flight_is_cut_off(self) -> None:
-        """The stop signal comes twice while a stream runs for an hour.
+    async def test_in_flight_request_is_finished(self) -> None:
+        """The stop signal arrives twice while a stream runs for an hour.
 
-        The stream must be finished all the same.
+        The stream must still be finished.
         """
         waiting = asyncio.create_task(self.service.wait_drained())
         with self.service.track():
             self.service.begin()
             self.service.begin()
-            self.clock.advance(LONG_MS)
-            await self.settle()
+            self.clock.advance(HOUR_MS)
+            await self.wait_for_check()
             self.assertFalse(waiting.done())
             self.assertFalse(self.service.is_accepting())
         async with asyncio.timeout(5):
             await waiting
         self.assertEqual(1, self.announced)
 
-    async def test_request_that_fails_is_counted_off(self) -> None:
-        """A request ends in an error.
+    async def test_failed_request_is_no_longer_in_flight(self) -> None:
+        """A request ends with an error.
 
-        Counted on, it would keep the entry from ever leaving.
+        If it still counted as in flight, the entry would never exit.
         """
         with self.assertRaises(ValueError), self.service.track():
             raise ValueError
         self.assertEqual(0, self.service.in_flight)
 
-    async def test_entry_serves_until_told_to_leave(self) -> None:
+    async def test_entry_serves_until_the_drain_begins(self) -> None:
         waiting = asyncio.create_task(self.service.wait_drained())
-        self.clock.advance(LONG_MS)
-        await self.settle()
+        self.clock.advance(HOUR_MS)
+        await self.wait_for_check()
         self.assertTrue(self.service.is_accepting())
         self.assertFalse(waiting.done())
         waiting.cancel()
--- a/tests/application/test_gates.py
+++ b/tests/application/test_gates.py
@@ -1,4 +1,4 @@
-"""Tests of the gates that requests pass before they run."""
+"""Tests of the admission checks of requests."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     'swan-coast', limits.Asked('drafter', 'drafter', 39, 60_000), 0
 )
 
-# Reason of admission and whether the workspace's own limit stood against it.
+# Reason of a refusal, and whether it is a limit of the workspace.
 REASONS = (
     (limits.Reason.REQUESTS, True),
     (limits.Reason.TOKENS, True),
@@ -29,10 +29,10 @@
     (limits.Reason.DEADLINE, False),
 )
 
-# Tokens asked for, milliseconds to the first token or None, to the end,
-# outcome, and what admission learns: the time of the first token, that of the
-# rest, and whether the targets were late.
-ENDINGS = (
+# Maximum tokens, milliseconds to the first token or None, milliseconds to the
+# end, outcome, and what admission control records: the time of the first
+# token, that of the other tokens, and whether the targets timed out.
+OUTCOMES = (
     (40, 300, 2300, observation.Outcome.DONE, 300, (39, 2000), False),
     (40, 300, 2300, observation.Outcome.LEFT, 300, None, False),
     (40, 300, 60_000, observation.Outcome.UNKNOWN, 300, None, False),
@@ -51,29 +51,29 @@
     def setUp(self) -> None:
         self.clock = builders.FakeClock()
         self.verdict = quarantine.Clear()
-        self.answer = limits.Admitted(TICKET)
-        self.asked = []
-        self.forget()
-        self.keeper = gates.Gatekeeper(
+        self.result = limits.Admitted(TICKET)
+        self.admitted_requests = []
+        self.reset_records()
+        self.gatekeeper = gates.Gatekeeper(
             self.clock,
             self,
             types.SimpleNamespace(check=lambda fingerprint: self.verdict),
         )
 
-    def forget(self) -> None:
-        self.first, self.rest = None, None
+    def reset_records(self) -> None:
+        self.first_ms, self.rest = None, None
         self.late, self.finished = False, []
 
-    def admit(self, workspace, asked, now):
-        self.asked.append(asked)
-        if isinstance(self.answer, limits.Admitted):
+    def admit(self, workspace, request, now):
+        self.admitted_requests.append(request)
+        if isinstance(self.result, limits.Admitted):
             return attrs.evolve(
-                self.answer, ticket=limits.Ticket(workspace, asked, now)
+                self.result, ticket=limits.Ticket(workspace, request, now)
             )
-        return self.answer
+        return self.result
 
     def observe(self, group, kind, duration_ms, now) -> None:
-        self.first = duration_ms
+        self.first_ms = duration_ms
 
     def observe_rest(self, ticket, units, duration_ms, now) -> None:
         self.rest = (units, duration_ms)
@@ -84,53 +84,57 @@
     def finish(self, ticket, tokens, now) -> None:
         self.finished.append(tokens)
 
-    def test_reasons_of_refusal_are_passed_on(self) -> None:
+    def test_refusal_reasons_are_passed_on(self) -> None:
         for reason, by_limit in REASONS:
             with self.subTest(reason=reason):
-                self.answer = limits.Refused(reason, 350)
+                self.result = limits.Refused(reason, 350)
                 with self.assertRaises(requests.RequestRefused) as caught:
-                    self.keeper.admit(WORK)
+                    self.gatekeeper.admit(WORK)
                 self.assertEqual(350, caught.exception.retry_after_ms)
                 self.assertEqual(by_limit, caught.exception.by_limit)
 
-    def test_a_condemned_request_is_not_admitted(self) -> None:
+    def test_condemned_request_is_not_admitted(self) -> None:
         """A request that crashed its targets is sent again.
 
-        Every user of the model would notice if it ran once more.
+        If it ran again, it would affect all users of the model.
         """
         self.verdict = quarantine.Condemned(9_000)
         with self.assertRaises(requests.RequestRefused) as caught:
-            self.keeper.admit(WORK)
+            self.gatekeeper.admit(WORK)
         self.assertEqual(9_000, caught.exception.retry_after_ms)
-        self.assertEqual([], self.asked)
+        self.assertEqual([], self.admitted_requests)
 
-    def test_only_what_targets_take_is_learnt(self) -> None:
-        """Callers leave, the platform is down, keys are answered again.
+    def test_only_times_of_targets_are_recorded(self) -> None:
+        """Callers cancel, the platform is down, or results are replayed.
 
-        If that changed the bound of a target group, callers of targets that
-        are well would be refused. Calls and actions are timed at the target
-        instead; of a stream only the wait for its first token counts.
+        If that changed the concurrency limit of a target group, requests to
+        healthy targets would be refused. Calls and actions are measured at
+        the target instead. Of a stream, only the time to its first token can
+        count as a timeout.
         """
-        for case in ENDINGS:
+        for case in OUTCOMES:
             with self.subTest(case=case):
-                tokens, first_ms, end_ms, outcome, *learnt = case
-                self.forget()
-                began = self.clock.now()
+                tokens, first_token_ms, end_ms, outcome, *recorded = case
+                self.reset_records()
+                started_at = self.clock.now()
                 work = attrs.evolve(
-                    WORK, tokens=tokens, deadline=began + 60_000
+                    WORK, tokens=tokens, deadline=started_at + 60_000
+                )
+                admitted = self.gatekeeper.admit(work)
+                if first_token_ms is not None:
+                    self.clock.advance(first_token_ms)
+                    admitted.record_first_token()
+                self.clock.advance(started_at + end_ms - self.clock.now())
+                admitted.finish(tokens, outcome)
+                self.assertEqual(
+                    recorded, [self.first_ms, self.rest, self.late]
                 )
-                place = self.keeper.admit(work)
-                if first_ms is not None:
-                    self.clock.advance(first_ms)
-                    place.note_first_token()
-                self.clock.advance(began + end_ms - self.clock.now())
-                place.finish(tokens, outcome)
-                self.assertEqual(learnt, [self.first, self.rest, self.late])
                 self.assertEqual([tokens], self.finished)
 
-    def test_kinds_of_work_are_passed_on(self) -> None:
+    def test_kind_of_work_is_passed_on(self) -> None:
         work = attrs.evolve(WORK, group='slots', kind='slots/hold', tokens=0)
-        self.keeper.admit(work)
+        self.gatekeeper.admit(work)
         self.assertEqual(
-            [limits.Asked('slots', 'slots/hold', 0, 60_000)], self.asked
+            [limits.Asked('slots', 'slots/hold', 0, 60_000)],
+            self.admitted_requests,
         )
--- a/tests/application/test_intake.py
+++ b/tests/application/test_intake.py
@@ -1,4 +1,4 @@
-"""Tests of what happens to a request before and after it runs."""
+"""Tests of the lookup, admission and accounting of requests."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from thornspool.domain.configuration import documents
 
 REFUSED = requests.RequestRefused('limit', 700)
-ANSWER = ports.ServiceAnswer(200, 'application/json', b'{}')
+RESPONSE = ports.ServiceAnswer(200, 'application/json', b'{}')
 SNAPSHOT = documents.Snapshot(
     1,
     workspaces={
@@ -41,7 +41,7 @@
     targets={'slots-1': application_builders.build_target('slots-1')},
 )
 
-# Gate that refuses, operation, resent, what the caller is told.
+# Check that refuses, operation, resent, result for the caller.
 REFUSALS = (
     ('admit', 'hold', False, 'refused'),
     ('admit', 'status', True, 'refused'),
@@ -61,13 +61,13 @@
 
 
 class Ticket:
-    """Notes how a place is given back."""
+    """Records how an admitted request is finished."""
 
     def __init__(self) -> None:
         self.finished = []
         self.first_tokens = 0
 
-    def note_first_token(self) -> None:
+    def record_first_token(self) -> None:
         self.first_tokens += 1
 
     def finish(self, tokens, outcome) -> None:
@@ -75,12 +75,12 @@
 
 
 class Objectives:
-    """Notes what is compared with objectives."""
+    """Records the outcomes and times passed to the objectives."""
 
     def __init__(self) -> None:
         self.outcomes = []
         self.times = []
-        self.told = 0
+        self.report_count = 0
 
     def record_outcome(self, workspace, name, good) -> None:
         self.outcomes.append(good)
@@ -89,7 +89,7 @@
         self.record_times(workspace, name, indicator, [milliseconds])
 
     def record_times(self, workspace, name, indicator, times_ms) -> None:
-        self.told += 1
+        self.report_count += 1
         self.times += [(indicator.value, time) for time in times_ms]
 
 
@@ -101,12 +101,12 @@
         self.in_flight = []
         self.ran = []
         self.result = results.ActionDone(200, 'text/plain', b'held', False)
-        self.called = calls.CallAnswered(ANSWER)
+        self.call_result = calls.CallAnswered(RESPONSE)
         self.events = []
 
-    def build(self, refusing=''):
+    def build(self, refusing_check=''):
         def admit(work):
-            if refusing == 'admit':
+            if refusing_check == 'admit':
                 raise REFUSED
             return self.ticket
 
@@ -115,8 +115,8 @@
             lambda: SNAPSHOT,
             intake.Gates(
                 admit,
-                lambda: refusing != 'is_accepting',
-                lambda: refusing == 'is_isolated',
+                lambda: refusing_check != 'is_accepting',
+                lambda: refusing_check == 'is_isolated',
                 lambda: ('http://10.0.0.2:8000',),
             ),
             intake.Runners(
@@ -142,60 +142,66 @@
 
     async def run_call(self, resolved, body, fingerprint):
         self.ran.append(resolved)
-        return self.called
+        return self.call_result
 
     async def stream(self, request):
         self.ran.append(request)
-        for wait, event in self.events:
-            self.clock.advance(wait)
+        for delay_ms, event in self.events:
+            self.clock.advance(delay_ms)
             yield event
 
-    def ask(self, operation='hold', resent=False, **names):
+    def build_request(self, operation='hold', resent=False, **names):
         values = {'workspace': 'swan-coast', 'service': 'slots', **names}
         return requests.OperationRequest(
             operation=operation, key='k', body=b'{}', resent=resent, **values
         )
 
     async def test_refusals_run_nothing(self) -> None:
-        """An entry drains, is cut off, or a limit is reached.
+        """An entry drains or is isolated, or a limit is reached.
 
-        A caller that sent its hold before must not read "not run", which
-        would make it book again under a new key.
+        A caller that resends its request to hold a slot must not receive
+        "not run", which would make it book again under a new key.
         """
-        for gate, operation, resent, told in REFUSALS:
-            with self.subTest(gate=gate, operation=operation, resent=resent):
-                taking = self.build(gate)
-                asked = taking.run_operation(self.ask(operation, resent))
-                if told == 'refused':
+        for check, operation, resent, expected in REFUSALS:
+            with self.subTest(check=check, operation=operation, resent=resent):
+                intake_service = self.build(check)
+                running = intake_service.run_operation(
+                    self.build_request(operation, resent)
+                )
+                if expected == 'refused':
                     with self.assertRaises(requests.RequestRefused) as caught:
-                        await asked
+                        await running
                     self.assertGreater(caught.exception.retry_after_ms, 0)
                 else:
-                    result = await asked
+                    result = await running
                     self.assertIsInstance(result, results.ActionUnknown)
                     self.assertGreater(result.retry_after_ms, 0)
                 self.assertEqual([], self.ran)
                 self.assertEqual([], self.in_flight)
 
-    async def test_a_draining_entry_names_others(self) -> None:
+    async def test_draining_entry_returns_other_entries(self) -> None:
         with self.assertRaises(requests.RequestRefused) as caught:
-            await self.build('is_accepting').run_operation(self.ask())
+            await self.build('is_accepting').run_operation(
+                self.build_request()
+            )
         self.assertEqual(('http://10.0.0.2:8000',), caught.exception.instead)
 
-    async def test_names_that_are_not_in_force_run_nothing(self) -> None:
+    async def test_unknown_names_run_nothing(self) -> None:
         for workspace, service, operation, kind in UNKNOWN_NAMES:
             with (
                 self.subTest(workspace=workspace, kind=kind),
                 self.assertRaises(exceptions.UnknownName) as caught,
             ):
                 await self.build().run_operation(
-                    self.ask(operation, workspace=workspace, service=service)
+                    self.build_request(
+                        operation, workspace=workspace, service=service
+                    )
                 )
             self.assertEqual(kind, caught.exception.kind)
         self.assertEqual([], self.ran)
 
-    async def test_an_action_is_sent_once_and_its_place_given_back(self):
-        result = await self.build().run_operation(self.ask())
+    async def test_action_is_sent_once_and_its_capacity_released(self):
+        result = await self.build().run_operation(self.build_request())
         self.assertEqual(self.result, result)
         (request,) = self.ran
         self.assertEqual(['slots-1'], [one.name for one in request.targets])
@@ -204,15 +210,17 @@
         self.assertEqual(['begun', 'ended'], self.in_flight)
         self.assertEqual([True], self.objectives.outcomes)
 
-    async def test_an_idempotent_call_takes_the_way_of_calls(self) -> None:
-        for called, kind in (
-            (calls.CallAnswered(ANSWER), results.ActionDone),
+    async def test_idempotent_operation_runs_as_a_call(self) -> None:
+        for call_result, kind in (
+            (calls.CallAnswered(RESPONSE), results.ActionDone),
             (calls.CallFailed('lost', True, 5), results.ActionUnknown),
             (calls.CallFailed('refused', False, 5), results.ActionNotRun),
         ):
-            with self.subTest(called=called):
-                self.called = called
-                result = await self.build().run_operation(self.ask('status'))
+            with self.subTest(call_result=call_result):
+                self.call_result = call_result
+                result = await self.build().run_operation(
+                    self.build_request('status')
+                )
                 self.assertIsInstance(result, kind)
 
     async def test_tokens_are_timed_and_counted(self) -> None:
@@ -221,10 +229,10 @@
             (60, generation.Tokens(1, ('b', 'c'))),
             (5, generation.Finished(3)),
         ]
-        wanted = requests.ModelRequest(
+        model_request = requests.ModelRequest(
             'r', 'swan-coast', 'drafter', 'p', 9, 0, 1000
         )
-        seen = [event async for event in self.build().stream(wanted)]
+        seen = [event async for event in self.build().stream(model_request)]
         self.assertEqual([event for _, event in self.events], seen)
         self.assertEqual(
             [('first_token', 400), ('between_tokens', 30)],
@@ -233,18 +241,19 @@
         self.assertEqual([(3, 'done')], self.ticket.finished)
         self.assertEqual(1, self.ticket.first_tokens)
 
-    async def test_a_caller_that_leaves_gives_its_place_back(self) -> None:
-        """A caller closes its connection in the middle of an answer.
+    async def test_cancelled_request_releases_its_capacity(self) -> None:
+        """A caller closes its connection in the middle of a response.
 
-        The place must be free at once; it is no failure of the service.
-        What the caller waited counts: without the times of those who left
-        for slowness, a report would show that all was well.
+        The capacity must be released at once, and the request doesn't count
+        as a failure of the service. Its token times do count: without the
+        times of callers that cancel slow requests, a report would show that
+        the objectives are met.
         """
         self.events = [(1, generation.Tokens(0, ('a',)))] * 3
-        wanted = requests.ModelRequest(
+        model_request = requests.ModelRequest(
             'r', 'swan-coast', 'drafter', 'p', 9, 0, 1000
         )
-        events = self.build().stream(wanted)
+        events = self.build().stream(model_request)
         await anext(events)
         await anext(events)
         await events.aclose()
@@ -254,24 +263,26 @@
             [('first_token', 1), ('between_tokens', 1)], self.objectives.times
         )
 
-    async def test_objectives_are_told_of_times_each_second(self) -> None:
+    async def test_token_times_are_passed_to_objectives_each_second(
+        self,
+    ) -> None:
         token = generation.Tokens(0, ('a',))
         self.events = [(49, token)] * 42
-        wanted = requests.ModelRequest(
+        model_request = requests.ModelRequest(
             'r', 'swan-coast', 'drafter', 'p', 99, 0, 60_000
         )
-        events = self.build().stream(wanted)
+        events = self.build().stream(model_request)
         for _ in range(42):
             await anext(events)
-        # The first token, and those of two seconds.
-        self.assertEqual(3, self.objectives.told)
+        # One report of the first token, and one for each of two seconds.
+        self.assertEqual(3, self.objectives.report_count)
         self.assertEqual(42, len(self.objectives.times))
         await events.aclose()
-        self.assertEqual(3, self.objectives.told)
+        self.assertEqual(3, self.objectives.report_count)
 
-    async def test_a_model_of_another_workspace_is_unknown(self) -> None:
-        wanted = requests.ModelRequest(
+    async def test_model_of_another_workspace_is_unknown(self) -> None:
+        model_request = requests.ModelRequest(
             'r', 'other', 'drafter', 'p', 9, 0, 1000
         )
         with self.assertRaises(exceptions.UnknownName):
-            await anext(self.build().stream(wanted))
+            await anext(self.build().stream(model_request))
--- a/tests/application/test_membership.py
+++ b/tests/application/test_membership.py
@@ -18,31 +18,31 @@
 
 
 class FakePlatform:
-    """A host list that a test sets; None stands for an outage."""
+    """Host list that a test sets; None simulates an outage."""
 
     def __init__(self) -> None:
         self.hosts: tuple[ports.Host, ...] | None = ()
 
     async def announce(self, own: ports.Host) -> None:
         if self.hosts is None:
-            raise exceptions.PlatformError('No answer.')
+            raise exceptions.PlatformError('No response.')
 
     async def list_hosts(self) -> tuple[ports.Host, ...]:
         if self.hosts is None:
-            raise exceptions.PlatformError('No answer.')
+            raise exceptions.PlatformError('No response.')
         return self.hosts
 
 
 @attrs.define
 class FakeNetwork:
-    """Messages told between services, delivered when a test says so."""
+    """Queue of messages between services, delivered on demand."""
 
     handlers: dict[str, dict[type, ports.Handler]] = attrs.field(factory=dict)
-    waiting: list[tuple[str, str, typing.Any]] = attrs.field(factory=list)
+    queue: list[tuple[str, str, typing.Any]] = attrs.field(factory=list)
 
     async def deliver(self) -> None:
-        while self.waiting:
-            sender, address, message = self.waiting.pop(0)
+        while self.queue:
+            sender, address, message = self.queue.pop(0)
             handlers = self.handlers.get(address, {})
             if type(message) in handlers:
                 await handlers[type(message)](sender, message)
@@ -54,17 +54,19 @@
     member: ports.Member
 
     def tell(self, peer_address: str, message: typing.Any) -> None:
-        self.network.waiting.append(
+        self.network.queue.append(
             (self.member.incarnation, peer_address, message)
         )
 
     def handle(self, message_type: type, handler: ports.Handler) -> None:
-        own = self.network.handlers.setdefault(self.member.peer_address, {})
-        own[message_type] = handler
+        handlers = self.network.handlers.setdefault(
+            self.member.peer_address, {}
+        )
+        handlers[message_type] = handler
 
 
 class Entry:
-    """A service with what the rest of its process would see."""
+    """A membership service with records of its callbacks."""
 
     def __init__(
         self,
@@ -108,13 +110,13 @@
         )
 
     async def run_for(self, milliseconds: int) -> None:
-        for _ in range(milliseconds // membership.TICK_MS):
-            self.clock.advance(membership.TICK_MS)
+        for _ in range(milliseconds // membership.TICK_INTERVAL_MS):
+            self.clock.advance(membership.TICK_INTERVAL_MS)
             for entry in self.entries:
                 entry.service.tick()
             await self.network.deliver()
 
-    async def form(self) -> None:
+    async def form_fleet(self) -> None:
         for entry in self.entries:
             await entry.service.refresh_seeds()
         await self.run_for(3000)
@@ -122,7 +124,7 @@
     async def test_entries_find_each_other_through_the_host_list(
         self,
     ) -> None:
-        await self.form()
+        await self.form_fleet()
         expected = tuple(entry.member for entry in self.entries)
         for entry in self.entries:
             self.assertEqual(expected, entry.service.list_members())
@@ -130,60 +132,63 @@
             self.assertIsNone(entry.service.find('nobody'))
             self.assertEqual([self.platform.hosts], entry.hosts)
 
-    async def test_outage_of_the_platform_leaves_the_members_alone(
+    async def test_platform_outage_does_not_change_the_members(
         self,
     ) -> None:
-        """The platform is down for long while entries run.
+        """The platform is down for a long time while entries run.
 
-        Its list is a hint only; if members vanished with it, callers would
-        lose every address.
+        Its host list is only a source of addresses. If members disappeared
+        with the list, callers would lose all addresses.
         """
-        await self.form()
+        await self.form_fleet()
         self.platform.hosts = None
         for entry in self.entries:
             await entry.service.refresh_seeds()
         await self.run_for(20_000)
         self.assertEqual(3, len(self.entries[0].service.list_members()))
 
-    async def test_list_of_a_process_that_was_stopped_is_not_kept(
+    async def test_list_of_a_suspended_process_is_not_cached(
         self,
     ) -> None:
-        """A process is stopped while another entry leaves, and wakes.
+        """A process is suspended while another entry leaves, and resumes.
 
-        The first thing that it sees are requests that waited. Kept for the
-        full time, the list that it holds would lead callers to an address
-        that refuses them by then.
+        It first handles buffered messages. If callers cached its outdated
+        list for the full time, they would use an address that refuses them.
         """
-        await self.form()
+        await self.form_fleet()
         first = self.entries[0].service
         for _ in range(60):
             await self.run_for(1000)
-            self.assertEqual(membership.KEEP_MS, first.list_entries().keep_ms)
+            self.assertEqual(
+                membership.CALLER_CACHE_MS, first.list_entries().keep_ms
+            )
         self.clock.advance(10_000)
-        told = messages.Applied(1, 1, b'')
-        waited = messages.Ack(1, messages.Gossip(0, 1, told))
-        await first._receive('entry-1-1', waited)
+        applied = messages.Applied(1, 1, b'')
+        buffered = messages.Ack(1, messages.Gossip(0, 1, applied))
+        await first._receive('entry-1-1', buffered)
         self.assertEqual(0, first.list_entries().keep_ms)
         await self.run_for(2000)
-        self.assertEqual(membership.KEEP_MS, first.list_entries().keep_ms)
+        self.assertEqual(
+            membership.CALLER_CACHE_MS, first.list_entries().keep_ms
+        )
 
-    async def test_leaving_entry_is_told_to_callers_as_leaving(self) -> None:
-        await self.form()
+    async def test_leaving_entry_is_listed_as_leaving(self) -> None:
+        await self.form_fleet()
         self.entries[0].service.announce_leaving()
         await self.run_for(1000)
         for entry in self.entries:
-            answer = entry.service.list_entries()
-            self.assertEqual(('http://entry-0:8000',), answer.leaving)
+            response = entry.service.list_entries()
+            self.assertEqual(('http://entry-0:8000',), response.leaving)
             self.assertEqual(
                 ['http://entry-1:8000', 'http://entry-2:8000'],
-                [listed.url for listed in answer.entries],
+                [entry_address.url for entry_address in response.entries],
             )
-            self.assertEqual(membership.KEEP_MS, answer.keep_ms)
+            self.assertEqual(membership.CALLER_CACHE_MS, response.keep_ms)
             found = entry.service.find('entry-0-1')
             self.assertIs(State.LEAVING, found and found.state)
 
-    async def test_stopped_entry_is_gone_at_once(self) -> None:
-        await self.form()
+    async def test_stopped_entry_is_removed_immediately(self) -> None:
+        await self.form_fleet()
         await self.entries.pop(0).service.stop()
         await self.run_for(1000)
         for entry in self.entries:
@@ -191,8 +196,8 @@
             states = [m.state for m in entry.service.list_all()]
             self.assertEqual([State.DEAD, State.ALIVE, State.ALIVE], states)
 
-    async def test_higher_version_is_reported_and_spread(self) -> None:
-        await self.form()
+    async def test_higher_version_is_reported_and_propagated(self) -> None:
+        await self.form_fleet()
         self.entries[0].version = 7
         await self.run_for(2000)
         for entry in self.entries[1:]:
@@ -209,11 +214,11 @@
     async def test_report_is_repeated_while_the_version_is_missing(
         self,
     ) -> None:
-        """The pull of a new version fails because its source just died.
+        """The pull of a new version fails because its source crashed.
 
         Without another report the entry would keep the old configuration.
         """
-        await self.form()
+        await self.form_fleet()
         self.entries[0].version = 7
         await self.run_for(5000)
         self.assertGreater(len(self.entries[1].reported), 2)
--- a/tests/application/test_service_fuzzing.py
+++ b/tests/application/test_service_fuzzing.py
@@ -1,4 +1,4 @@
-"""Histories of calls of which one crashes targets, against an oracle."""
+"""Fuzzing of call histories in which one call crashes its targets."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 from thornspool.domain.actions import results
 
 ENTRIES = 3
-INNOCENTS = tuple(b'{"note": %d}' % number for number in range(4))
-BODIES = (crash_builders.CRASHER, *INNOCENTS)
+HARMLESS_BODIES = tuple(b'{"note": %d}' % number for number in range(4))
+BODIES = (crash_builders.CRASHER, *HARMLESS_BODIES)
 PLATFORM_FAULTS = ('', 'unknown-done', 'unknown-late', 'unknown-never')
-NEWS_TRAVEL_MS = 100
-PAUSE_S = 1.5
-AHEAD_MS = 20_000
+UPDATE_PROPAGATION_MS = 100
+SETTLING_S = 1.5
+KEY_TIME_OFFSET_MS = 20_000
 
 SENDS = strategies.lists(
     strategies.tuples(
-        # At the same moment, or once the news are there.
-        strategies.sampled_from((0, 0, NEWS_TRAVEL_MS, 700, 3_000)),
+        # Delay: at the same time, or after the update has propagated.
+        strategies.sampled_from((0, 0, UPDATE_PROPAGATION_MS, 700, 3_000)),
         strategies.integers(0, ENTRIES - 1),
         strategies.sampled_from(BODIES),
-        # Answers that targets lose while they live on.
+        # Number of responses lost by targets that do not crash.
         strategies.sampled_from((0, 0, 0, 1, 2)),
         strategies.sampled_from(PLATFORM_FAULTS),
     ),
@@ -40,7 +40,7 @@
 
 
 class History:
-    """Sends calls as drawn and notes what each was told."""
+    """Sends the generated calls and records their results."""
 
     def __init__(self, operation, crash_ms, latency_ms) -> None:
         self.fleet = crash_builders.CrashFleet(ENTRIES, targets=12)
@@ -48,70 +48,74 @@
         self.fleet.services.latency_ms = 20
         self.fleet.network.latency_ms = latency_ms
         self.operation = operation
-        self.most = 2
-        self.told = {}
+        self.max_crashed = 2
+        self.results_by_key = {}
         self.seed = 0
 
     async def send(self, entry, body):
         self.seed += 1
-        wall = self.fleet.clock.wall() + AHEAD_MS
+        wall = self.fleet.clock.wall() + KEY_TIME_OFFSET_MS
         key = builders.build_key(self.seed, wall)
-        told = await self.fleet.send(entry, body, self.operation, key)
-        self.told[key] = told
-        return told
+        result = await self.fleet.send(entry, body, self.operation, key)
+        self.results_by_key[key] = result
+        return result
 
     async def run(self, sends) -> None:
         self.fleet.start()
-        under_way = []
+        in_flight = []
         for wait_ms, entry, body, breaking, fault in sends:
             await asyncio.sleep(wait_ms / 1000)
             self.fleet.services.breaking += breaking
             if fault:
                 self.fleet.platform.faults.append(fault)
             work = asyncio.ensure_future(self.send(entry, body))
-            under_way.append(work)
+            in_flight.append(work)
             await asyncio.sleep(0)
-            self.check_innocents()
+            self.check_harmless()
             if breaking:
-                # A target that lost an answer is passed over for a moment,
-                # at the entry that saw it alone.
-                self.most = ENTRIES + 1
-        await asyncio.gather(*under_way)
+                # A target that lost a response is briefly excluded, but only
+                # at the entry that observed it.
+                self.max_crashed = ENTRIES + 1
+        await asyncio.gather(*in_flight)
         self.fleet.services.breaking = 0
         self.fleet.platform.faults.clear()
-        await asyncio.sleep(PAUSE_S)
-        self.check_innocents()
+        await asyncio.sleep(SETTLING_S)
+        self.check_harmless()
         await self.check_end()
 
-    def check_innocents(self) -> None:
-        for body in INNOCENTS:
+    def check_harmless(self) -> None:
+        for body in HARMLESS_BODIES:
             verdicts = self.fleet.check(body, self.operation)
-            assert 'Condemned' not in verdicts, f'{body!r} condemned'
+            assert 'Condemned' not in verdicts, f'{body!r} is condemned'
 
     async def check_end(self) -> None:
-        """Check that the crasher stops and the innocents are served."""
+        """Check that the crashing call is refused and others are served."""
         for number in range(ENTRIES * 2):
-            last = await self.send(number % ENTRIES, crash_builders.CRASHER)
-            await asyncio.sleep(PAUSE_S)
-        assert isinstance(last, requests.RequestRefused), last
-        dead = self.fleet.services.dead
-        assert len(dead) <= self.most, f'killed {dead}'
-        for number, body in enumerate(INNOCENTS):
-            last = await self.send(number % ENTRIES, body)
-            assert isinstance(last, results.ActionDone), f'{body!r}: {last}'
+            result = await self.send(number % ENTRIES, crash_builders.CRASHER)
+            await asyncio.sleep(SETTLING_S)
+        assert isinstance(result, requests.RequestRefused), result
+        crashed = self.fleet.services.dead
+        assert len(crashed) <= self.max_crashed, f'crashed targets: {crashed}'
+        for number, body in enumerate(HARMLESS_BODIES):
+            result = await self.send(number % ENTRIES, body)
+            assert isinstance(result, results.ActionDone), (
+                f'{body!r}: {result}'
+            )
         self.check_keys()
 
     def check_keys(self) -> None:
-        """Check that no action was sent twice, nor one that was denied."""
+        """Check that no action ran twice, or ran and was reported not run."""
         if self.operation != 'hold':
             return
         reached = self.fleet.services.keys
-        for key, told in self.told.items():
+        for key, result in self.results_by_key.items():
             assert reached[key] <= 1, f'{key} sent {reached[key]} times'
-            denied = isinstance(
-                told, results.ActionNotRun | requests.RequestRefused
+            reported_not_run = isinstance(
+                result, results.ActionNotRun | requests.RequestRefused
+            )
+            assert not (reported_not_run and reached[key]), (
+                f'{key} ran: {result}'
             )
-            assert not (denied and reached[key]), f'{key} ran: {told}'
 
 
 class ServiceFuzzTest(unittest.TestCase):
@@ -125,14 +129,15 @@
     def test_one_call_costs_two_targets(
         self, sends, operation, crash_ms, latency_ms
     ) -> None:
-        """A call crashes what runs it, and is sent as its callers like.
+        """A call that crashes its targets is sent at arbitrary times.
 
-        Other calls share its targets, answers are lost beside it, and
-        writes of the ledger are. Whatever the order, two targets die, the
-        other calls are served, and what was denied did not run.
+        Other calls share its targets, and responses and writes of the ledger
+        are lost. In any order, at most two targets may crash, the other
+        calls must be served, and calls reported as not run must not have
+        run.
         """
         history = History(operation, crash_ms, latency_ms)
-        # A read that goes past a busy target may cost one target more, as
-        # the page on load says.
-        with mock.patch.object(calls, 'MARGIN', 99):
+        # A read that is sent to its second target because the first is busy
+        # may crash one more target, so the margin is raised here.
+        with mock.patch.object(calls, 'MIN_IN_FLIGHT_MARGIN', 99):
             fakes.run(history.fleet.clock, history.run(sends))
--- a/tests/application/test_service_trials.py
+++ b/tests/application/test_service_trials.py
@@ -1,4 +1,4 @@
-"""Calls to plain services that crash the targets that run them."""
+"""Tests of calls to plain services that crash their targets."""
 
 from __future__ import annotations
 
@@ -14,59 +14,60 @@
 from thornspool.domain.quarantine import records
 
 HOUR_MS = records.CONDEMNED_TTL_MS
-INNOCENT = crash_builders.INNOCENT
-PAUSE_S = 1.5
-SENDS = 9
+HARMLESS = crash_builders.INNOCENT
+SETTLING_S = 1.5
+SEND_COUNT = 9
 
 
 async def send_again(
-    fleet, operation, body=crash_builders.CRASHER, pause_s=PAUSE_S
+    fleet, operation, body=crash_builders.CRASHER, pause_s=SETTLING_S
 ):
-    """Send a body through each entry in turn; return what was told."""
+    """Send a body repeatedly through all entries; return the results."""
     fleet.start()
-    told = []
-    for number in range(SENDS):
+    received = []
+    for number in range(SEND_COUNT):
         entry = number % len(fleet.entries)
-        told.append(await fleet.send(entry, body, operation))
+        received.append(await fleet.send(entry, body, operation))
         await asyncio.sleep(pause_s)
-    return told
+    return received
 
 
 class ServiceTrialsTest(unittest.TestCase):
     def test_a_crashing_call_costs_two_targets(self) -> None:
-        """A call crashes each target that runs it and is sent again.
+        """A call that crashes its targets is sent repeatedly.
 
-        Without the quarantine a status read alone costs four targets, and
-        a payout that is sent under a new key one more each time, until
-        nobody is served.
+        Without the quarantine, a single status read crashes four targets. A
+        payout sent under new keys crashes one more each time, until no
+        target is left.
         """
         for operation in ('status', 'hold', 'pay'):
-            # Lost news arrive by the comparisons.
-            for lost, pause_s in ((), PAUSE_S), (('QuarantineNews',), 20):
+            # Lost updates are recovered by the periodic synchronization.
+            for lost, pause_s in ((), SETTLING_S), (('QuarantineNews',), 20):
                 with self.subTest(operation, lost=lost):
                     fleet = crash_builders.CrashFleet()
                     fleet.network.lose.update(lost)
-                    told = fakes.run(
+                    received = fakes.run(
                         fleet.clock,
                         send_again(fleet, operation, pause_s=pause_s),
                     )
                     self.assertEqual(2, len(fleet.services.dead))
-                    self.check_refused(fleet, told[-1], operation)
+                    self.check_refused(fleet, received[-1], operation)
 
-    def check_refused(self, fleet, told, operation):
+    def check_refused(self, fleet, result, operation):
         self.assertEqual(
             {'Condemned'}, fleet.check(crash_builders.CRASHER, operation)
         )
-        self.assertIsInstance(told, requests.RequestRefused)
-        self.assertIn('crashed', told.message)
-        self.assertGreater(told.retry_after_ms, HOUR_MS // 2)
+        self.assertIsInstance(result, requests.RequestRefused)
+        self.assertIn('crashed', result.message)
+        self.assertGreater(result.retry_after_ms, HOUR_MS // 2)
 
-    def test_sends_at_once_through_many_entries_cost_two_targets(self):
-        """The same call comes through several entries before any can know.
+    def test_simultaneous_sends_through_many_entries_cost_two_targets(self):
+        """Several entries receive the same call before any learns of a crash.
 
-        If each chose a target by itself, each would lose one. The last
-        columns are milliseconds between the sends, until a target dies and
-        until news arrive; a send may find the target dead already.
+        If each entry chose a target by itself, each would lose one. The last
+        columns are the milliseconds between the sends, until a target
+        crashes and until an update arrives. A send may find that the target
+        has already crashed.
         """
         table = itertools.product(
             ('status', 'hold', 'pay'),
@@ -75,19 +76,21 @@
         )
         for operation, entries, times in table:
             with self.subTest(operation, entries=entries, times=times):
-                between, crash_ms, latency_ms = times
+                interval_ms, crash_ms, latency_ms = times
                 fleet = crash_builders.CrashFleet(entries, targets=12)
                 fleet.services.crash_ms = crash_ms
                 fleet.network.latency_ms = latency_ms
-                work = self.send_at_once(fleet, operation, between)
+                work = self.send_simultaneously(fleet, operation, interval_ms)
                 fakes.run(fleet.clock, work)
                 self.assertLessEqual(len(fleet.services.dead), 2)
 
-    def test_sends_at_once_through_one_entry_cost_two_targets(self) -> None:
+    def test_simultaneous_sends_through_one_entry_cost_two_targets(
+        self,
+    ) -> None:
         """Callers send the same call many times through one entry.
 
-        Its first target has clearly more to do than the others then, and
-        new calls go past such a target.
+        The first target of the call then has far more calls in flight than
+        the others, which moves other new calls to another target.
         """
         for operation in ('status', 'hold', 'pay'):
             with self.subTest(operation):
@@ -105,76 +108,76 @@
                 fakes.run(fleet.clock, work())
                 self.assertEqual(2, len(fleet.services.dead))
 
-    def test_a_lost_answer_just_before_the_death_costs_no_more(self) -> None:
-        """One of two reads at once loses its answer, the other its target.
+    def test_lost_response_before_a_crash_costs_no_more_targets(self) -> None:
+        """Of two simultaneous reads, one loses its response, one its target.
 
-        The first is sent on to another target. It must not arrive there
-        before the news of what the second one did.
+        The first read is retried on another target. It must not arrive there
+        before the update on the crash that the second one caused.
         """
         fleet = crash_builders.CrashFleet(entries=2)
         fleet.services.breaking = 1
-        fakes.run(fleet.clock, self.send_at_once(fleet, 'status', 0))
+        fakes.run(fleet.clock, self.send_simultaneously(fleet, 'status', 0))
         self.assertEqual(2, len(fleet.services.dead))
 
-    async def send_at_once(self, fleet, operation, between):
+    async def send_simultaneously(self, fleet, operation, interval_ms):
         sent = []
         for number, _ in enumerate(fleet.entries):
             work = fleet.send(number, operation=operation)
             sent.append(asyncio.ensure_future(work))
-            await asyncio.sleep(between / 1000)
+            await asyncio.sleep(interval_ms / 1000)
         await asyncio.gather(*sent)
-        await asyncio.sleep(PAUSE_S)
+        await asyncio.sleep(SETTLING_S)
         await send_again(fleet, operation)
 
-    def test_a_condemned_key_that_may_have_run_is_not_denied(self) -> None:
-        """A caller asks again with the key under which a target died.
+    def test_condemned_key_that_may_have_run_stays_unknown(self) -> None:
+        """A caller resends the key of a call that crashed a target.
 
-        "Not run" would have it pay once more by other means.
+        "Not run" would make the caller pay again in another way.
         """
         fleet = crash_builders.CrashFleet()
 
         async def work():
-            told = [
+            received = [
                 await fleet.send(0, operation='hold', key=key)
                 for key in (KEY, '')
             ]
-            await asyncio.sleep(PAUSE_S)
-            told.append(
+            await asyncio.sleep(SETTLING_S)
+            received.append(
                 await fleet.send(1, operation='hold', key=KEY, resent=True)
             )
-            told.append(await fleet.send(1, operation='hold'))
-            return told
+            received.append(await fleet.send(1, operation='hold'))
+            return received
 
         *unknown, refused = fakes.run(fleet.clock, work())
-        for one in unknown:
-            self.assertIsInstance(one, results.ActionUnknown)
+        for item in unknown:
+            self.assertIsInstance(item, results.ActionUnknown)
         self.assertIsInstance(refused, requests.RequestRefused)
         self.assertEqual(2, len(fleet.services.dead))
 
-    def test_what_is_no_death_condemns_nothing(self) -> None:
-        """Answers are lost while the targets live, again and again.
+    def test_failures_without_a_crash_condemn_nothing(self) -> None:
+        """Responses are lost repeatedly, but no target crashes.
 
-        A payout that met two broken connections would be refused for an
-        hour though it is harmless.
+        Otherwise a harmless payout that encountered two broken connections
+        would be refused for an hour.
         """
-        cases = {'answers lost': False, 'host or link lost': True}
+        cases = {'responses lost': False, 'host or link lost': True}
         for name, unreachable in cases.items():
             for operation in ('status', 'hold', 'pay'):
                 with self.subTest(name, operation=operation):
                     fleet = crash_builders.CrashFleet()
                     fleet.services.breaking = 6 * (not unreachable)
                     fleet.services.unreachable = unreachable
-                    body = INNOCENT
+                    body = HARMLESS
                     if unreachable:
                         body = crash_builders.CRASHER
                     fakes.run(fleet.clock, send_again(fleet, operation, body))
                     self.assertEqual({'Clear'}, fleet.check(body, operation))
 
-    def test_innocents_that_shared_the_target_still_finish(self) -> None:
-        """Calls are in flight on the target that dies of another's call.
+    def test_other_calls_on_a_crashed_target_still_finish(self) -> None:
+        """Harmless calls are in flight on a target that another call crashes.
 
-        Their callers send them again and must be served, and none of them
-        may be condemned for the company that it was in.
+        Their callers send them again and must be served. None of them may be
+        condemned because it ran beside the call that caused the crash.
         """
         for operation in ('status', 'hold', 'pay'):
             with self.subTest(operation):
@@ -189,26 +192,29 @@
                     self.assertEqual({'Clear'}, fleet.check(body, operation))
 
     async def share(self, fleet, operation, bodies):
-        async def insist(entry, body):
+        async def send_until_done(entry, body):
             for _ in range(20):
-                told = await fleet.send(entry, body, operation)
-                if isinstance(told, results.ActionDone):
+                result = await fleet.send(entry, body, operation)
+                if isinstance(result, results.ActionDone):
                     return True
                 await asyncio.sleep(0.3)
             return False
 
         fleet.services.latency_ms = 40
         served = asyncio.gather(
-            *(insist(number % 3, body) for number, body in enumerate(bodies))
+            *(
+                send_until_done(number % 3, body)
+                for number, body in enumerate(bodies)
+            )
         )
         await send_again(fleet, operation)
         return await served
 
-    def test_a_suspect_is_not_sent_after_news_during_its_grant(self) -> None:
-        """A target dies under a payout while the same one awaits its grant.
+    def test_suspect_is_not_sent_after_a_crash_during_its_grant(self) -> None:
+        """A payout crashes a target while the same payout awaits its grant.
 
-        Sent all the same, it would cost another target. It was not sent,
-        so "not run" is true of it.
+        If the second one were sent, it would crash another target. It was
+        not sent, so the result "not run" is correct.
         """
         fleet = crash_builders.CrashFleet(entries=2)
         fleet.services.crash_ms = 1
@@ -225,54 +231,54 @@
         self.assertIsInstance(first, results.ActionUnknown)
         self.assertIsInstance(second, results.ActionNotRun)
 
-    def test_an_action_without_a_grant_gives_its_target_back(self) -> None:
-        """A suspect got its target, and the platform is down.
+    def test_action_without_a_grant_releases_its_target(self) -> None:
+        """The platform is down after a suspect's target was reserved.
 
-        Kept on, the target would be closed to the other suspects for a
-        minute, and they are the payouts of other callers.
+        If the reservation remained, other suspects, which are payouts of
+        other callers, could not use the target for a minute.
         """
         fleet = crash_builders.CrashFleet(targets=2)
 
         async def work():
             await fleet.send(0, operation='hold')
             fleet.platform.down = True
-            told = await fleet.send(0, operation='hold')
+            result = await fleet.send(0, operation='hold')
             await asyncio.sleep(0.1)
-            return told
+            return result
 
-        told = fakes.run(fleet.clock, work())
-        self.assertIsInstance(told, results.ActionNotRun)
+        result = fakes.run(fleet.clock, work())
+        self.assertIsInstance(result, results.ActionNotRun)
         for entry in fleet.entries:
             self.assertEqual({}, entry.quarantine._trials)
             self.assertEqual({}, entry.quarantine._reservations._kept)
 
-    def test_a_settled_key_waits_for_no_trial(self) -> None:
+    def test_key_with_a_final_result_waits_for_no_trial(self) -> None:
         """A suspect's key is sent again while the suspect is on trial.
 
-        What became of the key is on record; its caller would wait for it
-        until the deadline, and then read "not run".
+        The result of the key is recorded. Without a lookup, the caller would
+        wait until the deadline and then receive "not run".
         """
         fleet = crash_builders.CrashFleet()
 
         async def work():
-            told = await fleet.send(0, operation='hold', key=KEY)
+            first_result = await fleet.send(0, operation='hold', key=KEY)
             await asyncio.sleep(1)
             fleet.services.crash_ms = 5_000
             trial = asyncio.create_task(fleet.send(0, operation='hold'))
             await asyncio.sleep(0.2)
             before = fleet.clock.now()
-            again = await fleet.send(1, operation='hold', key=KEY)
+            repeated = await fleet.send(1, operation='hold', key=KEY)
             self.assertLess(fleet.clock.now() - before, 500)
             trial.cancel()
-            return told, again
+            return first_result, repeated
 
-        for told in fakes.run(fleet.clock, work()):
-            self.assertIsInstance(told, results.ActionUnknown)
+        for result in fakes.run(fleet.clock, work()):
+            self.assertIsInstance(result, results.ActionUnknown)
         self.assertEqual(1, len(fleet.services.dead))
 
-    def test_find_target_tells_of_none(self) -> None:
+    def test_find_target_raises_without_a_target(self) -> None:
         async def work():
-            with self.assertRaises(service_trials.NoTarget):
+            with self.assertRaises(service_trials.NoTargetAvailable):
                 await service_trials.find_target(
                     service_trials.NoTrials(),
                     'f',
@@ -288,36 +294,36 @@
 KEY = crash_builders.builders.build_key(99, 1_790_000_000_000 + 5_000)
 
 
-class RankTest(unittest.TestCase):
-    def test_a_read_that_ran_of_late_uses_all_targets(self) -> None:
-        """Callers ask for the same status many times a second.
+class RankTargetsTest(unittest.TestCase):
+    def test_recently_completed_read_uses_all_targets(self) -> None:
+        """Callers request the same status many times a second.
 
-        One target would answer them all, and be overloaded.
+        If one target had to serve all of them, it would be overloaded.
         """
-        reached, calls = self.count([INNOCENT] * 120, crowd=1)
-        self.assertEqual(4, len(reached))
+        counts, calls = self.count([HARMLESS] * 120, batch_size=1)
+        self.assertEqual(4, len(counts))
         self.assertEqual(120, calls)
 
-    def test_new_calls_go_past_a_target_with_more_to_do(self) -> None:
-        """Many new calls are in flight, each with a target of its own."""
+    def test_new_calls_are_balanced_over_targets(self) -> None:
+        """Many new calls are in flight, ranked to different targets."""
         bodies = [b'{"note": %d}' % number for number in range(40)]
-        reached, _ = self.count(bodies, crowd=40)
-        spread = max(reached.values()) - min(reached.values())
-        self.assertLessEqual(spread, 8)
+        counts, _ = self.count(bodies, batch_size=40)
+        difference = max(counts.values()) - min(counts.values())
+        self.assertLessEqual(difference, 8)
 
-    def count(self, bodies, crowd):
-        """Send calls, some at a time, and count them by target."""
+    def count(self, bodies, batch_size):
+        """Send calls in batches and count them by target."""
         fleet = crash_builders.CrashFleet(entries=1, targets=4)
 
         async def work():
-            for start in range(0, len(bodies), crowd):
+            for start in range(0, len(bodies), batch_size):
                 await asyncio.gather(
                     *(
                         fleet.send(0, body)
-                        for body in bodies[start : start + crowd]
+                        for body in bodies[start : start + batch_size]
                     )
                 )
 
         fakes.run(fleet.clock, work())
-        reached = fleet.services.reached
-        return reached, reached.total()
+        counts = fleet.services.reached
+        return counts, counts.total()
--- a/tests/application/test_targets.py
+++ b/tests/application/test_targets.py
@@ -1,4 +1,4 @@
-"""Tests of which targets may be given new work."""
+"""Tests of the readiness of targets."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 from thornspool.domain.configuration import documents
 from thornspool.domain.targets import messages
 
-BOUND_MS = 3000
-SECONDS_MS = 5000
+MAX_DETECTION_MS = 3000
+MAX_RECOVERY_MS = 5000
 Readiness = messages.Readiness
 
 
-class World:
-    """Engines, the configuration, and entries that tell each other."""
+class FakeFleet:
+    """Engines, the configuration, and entries that exchange messages."""
 
     def __init__(self, clock: builders.FakeClock, count: int = 8) -> None:
         self.clock = clock
         self.snapshot = documents.Snapshot(
             1, targets={f'engine-{i}': build_target(i) for i in range(count)}
         )
-        self.words = dict.fromkeys(self.snapshot.targets, Readiness.READY)
+        self.readiness = dict.fromkeys(self.snapshot.targets, Readiness.READY)
         self.errors: dict[str, exceptions.TargetError] = {}
         self.entries: dict[str, Entry] = {}
         self.is_lossy = False
@@ -49,7 +49,7 @@
         if target.name in self.errors:
             raise self.errors[target.name]
         return messages.LoadReport(
-            target.name, self.clock.now(), self.words[target.name]
+            target.name, self.clock.now(), self.readiness[target.name]
         )
 
     def list_members(self) -> tuple[ports.Member, ...]:
@@ -57,21 +57,21 @@
 
 
 class Entry:
-    """A service with its place among the others."""
+    """A target service and its messages with the others."""
 
-    def __init__(self, world: World, number: int) -> None:
-        self.world = world
+    def __init__(self, fleet: FakeFleet, number: int) -> None:
+        self.fleet = fleet
         self.member = builders.build_member(f'entry-{number}')
         self.handlers: dict[type, ports.Handler] = {}
         self.inbox: list[typing.Any] = []
-        world.entries[self.member.peer_address] = self
+        fleet.entries[self.member.peer_address] = self
         self.service = targets.TargetService(
-            world.clock,
+            fleet.clock,
             typing.cast('ports.Peers', self),
-            typing.cast('ports.MemberView', world),
+            typing.cast('ports.MemberView', fleet),
             self.member.incarnation,
-            lambda: world.snapshot,
-            world.fetch_load,
+            lambda: fleet.snapshot,
+            fleet.fetch_load,
             random.Random(number),
         )
 
@@ -79,8 +79,8 @@
         self.handlers[message_type] = handler
 
     def tell(self, address: str, message: typing.Any) -> None:
-        if address in self.world.entries and not self.world.is_lossy:
-            self.world.entries[address].inbox.append(message)
+        if address in self.fleet.entries and not self.fleet.is_lossy:
+            self.fleet.entries[address].inbox.append(message)
 
     async def step(self) -> None:
         for message in self.inbox:
@@ -105,13 +105,13 @@
 
 class TargetServiceTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
-        self.world = World(builders.FakeClock())
-        self.entries = [Entry(self.world, i) for i in range(5)]
+        self.fleet = FakeFleet(builders.FakeClock())
+        self.entries = [Entry(self.fleet, i) for i in range(5)]
 
     async def run_for(self, milliseconds: int) -> None:
-        for _ in range(milliseconds // targets.TICK_MS):
-            self.world.clock.advance(targets.TICK_MS)
-            for entry in list(self.world.entries.values()):
+        for _ in range(milliseconds // targets.TICK_INTERVAL_MS):
+            self.fleet.clock.advance(targets.TICK_INTERVAL_MS)
+            for entry in list(self.fleet.entries.values()):
                 await entry.step()
             for _ in range(3):
                 await asyncio.sleep(0)
@@ -119,14 +119,14 @@
     def read(self, target: str = 'engine-0') -> set[Readiness]:
         return {
             entry.service.read_readiness(target)
-            for entry in self.world.entries.values()
+            for entry in self.fleet.entries.values()
         }
 
-    def say_leaving(self) -> None:
-        self.world.words['engine-0'] = Readiness.LEAVING
+    def report_leaving(self) -> None:
+        self.fleet.readiness['engine-0'] = Readiness.LEAVING
 
-    def say_ready(self) -> None:
-        self.world.words['engine-0'] = Readiness.READY
+    def report_ready(self) -> None:
+        self.fleet.readiness['engine-0'] = Readiness.READY
 
     def list_leaving(self) -> None:
         host = build_host(ports.HostState.LEAVING)
@@ -137,39 +137,44 @@
         self.entries[0].service.hear_hosts((host,))
 
     def publish_leaving(self) -> None:
-        self.world.change_target('engine-0', leaving=True)
+        self.fleet.change_target('engine-0', leaving=True)
 
     def publish_ready(self) -> None:
-        self.world.change_target('engine-0', leaving=False)
+        self.fleet.change_target('engine-0', leaving=False)
 
-    async def test_whoever_knows_first_stops_new_work(self) -> None:
-        """A target leaves, and each source learns of it at another time.
+    async def test_first_source_that_reports_leaving_stops_new_work(
+        self,
+    ) -> None:
+        """A target leaves, and only one source reports it at first.
 
-        Given new work after some seconds, the work would be cut off with
-        it. When it comes back it must be of use within seconds.
+        Work that the target still received after some seconds would be
+        aborted when it stops. When the target returns, it must get work
+        within seconds.
         """
         table = (
-            ('its own word', self.say_leaving, self.say_ready),
+            ('the target', self.report_leaving, self.report_ready),
             ('the host list', self.list_leaving, self.list_ready),
             ('the operator', self.publish_leaving, self.publish_ready),
         )
         await self.run_for(2000)
-        for name, leave, come_back in table:
+        for name, start_leaving, return_to_service in table:
             with self.subTest(name):
                 self.assertEqual({Readiness.READY}, self.read())
-                leave()
-                await self.run_for(BOUND_MS)
+                start_leaving()
+                await self.run_for(MAX_DETECTION_MS)
                 for _ in range(100):
-                    await self.run_for(targets.TICK_MS)
+                    await self.run_for(targets.TICK_INTERVAL_MS)
                     self.assertEqual({Readiness.LEAVING}, self.read())
-                come_back()
-                await self.run_for(SECONDS_MS)
+                return_to_service()
+                await self.run_for(MAX_RECOVERY_MS)
                 self.assertEqual({Readiness.READY}, self.read())
 
-    async def test_bound_holds_when_a_polling_entry_is_dead(self) -> None:
-        """One of the two entries that poll a target dies unnoticed.
+    async def test_leaving_is_detected_in_time_when_a_poller_crashed(
+        self,
+    ) -> None:
+        """One of the two entries that poll a target crashes undetected.
 
-        The other one alone must notice in time that the target leaves.
+        The other one must still detect in time that the target leaves.
         """
         await self.run_for(2000)
         pollers = [
@@ -177,14 +182,16 @@
             for entry in self.entries
             if 'engine-0' in entry.service._assigned
         ]
-        self.assertEqual(targets.POLLERS, len(pollers))
+        self.assertEqual(targets.POLLERS_PER_TARGET, len(pollers))
         pollers[0].service.tick = lambda: None  # type: ignore[method-assign]
-        self.say_leaving()
-        await self.run_for(BOUND_MS)
+        self.report_leaving()
+        await self.run_for(MAX_DETECTION_MS)
         self.assertEqual({Readiness.LEAVING}, self.read())
 
-    async def test_refusal_by_the_target_counts_at_once(self) -> None:
-        self.say_leaving()
+    async def test_leaving_reported_by_the_target_applies_immediately(
+        self,
+    ) -> None:
+        self.report_leaving()
         service = self.entries[0].service
         service.hear_load(
             messages.LoadReport('engine-0', 0, Readiness.LEAVING, running=3)
@@ -193,46 +200,47 @@
         load = service.read_load('engine-0')
         self.assertEqual(3, load and load.running)
 
-    async def test_entry_that_joins_learns_who_leaves(self) -> None:
-        """An entry starts while a target has been leaving for long.
+    async def test_joining_entry_receives_the_leaving_targets(self) -> None:
+        """An entry starts long after a target began to leave.
 
-        It missed the news and would give it new work.
+        It missed the update and would give the target new work.
         """
-        self.say_leaving()
+        self.report_leaving()
         await self.run_for(8000)
-        joined = Entry(self.world, 9)
+        joined = Entry(self.fleet, 9)
         await self.run_for(300)
         readiness = joined.service.read_readiness('engine-0')
         self.assertIs(Readiness.LEAVING, readiness)
 
-    async def test_failed_target_is_used_again_when_it_answers(self) -> None:
-        """A target crashes and is started again, or a link breaks and heals.
+    async def test_failed_target_is_used_again_when_it_responds(self) -> None:
+        """A target restarts after a crash, or a link recovers.
 
-        Meanwhile it must get no work, and afterwards must not stay idle.
+        The target must get no work meanwhile, and must not stay idle
+        afterwards.
         """
         lost = exceptions.TargetAnswerLost('No answer.')
         refused = exceptions.TargetNotReached('Refused.')
         for error in (lost, refused):
             for is_lossy in (False, True):
                 with self.subTest(error=error, is_lossy=is_lossy):
-                    self.world.is_lossy = is_lossy
-                    self.world.errors['engine-0'] = error
+                    self.fleet.is_lossy = is_lossy
+                    self.fleet.errors['engine-0'] = error
                     for entry in self.entries:
                         entry.service.note_failure('engine-0', 'it broke')
                     for _ in range(60):
-                        await self.run_for(targets.TICK_MS)
+                        await self.run_for(targets.TICK_INTERVAL_MS)
                         self.assertEqual({Readiness.UNREACHABLE}, self.read())
-                    self.world.errors.clear()
-                    await self.run_for(SECONDS_MS)
+                    self.fleet.errors.clear()
+                    await self.run_for(MAX_RECOVERY_MS)
                     self.assertEqual({Readiness.READY}, self.read())
 
-    async def test_one_lost_poll_does_not_count(self) -> None:
-        """A poll is lost while the target works under load.
+    async def test_single_lost_poll_does_not_fail_a_target(self) -> None:
+        """A poll is lost while the target is under load.
 
-        Taken out for it, the others would be loaded the more.
+        If the target were excluded, the load of the others would increase.
         """
         lost = exceptions.TargetAnswerLost('No answer.')
-        self.world.errors['engine-0'] = lost
+        self.fleet.errors['engine-0'] = lost
         service = self.entries[0].service
         await service.poll('engine-0')
         self.assertIs(Readiness.READY, service.read_readiness('engine-0'))
@@ -241,55 +249,59 @@
             Readiness.UNREACHABLE, service.read_readiness('engine-0')
         )
 
-    async def test_one_question_serves_all_who_wait_for_a_target(self) -> None:
-        """A target vanishes, or is overloaded with all others.
+    async def test_waiting_requests_share_one_probe(self) -> None:
+        """A target is unresponsive, or all targets are overloaded.
 
-        Every request that waits for it would ask it, and the questions of
-        all entries would add to the load that made them wait.
+        If every waiting request probed its target, the probes of all entries
+        would add to the load for which the requests wait.
         """
         service = self.entries[0].service
-        for is_silent in (False, True):
-            with self.subTest(is_silent=is_silent):
-                self.world.polls = 0
-                if is_silent:
-                    self.world.clock.advance(targets.CHECK_INTERVAL_MS)
-                    lost = exceptions.TargetAnswerLost('silent')
-                    self.world.errors['engine-0'] = lost
+        for is_unresponsive in (False, True):
+            with self.subTest(is_unresponsive=is_unresponsive):
+                self.fleet.polls = 0
+                if is_unresponsive:
+                    self.fleet.clock.advance(targets.PROBE_TTL_MS)
+                    lost = exceptions.TargetAnswerLost('timeout')
+                    self.fleet.errors['engine-0'] = lost
                 for _ in range(2):
-                    answers = await asyncio.gather(
+                    responded = await asyncio.gather(
                         *(service.is_answering('engine-0') for _ in range(9))
                     )
-                    self.assertEqual({not is_silent}, set(answers))
-                self.assertEqual(2 if is_silent else 1, self.world.polls)
+                    self.assertEqual({not is_unresponsive}, set(responded))
+                self.assertEqual(2 if is_unresponsive else 1, self.fleet.polls)
 
-    async def test_polls_are_bounded(self) -> None:
-        """Every target is down at once and comes back.
+    async def test_poll_rate_is_limited(self) -> None:
+        """All targets fail at the same time and recover later.
 
-        Entries must not spend their time on asking them again, and yet
-        must use them again within seconds.
+        Entries must limit the rate of their polls, and must still use the
+        targets again within seconds.
         """
-        self.world = World(builders.FakeClock(), count=40)
-        self.entries = [Entry(self.world, i) for i in range(5)]
+        self.fleet = FakeFleet(builders.FakeClock(), count=40)
+        self.entries = [Entry(self.fleet, i) for i in range(5)]
         await self.run_for(1000)
         refused = exceptions.TargetNotReached('Refused.')
-        self.world.errors = dict.fromkeys(self.world.snapshot.targets, refused)
+        self.fleet.errors = dict.fromkeys(self.fleet.snapshot.targets, refused)
         for entry in self.entries:
-            for target in self.world.snapshot.targets:
+            for target in self.fleet.snapshot.targets:
                 entry.service.note_failure(target, 'it broke')
         await self.run_for(3000)
-        self.world.polls = 0
+        self.fleet.polls = 0
         await self.run_for(30_000)
-        regular = 40 * targets.POLLERS / (targets.POLL_MS / 1000)
-        checks = targets.CHECKS_PER_S * len(self.entries)
-        self.assertLessEqual(self.world.polls, 30 * 1.1 * (regular + checks))
-        self.world.errors.clear()
-        await self.run_for(SECONDS_MS)
-        for target in self.world.snapshot.targets:
+        regular = (
+            40 * targets.POLLERS_PER_TARGET / (targets.POLL_INTERVAL_MS / 1000)
+        )
+        recovery_polls = targets.RECOVERY_POLLS_PER_S * len(self.entries)
+        self.assertLessEqual(
+            self.fleet.polls, 30 * 1.1 * (regular + recovery_polls)
+        )
+        self.fleet.errors.clear()
+        await self.run_for(MAX_RECOVERY_MS)
+        for target in self.fleet.snapshot.targets:
             self.assertEqual({Readiness.READY}, self.read(target))
 
-    async def test_target_taken_out_gets_no_work(self) -> None:
+    async def test_removed_target_gets_no_work(self) -> None:
         await self.run_for(1000)
-        self.world.snapshot = documents.Snapshot(2)
+        self.fleet.snapshot = documents.Snapshot(2)
         await self.run_for(1000)
         self.assertEqual({Readiness.LEAVING}, self.read())
         service = self.entries[0].service
--- a/tests/application/test_timed_services.py
+++ b/tests/application/test_timed_services.py
@@ -1,4 +1,4 @@
-"""Tests of the times that the adaptive bound learns from."""
+"""Tests of the measurements for the adaptive concurrency limit."""
 
 from __future__ import annotations
 
@@ -9,12 +9,13 @@
 from thornspool.application import ports
 from thornspool.application import timed_services
 
-ANSWER = ports.ServiceAnswer(200, 'application/json', b'{}')
+RESPONSE = ports.ServiceAnswer(200, 'application/json', b'{}')
 CALL = ports.ServiceCall(
     'http://127.0.0.1:1', 'slots', 'hold', 'w', 'k', 1, b'{}', 900
 )
 
-# What the target does after how long, and what is learnt.
+# Error of the target, its duration in milliseconds, the expected recorded
+# responses and the expected recorded timeouts.
 CASES = (
     (None, 300, [('slots', 'slots/hold', 300, 300)], []),
     (exceptions.TargetNotReached('x'), 2, [], []),
@@ -24,33 +25,33 @@
 
 
 class TimedServicesTest(unittest.IsolatedAsyncioTestCase):
-    async def test_what_is_learnt(self) -> None:
-        """Targets answer, break, or do not answer in time.
+    async def test_only_responses_and_timeouts_are_recorded(self) -> None:
+        """Targets respond, fail, or do not respond in time.
 
-        Only the last one speaks of overload; a target that refuses
-        connections is left alone by other means.
+        Of the failures, only a timeout indicates overload. A target that
+        refuses connections is excluded by other means.
         """
-        for error, took, observed, late in CASES:
-            with self.subTest(error=error, took=took):
+        for error, duration_ms, observed, timeouts in CASES:
+            with self.subTest(error=error, duration_ms=duration_ms):
                 self.clock = builders.FakeClock(now=0)
-                self.error, self.took = error, took
-                self.observed, self.late = [], []
+                self.error, self.duration_ms = error, duration_ms
+                self.observed, self.timeouts = [], []
                 subject = timed_services.TimedServices(
                     self.clock,
                     self,
-                    lambda *seen: self.observed.append(seen),
-                    lambda *seen: self.late.append(seen),
+                    lambda *record: self.observed.append(record),
+                    lambda *record: self.timeouts.append(record),
                 )
                 if error is None:
-                    self.assertIs(ANSWER, await subject.call(CALL))
+                    self.assertIs(RESPONSE, await subject.call(CALL))
                 else:
                     with self.assertRaises(type(error)):
                         await subject.call(CALL)
                 self.assertEqual(observed, self.observed)
-                self.assertEqual(late, self.late)
+                self.assertEqual(timeouts, self.timeouts)
 
     async def call(self, call):
-        self.clock.advance(self.took)
+        self.clock.advance(self.duration_ms)
         if self.error is not None:
             raise self.error
-        return ANSWER
+        return RESPONSE
