--- a/src/thornspool/application/gates.py
+++ b/src/thornspool/application/gates.py
@@ -48,7 +48,7 @@
         self._service = service
         self._quarantine = quarantine_service
 
-    def admit(self, work: intake.Work) -> intake.Ticket:
+    def admit(self, work: intake.WorkEstimate) -> intake.AdmittedRequest:
         """Admit a request, or refuse it.
 
         Raises
@@ -70,7 +70,7 @@
             raise requests.RequestRefused(
                 reason,
                 admitted.retry_after_ms,
-                by_limit=admitted.reason in _WORKSPACE_LIMITS,
+                exceeds_workspace_limit=admitted.reason in _WORKSPACE_LIMITS,
             )
         is_stream = work.tokens > 0
         return _AdmittedRequest(
--- a/src/thornspool/application/intake.py
+++ b/src/thornspool/application/intake.py
@@ -39,7 +39,7 @@
 
 
 @attrs.frozen
-class Work:
+class WorkEstimate:
     """What admission control needs to know of a request.
 
     Attributes
@@ -67,7 +67,7 @@
     kind: str
 
 
-class Ticket(typing.Protocol):
+class AdmittedRequest(typing.Protocol):
     """An admitted request; its capacity must be released exactly once."""
 
     def record_first_token(self) -> None:
@@ -86,7 +86,7 @@
     Attributes
     ----------
     admit : callable
-        Returns a ticket or raises ``RequestRefused``.
+        Returns the admitted request or raises ``RequestRefused``.
     is_accepting : callable
         Returns False while the entry drains.
     is_isolated : callable
@@ -95,7 +95,7 @@
         Returns the URLs of entries to use instead.
     """
 
-    admit: Callable[[Work], Ticket]
+    admit: Callable[[WorkEstimate], AdmittedRequest]
     is_accepting: Callable[[], bool]
     is_isolated: Callable[[], bool]
     list_instead: Callable[[], tuple[str, ...]]
@@ -272,7 +272,7 @@
             deadline=self._clock.now() + request.timeout_ms,
             attachments=request.attachments,
         )
-        estimate = Work(
+        estimate = WorkEstimate(
             request.workspace,
             request.model,
             generation_attempts.fingerprint_request(generation_request),
@@ -301,7 +301,7 @@
         resolved: directory.ResolvedOperation,
     ) -> Iterator[observation.RequestProgress]:
         """Admit an operation and record its end."""
-        estimate = Work(
+        estimate = WorkEstimate(
             request.workspace,
             request.service,
             operations.fingerprint_operation(request),
@@ -317,27 +317,27 @@
 
     @contextlib.contextmanager
     def _admit(
-        self, estimate: Work, kind: str
+        self, estimate: WorkEstimate, kind: str
     ) -> Iterator[observation.RequestProgress]:
         """Admit or refuse a request, and record its end."""
         started_at = self._clock.now()
         try:
             self._check_accepting()
-            ticket = self._gates.admit(estimate)
+            admitted = self._gates.admit(estimate)
         except requests.RequestRefused as refused:
             self._metrics.count_event('request_refused')
             outcome = observation.Outcome.REFUSED
-            if refused.by_limit:
+            if refused.exceeds_workspace_limit:
                 outcome = observation.Outcome.LIMITED
             self._record_end(estimate, kind, outcome, started_at)
             raise
-        progress = observation.RequestProgress(ticket.record_first_token)
+        progress = observation.RequestProgress(admitted.record_first_token)
         try:
             with self._track():
                 yield progress
         finally:
             outcome = observation.classify_outcome(progress.result)
-            ticket.finish(progress.tokens, outcome)
+            admitted.finish(progress.tokens, outcome)
             self._record_end(estimate, kind, outcome, started_at)
 
     def _check_accepting(self) -> None:
@@ -351,7 +351,7 @@
 
     def _record_end(
         self,
-        estimate: Work,
+        estimate: WorkEstimate,
         kind: str,
         outcome: observation.Outcome,
         started_at: int,
--- a/src/thornspool/application/requests.py
+++ b/src/thornspool/application/requests.py
@@ -81,8 +81,8 @@
         Delay before the caller should retry, in milliseconds.
     instead : tuple of str
         Addresses of entries to use instead of this one.
-    by_limit : bool
-        Whether a limit of the workspace is the reason.
+    exceeds_workspace_limit : bool
+        Whether the request exceeds a limit of its workspace.
     """
 
     def __init__(
@@ -90,9 +90,9 @@
         reason: str,
         retry_after_ms: int,
         instead: tuple[str, ...] = (),
-        by_limit: bool = False,
+        exceeds_workspace_limit: bool = False,
     ) -> None:
         super().__init__(reason, f'Retry in {retry_after_ms} ms.')
         self.retry_after_ms = retry_after_ms
         self.instead = instead
-        self.by_limit = by_limit
+        self.exceeds_workspace_limit = exceeds_workspace_limit
--- a/src/thornspool/application/service_trials.py
+++ b/src/thornspool/application/service_trials.py
@@ -283,12 +283,12 @@
         services: ports.Services,
         trials: Trials,
         is_refusing: Callable[[str], Awaitable[bool]],
-        note_failure: Callable[[str, str], None],
+        record_failure: Callable[[str, str], None],
     ) -> None:
         self._services = services
         self._trials = trials
         self._is_refusing = is_refusing
-        self._note_failure = note_failure
+        self._record_failure = record_failure
         self._broken_calls: dict[str, set[str]] = {}
         self._crash_checks: dict[str, asyncio.Task[None]] = {}
 
@@ -371,5 +371,5 @@
             del self._crash_checks[call.target]
         if not has_crashed:
             return
-        self._note_failure(call.target, 'The target refuses connections.')
+        self._record_failure(call.target, 'The target refuses connections.')
         self._trials.note_death(call.target, tuple(sorted(fingerprints)))
--- a/tests/application/test_gates.py
+++ b/tests/application/test_gates.py
@@ -15,7 +15,7 @@
 from thornspool.domain.limits import messages as limits
 from thornspool.domain.quarantine import messages as quarantine
 
-WORK = intake.Work('swan-coast', 'drafter', 'f', 60_000, 40, 'drafter')
+WORK = intake.WorkEstimate('swan-coast', 'drafter', 'f', 60_000, 40, 'drafter')
 TICKET = limits.Ticket(
     'swan-coast', limits.Asked('drafter', 'drafter', 39, 60_000), 0
 )
@@ -85,13 +85,16 @@
         self.finished.append(tokens)
 
     def test_refusal_reasons_are_passed_on(self) -> None:
-        for reason, by_limit in REASONS:
+        for reason, exceeds_workspace_limit in REASONS:
             with self.subTest(reason=reason):
                 self.result = limits.Refused(reason, 350)
                 with self.assertRaises(requests.RequestRefused) as caught:
                     self.gatekeeper.admit(WORK)
                 self.assertEqual(350, caught.exception.retry_after_ms)
-                self.assertEqual(by_limit, caught.exception.by_limit)
+                self.assertEqual(
+                    exceeds_workspace_limit,
+                    caught.exception.exceeds_workspace_limit,
+                )
 
     def test_condemned_request_is_not_admitted(self) -> None:
         """A request that crashed its targets is sent again.
--- a/tests/application/test_intake.py
+++ b/tests/application/test_intake.py
@@ -60,7 +60,7 @@
 )
 
 
-class Ticket:
+class FakeAdmittedRequest:
     """Records how an admitted request is finished."""
 
     def __init__(self) -> None:
@@ -96,7 +96,7 @@
 class IntakeTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self) -> None:
         self.clock = builders.FakeClock()
-        self.ticket = Ticket()
+        self.admitted = FakeAdmittedRequest()
         self.objectives = Objectives()
         self.in_flight = []
         self.ran = []
@@ -108,7 +108,7 @@
         def admit(work):
             if refusing_check == 'admit':
                 raise REFUSED
-            return self.ticket
+            return self.admitted
 
         return intake.Intake(
             self.clock,
@@ -206,7 +206,7 @@
         (request,) = self.ran
         self.assertEqual(['slots-1'], [one.name for one in request.targets])
         self.assertEqual(self.clock.now() + 900, request.deadline)
-        self.assertEqual([(0, 'done')], self.ticket.finished)
+        self.assertEqual([(0, 'done')], self.admitted.finished)
         self.assertEqual(['begun', 'ended'], self.in_flight)
         self.assertEqual([True], self.objectives.outcomes)
 
@@ -238,8 +238,8 @@
             [('first_token', 400), ('between_tokens', 30)],
             self.objectives.times,
         )
-        self.assertEqual([(3, 'done')], self.ticket.finished)
-        self.assertEqual(1, self.ticket.first_tokens)
+        self.assertEqual([(3, 'done')], self.admitted.finished)
+        self.assertEqual(1, self.admitted.first_tokens)
 
     async def test_cancelled_request_releases_its_capacity(self) -> None:
         """A caller closes its connection in the middle of a response.
@@ -257,7 +257,7 @@
         await anext(events)
         await anext(events)
         await events.aclose()
-        self.assertEqual([(2, 'left')], self.ticket.finished)
+        self.assertEqual([(2, 'left')], self.admitted.finished)
         self.assertEqual([], self.objectives.outcomes)
         self.assertEqual(
             [('first_token', 1), ('between_tokens', 1)], self.objectives.times
