--- a/src/thornspool/adapters/__init__.py
+++ b/src/thornspool/adapters/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters: the edges that carry commands out."""
+"""Adapters: HTTP, peer messaging, engines, services and the store."""
--- a/src/thornspool/adapters/exceptions.py
+++ b/src/thornspool/adapters/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of calls over HTTP; their callers turn them into their own."""
+"""Errors of HTTP transfers; callers convert them to their own errors."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class TransportError(exceptions.ThornspoolError):
-    """Base of the errors of a call over HTTP."""
+    """Base class for errors of HTTP transfers."""
 
 
 class NotSent(TransportError):
-    """Not one byte of the request was written, and none will be."""
+    """No byte of the request was written, and none will be."""
 
 
 class AnswerLost(TransportError):
-    """The request may have been sent; no whole answer came back."""
+    """The request may have been sent; no complete response arrived."""
 
 
 class ConnectionBroken(AnswerLost):
-    """The connection ended under the request; it did not time out."""
+    """The connection closed during the request; it did not time out."""
--- a/src/thornspool/adapters/problems.py
+++ b/src/thornspool/adapters/problems.py
@@ -1,4 +1,4 @@
-"""Errors over HTTP as problem details (RFC 9457)."""
+"""HTTP errors as problem details (RFC 9457)."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Outcome(enum.Enum):
-    """What became of the request; the caller may rely on it."""
+    """Outcome of a request that a caller may rely on."""
 
     NOT_RUN = 'not run'
     UNKNOWN = 'unknown'
@@ -27,23 +27,24 @@
 
 @attrs.frozen
 class Problem:
-    """Problem details of one answer.
+    """Problem details of one response.
 
     Attributes
     ----------
     status : int
-        HTTP status.
+        HTTP status code.
     detail : str
-        What went wrong and what to do next.
+        Description of the error and of the next step for the caller.
     outcome : Outcome
-        Whether anything was run.
+        Whether the request was executed.
     retry_after_ms : int or None
-        When to come back; None when coming back does not help.
+        Delay before a retry in milliseconds; None when a retry does not
+        help.
     instead : tuple of str
-        Addresses of entries to use instead of this one.
+        URLs of entries to use instead of this one.
     key_checked : bool or None
-        Whether the outcome holds for the idempotency key, too; None where
-        no key is concerned.
+        Whether the outcome also applies to the idempotency key; None when
+        the request has no key.
     """
 
     status: int
@@ -55,7 +56,7 @@
 
 
 class ProblemError(Exception):
-    """Ends a handler with a problem."""
+    """Raised by a handler to respond with a problem."""
 
     def __init__(self, problem: Problem) -> None:
         super().__init__(problem.detail)
@@ -63,7 +64,7 @@
 
 
 def describe_problem(problem: Problem) -> dict[str, typing.Any]:
-    """Return the members of the JSON object of a problem."""
+    """Build the JSON object of a problem."""
     members: dict[str, typing.Any] = {
         'type': 'about:blank',
         'title': http.client.responses.get(problem.status, 'Unknown'),
@@ -81,7 +82,7 @@
 
 
 def write_problem(handler: web.RequestHandler, problem: Problem) -> None:
-    """End a request with a problem.
+    """Send a problem as the response of a request.
 
     ``Retry-After`` is rounded up to whole seconds (RFC 9110);
     ``retry_after_ms`` in the body is exact.
@@ -95,15 +96,15 @@
 
 
 class ProblemHandler(web.RequestHandler):
-    """Base of handlers whose errors are problem details."""
+    """Base class for handlers that report errors as problem details."""
 
     def write_error(self, status_code: int, **kwargs: typing.Any) -> None:
-        """Turn any error that ended a handler into a problem.
+        """Respond to an unhandled error with a problem.
 
         Parameters
         ----------
         status_code : int
-            Status that tornado chose.
+            Status code that tornado selected.
         **kwargs : object
             ``exc_info`` of the error, if any.
         """
@@ -112,7 +113,9 @@
             write_problem(self, error.problem)
             return
         if status_code >= 500:
-            detail = 'The entry failed; ask again through another entry.'
+            detail = (
+                'Internal error of the entry; retry through another entry.'
+            )
             problem = Problem(status_code, detail, Outcome.UNKNOWN)
         else:
             detail = getattr(error, 'log_message', None) or self._reason
@@ -122,7 +125,7 @@
     def log_exception(
         self, typ: typing.Any, value: typing.Any, tb: typing.Any
     ) -> None:
-        """Log only errors that nobody expected."""
+        """Log unexpected errors only."""
         if isinstance(value, (ProblemError, web.HTTPError)):
             return
         logger.error(
@@ -131,9 +134,9 @@
 
 
 class NotFoundHandler(ProblemHandler):
-    """Answers every path that does not exist."""
+    """Responds to paths that have no route."""
 
     def prepare(self) -> None:
-        """End the request with a problem."""
-        detail = f'There is no {self.request.path}; see docs/api.md.'
+        """Respond with a 404 problem."""
+        detail = f'No route for {self.request.path}; see docs/api.md.'
         raise ProblemError(Problem(404, detail))
--- a/src/thornspool/adapters/store/__init__.py
+++ b/src/thornspool/adapters/store/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration and outcomes of the own interface, in the platform's store."""
+"""Stores configuration and action outcomes in the platform's store."""
--- a/src/thornspool/adapters/store/client.py
+++ b/src/thornspool/adapters/store/client.py
@@ -1,7 +1,7 @@
-"""The platform's port of the own interface over the platform's store.
+"""Implements the ``Platform`` port over the platform's key-value store.
 
-Keys lie under a prefix of their own. A key's version is the store's revision
-of its last change.
+All keys have a common prefix. The version of a key is the store revision of
+its last change.
 """
 
 from __future__ import annotations
@@ -29,51 +29,52 @@
     from thornspool import clock as clock_module
 
 PREFIX = 'thornspool/values/'
-"""Before every key: servers, operators and this project's entries on the
-platform have keys of their own in the same store."""
+"""Prefix of every key; servers, operators and platform entries use other
+prefixes in the same store."""
 
 ENTRIES_PREFIX = 'thornspool/peers/'
-"""Before the names of hosts whose entries announced themselves."""
+"""Prefix of the announcement keys; the host name follows."""
 
 ANNOUNCE_TTL_MS = 120_000
-"""Time that an entry stays in the list without being announced again.
+"""Time in milliseconds until an announcement expires if it is not renewed.
 
-350 entries read and announce every 44 s at most; one answer that is lost,
-or a store that is away for a minute, must take nobody out.
+With 350 entries, each one reads the list and renews its announcement at
+intervals of up to 44 s. A lost response or a store outage of one minute must
+not remove an entry.
 """
 
 DEFAULT_TIMEOUT_MS = 1_000
-"""Longest wait for an answer; the store takes 4 ms, and 240 ms when slow."""
+"""Request timeout; the store responds within 4 ms, or 240 ms when slow."""
 
 _MS_PER_S = 1000.0
 _PROBE_KEY = 'probe'
-"""Does not exist, so that its answer is short."""
-_TRY_LATER = 'Try again later; status shows the platform as down.'
+"""A key that does not exist, so that the response is small."""
+_RETRY_HINT = 'Retry later; the status reports the platform as down.'
 
-_ANSWERS = (
+_DEFINITE_ERRORS = (
     store_errors.ConditionFailed,
     store_errors.HistoryLost,
     store_errors.LeaseEnded,
 )
-"""Errors that a store which works answers with."""
+"""Errors that an available store responds with."""
 
-Answer = typing.TypeVar('Answer')
+Result = typing.TypeVar('Result')
 
 logger = structlog.get_logger(__name__)
 
 
 @attrs.frozen
 class StoreSettings:
-    """How the store is called.
+    """Connection settings of the store.
 
     Attributes
     ----------
     address : str
         ``ip:port`` of the store.
     timeout_ms : int
-        Longest time for an answer, in milliseconds.
+        Request timeout in milliseconds.
     gate : GateSettings
-        Budget and backoff.
+        Rate limit and backoff.
     """
 
     address: str
@@ -83,7 +84,7 @@
 
 @attrs.frozen
 class _Announcement:
-    """Value of an entry in the list."""
+    """Value stored for an announced entry."""
 
     failure_domain: str
     peer_address: str
@@ -91,14 +92,14 @@
 
 @attrs.frozen
 class _Position:
-    """Where the next watch of a key goes on.
+    """Position from which the next watch of a key continues.
 
     Attributes
     ----------
     version : int
-        Version of the key that its watcher has.
+        Version of the key that the watcher already has.
     revision : int
-        Store's revision up to which there is no later version of it.
+        Store revision up to which the key has no later version.
     """
 
     version: int
@@ -106,26 +107,27 @@
 
 
 class StorePlatform:
-    """The platform's port; build it inside a running loop.
+    """Client of the store; create it inside a running event loop.
 
-    A ``put`` that raises ``PlatformError`` was not sent or was refused, and
-    will not take effect; every other doubt is ``WriteUnknown``.
+    A ``put`` that raises ``PlatformError`` was not sent or was rejected and
+    will not take effect. Any other uncertain outcome is ``WriteUnknown``.
 
     Parameters
     ----------
     settings : StoreSettings
-        Address and bounds.
+        Address and limits.
     clock : thornspool.clock.Clock
-        Time of the budget and the backoff.
+        Clock for the rate limit and the backoff.
     draw : callable
         Returns random numbers from 0 to 1, for jitter.
 
     Attributes
     ----------
     calls : collections.Counter of str
-        Calls sent, by kind: get, put, watch, announce, hosts.
+        Number of calls sent, by kind: get, put, watch, announce, hosts.
     errors : collections.Counter of str
-        Calls by kind that had no answer or were held back.
+        Number of calls by kind that got no response or were not sent
+        because of the backoff or the rate limit.
     """
 
     def __init__(
@@ -139,8 +141,8 @@
         self._clock = clock
         self._gate = gate.Gate(settings.gate, draw)
         self._count_entries: Callable[[], int] = lambda: 0
-        self._note_failing: Callable[[], None] = lambda: None
-        self._note_back: Callable[[], None] = lambda: None
+        self._on_outage: Callable[[], None] = lambda: None
+        self._on_recovery: Callable[[], None] = lambda: None
         self._session = transfers.Session()
         self._store = store_module.Store(
             self._session, settings.address, settings.timeout_ms
@@ -158,25 +160,25 @@
         note_failing: Callable[[], None],
         note_back: Callable[[], None],
     ) -> None:
-        """Name what counts the entries and what is told of an outage."""
+        """Set the callbacks that count entries and report outages."""
         self._count_entries = count_entries
-        self._note_failing = note_failing
-        self._note_back = note_back
+        self._on_outage = note_failing
+        self._on_recovery = note_back
 
     def read_backoff(self) -> int | None:
-        """Return the milliseconds until a call may leave, if any is held."""
+        """Return the remaining backoff in milliseconds, or None."""
         return self._gate.read_backoff(self._clock.now())
 
     def end_backoff(self) -> None:
-        """Let the next call leave at once."""
+        """End the backoff, so that the next call is sent immediately."""
         self._gate.end_backoff()
 
     async def probe(self) -> None:
-        """Call the store for its answer alone."""
+        """Call the store to check that it responds."""
         await self.get(_PROBE_KEY)
 
     async def get(self, key: str) -> ports.Versioned:
-        """Read a key; version 0 and no bytes when it does not exist."""
+        """Read a key; version 0 and an empty value if it does not exist."""
         item = await self._read(
             'get', lambda: self._store.read(f'{PREFIX}{key}')
         )
@@ -185,7 +187,7 @@
     async def put(
         self, key: str, value: bytes, expected_version: int
     ) -> ports.WriteResult:
-        """Write a key if its version still is the expected one."""
+        """Write a key if its version is the expected one."""
         name = f'{PREFIX}{key}'
         put = store_module.Put(name, value)
         try:
@@ -204,15 +206,16 @@
     async def watch(
         self, key: str, after_version: int, timeout_ms: int
     ) -> ports.Versioned | None:
-        """Wait until a key is past a version; None when time is up."""
-        # As a probe a watch would hold back every other call until it ends,
-        # up to 20 s after the store is back: actions would be refused while
-        # it answers. Without a wait the probe tells at once.
+        """Wait for a newer version of a key; None after the timeout."""
+        # During a backoff this call is the probe, and all other calls are
+        # rejected until it ends. A watch that blocks for up to 20 s would
+        # cause actions to be rejected while the store is available again,
+        # so the probe does not wait for a change.
         if self._gate.is_backing_off:
             timeout_ms = 0
         position = self._positions.get(key)
         if position is None or position.version != after_version:
-            found = await self._look(key, after_version)
+            found = await self._read_for_watch(key, after_version)
             if found is not None:
                 return found
             position = self._positions[key]
@@ -223,17 +226,17 @@
                 lambda: self._store.watch(name, position.revision, timeout_ms),
             )
         except store_errors.HistoryLost:
-            return await self._look(key, after_version)
+            return await self._read_for_watch(key, after_version)
         except store_errors.StoreError as error:
             raise _build_error('watch', error) from error
         if changes.revision < position.revision:
-            # The store was put back to an earlier state. Its revisions are
-            # reached again, and changes until then would never be seen.
-            return await self._look(key, after_version)
-        return self._choose(key, after_version, changes)
+            # The store was restored to an earlier state and reuses its
+            # revisions. Changes up to the old revision would be missed.
+            return await self._read_for_watch(key, after_version)
+        return self._select_newer(key, after_version, changes)
 
     async def announce(self, own: ports.Host) -> None:
-        """Put an entry into the list of hosts, or keep it there."""
+        """Add an entry to the list of hosts, or renew its announcement."""
         lease = self._lease
         if lease is not None:
             try:
@@ -259,7 +262,7 @@
         self._lease = granted.id
 
     async def list_hosts(self) -> tuple[ports.Host, ...]:
-        """Read the list of hosts of entries and of targets."""
+        """Read the hosts of entries and targets."""
         entries = await self._read(
             'hosts', lambda: self._store.read_all(ENTRIES_PREFIX)
         )
@@ -272,19 +275,19 @@
         ]
         return tuple(one for one in found if one is not None)
 
-    async def _look(
+    async def _read_for_watch(
         self, key: str, after_version: int
     ) -> ports.Versioned | None:
-        """Read a key and note where its watch goes on."""
+        """Read a key and store the position for its next watch."""
         changes = await self._read(
             'watch', lambda: self._store.read_all(f'{PREFIX}{key}')
         )
-        return self._choose(key, after_version, changes)
+        return self._select_newer(key, after_version, changes)
 
-    def _choose(
+    def _select_newer(
         self, key: str, after_version: int, changes: store_module.Changes
     ) -> ports.Versioned | None:
-        """Return the last version of a key past one, if there is any."""
+        """Return the latest version of a key if it is newer than a version."""
         self._positions[key] = _Position(after_version, changes.revision)
         found = [one for one in changes.items if one.key == f'{PREFIX}{key}']
         if not found or found[-1].revision <= after_version:
@@ -294,28 +297,28 @@
         return _convert(newest)
 
     async def _read(
-        self, kind: str, call: Callable[[], Awaitable[Answer]]
-    ) -> Answer:
+        self, kind: str, call: Callable[[], Awaitable[Result]]
+    ) -> Result:
         try:
             return await self._send(kind, call)
         except store_errors.StoreError as error:
             raise _build_error(kind, error) from error
 
     async def _send(
-        self, kind: str, call: Callable[[], Awaitable[Answer]]
-    ) -> Answer:
-        """Pass the gate, send, and tell the gate what came of it."""
+        self, kind: str, call: Callable[[], Awaitable[Result]]
+    ) -> Result:
+        """Pass the gate, send a call and record its result in the gate."""
         try:
-            wait = self._gate.enter(self._clock.now())
+            delay_ms = self._gate.admit(self._clock.now())
         except exceptions.PlatformError:
             self.errors[kind] += 1
             raise
         try:
-            if wait:
-                await asyncio.sleep(wait / _MS_PER_S)
+            if delay_ms:
+                await asyncio.sleep(delay_ms / _MS_PER_S)
             self.calls[kind] += 1
-            answer = await call()
-        except _ANSWERS:
+            result = await call()
+        except _DEFINITE_ERRORS:
             self._record_success()
             raise
         except store_errors.StoreError:
@@ -325,19 +328,19 @@
             self._gate.release()
             raise
         self._record_success()
-        return answer
+        return result
 
     def _record_success(self) -> None:
         was_backing_off = self._gate.is_backing_off
         self._gate.record_success(self._count_entries())
         if was_backing_off:
-            self._note_back()
+            self._on_recovery()
 
     def _record_failure(self, kind: str) -> None:
         self.errors[kind] += 1
         self._gate.record_failure(self._clock.now())
         if self._gate.is_backing_off:
-            self._note_failing()
+            self._on_outage()
 
 
 def _convert(item: store_module.Item | None) -> ports.Versioned:
@@ -376,5 +379,5 @@
     kind: str, error: store_errors.StoreError
 ) -> exceptions.PlatformError:
     return exceptions.PlatformError(
-        f'The platform did not answer a {kind}: {error}.', _TRY_LATER
+        f'The platform did not complete a {kind} call: {error}.', _RETRY_HINT
     )
--- a/src/thornspool/adapters/store/gate.py
+++ b/src/thornspool/adapters/store/gate.py
@@ -1,9 +1,10 @@
-"""When a call to the platform may leave: its budget and its backoff.
+"""Rate limit and backoff for calls to the platform.
 
-The platform's rates grow more slowly than the fleet. When it fails, every
-entry would retry at once and keep it down; one notices by call counts that
-rise while answers fall. The gate lets one probe at a time through after
-repeated failures and waits longer after each.
+The capacity of the platform does not grow with the fleet. After a failure,
+simultaneous retries of all entries would keep it down; the symptom is a
+rising number of calls with a falling number of responses. After repeated
+failures the gate admits one probe at a time and increases the delay after
+each failed probe.
 """
 
 from __future__ import annotations
@@ -20,48 +21,48 @@
     from collections.abc import Callable
 
 _FAILURES_BEFORE_BACKOFF = 2
-_PROBE_MS = 50
-"""When to ask again while a probe is on its way."""
+_PROBE_RETRY_MS = 50
+"""Delay in milliseconds before a retry while a probe is in flight."""
 
 
 @attrs.frozen
 class GateSettings:
-    """How many calls leave.
+    """Limits of the gate.
 
     Attributes
     ----------
     calls_per_s : float
-        Budget of one entry; more than the ledger's pages may be written,
-        since one entry may write them all.
+        Rate limit of one entry in calls per second. It exceeds the write
+        rate of all ledger pages, because one entry may write all of them.
     burst : float
-        Calls that may leave together.
-    patience_ms : int
-        Longest wait of a call at the gate, in milliseconds.
+        Number of calls that may be sent at once.
+    max_wait_ms : int
+        Maximum wait of a call at the gate in milliseconds.
     backoff_base_ms, backoff_cap_ms : int
-        Bounds of the wait after failures, in milliseconds.
+        Initial and maximum backoff after failures in milliseconds.
     backoff_ms_per_entry : int
-        What each entry adds to the longest wait, if that is more than the
-        cap: all entries together send the same number of probes, however
-        many they are. Five milliseconds make 400 a second.
+        Milliseconds per entry of the fleet; the product replaces the cap if
+        it is larger. The probe rate of the fleet is then independent of its
+        size: 5 ms result in 400 probes per second.
     """
 
     calls_per_s: float = 150.0
     burst: float = 100.0
-    patience_ms: int = 100
+    max_wait_ms: int = 100
     backoff_base_ms: int = 50
     backoff_cap_ms: int = 250
     backoff_ms_per_entry: int = 5
 
 
 class Gate:
-    """State of the budget and of the failures.
+    """Admits calls according to the rate limit and the backoff.
 
     Parameters
     ----------
     settings : GateSettings
-        Budget and bounds.
+        Limits of the gate.
     draw : callable
-        Returns random numbers from 0 to 1.
+        Returns random numbers from 0 to 1, for jitter.
     """
 
     def __init__(
@@ -71,73 +72,73 @@
         self._draw = draw
         self._bucket: buckets.TokenBucket | None = None
         self._failures = 0
-        self._blocked_until = 0
+        self._backoff_until = 0
         self._probing = False
-        self._entries = 0
+        self._entry_count = 0
 
     @property
     def is_backing_off(self) -> bool:
-        """Whether the next call is a probe, and others wait for its end."""
+        """Whether only one call at a time is admitted, as a probe."""
         return self._failures >= _FAILURES_BEFORE_BACKOFF
 
-    def enter(self, now: int) -> int:
-        """Let a call through.
+    def admit(self, now: int) -> int:
+        """Admit a call.
 
         Parameters
         ----------
         now : int
-            Monotonic milliseconds.
+            Monotonic time in milliseconds.
 
         Returns
         -------
         int
-            Milliseconds that the call waits before it leaves.
+            Delay in milliseconds before the call may be sent.
 
         Raises
         ------
         PlatformError
-            When it may not leave in time; nothing was sent.
+            If the delay would be too long; the call must not be sent.
         """
         backing_off = self.is_backing_off
-        blocked = max(0, self._blocked_until - now) if backing_off else 0
-        patience_ms = self._settings.patience_ms
-        if blocked > patience_ms or (backing_off and self._probing):
-            raise exceptions.PlatformHeldBack(max(blocked, _PROBE_MS))
-        wait = self._find_bucket(now).reserve(1.0, now, patience_ms)
-        if wait is None:
+        backoff_ms = max(0, self._backoff_until - now) if backing_off else 0
+        max_wait_ms = self._settings.max_wait_ms
+        if backoff_ms > max_wait_ms or (backing_off and self._probing):
+            raise exceptions.PlatformHeldBack(max(backoff_ms, _PROBE_RETRY_MS))
+        delay_ms = self._get_bucket(now).reserve(1.0, now, max_wait_ms)
+        if delay_ms is None:
             raise exceptions.PlatformError(
-                "This entry's budget of calls to the platform is used up.",
-                'Try again in a second.',
+                'The rate limit for calls to the platform is exceeded.',
+                'Retry after one second.',
             )
         self._probing = backing_off
-        return max(wait, blocked)
+        return max(delay_ms, backoff_ms)
 
     def read_backoff(self, now: int) -> int | None:
-        """Return the milliseconds until a probe may leave, if any must."""
+        """Return the time until the next probe in milliseconds, or None."""
         if not self.is_backing_off:
             return None
-        return max(0, self._blocked_until - now)
+        return max(0, self._backoff_until - now)
 
     def end_backoff(self) -> None:
-        """Let the next call leave at once, as a probe."""
-        self._blocked_until = 0
+        """Allow the next call, which is a probe, immediately."""
+        self._backoff_until = 0
 
     def record_success(self, entries: int = 0) -> None:
-        """Note an answer of the platform, of whatever content.
+        """Record a response of the platform with any content.
 
         Parameters
         ----------
         entries : int, optional
-            How many entries there are; counted while the platform answers,
-            since a view that shrinks in an outage would make each entry ask
-            as if it were alone.
+            Number of entries in the fleet. It is counted only while the
+            platform responds: in an outage the local view may shrink, and
+            each entry would probe as often as in a fleet of one.
         """
         self._failures = 0
         self._probing = False
-        self._entries = entries
+        self._entry_count = entries
 
     def record_failure(self, now: int) -> None:
-        """Note a call without an answer, or one answered by a 5xx."""
+        """Record a call without a response or with a 5xx status."""
         self._failures += 1
         self._probing = False
         if self._failures < _FAILURES_BEFORE_BACKOFF:
@@ -145,21 +146,21 @@
         delay = backoff.compute_delay(
             self._failures - _FAILURES_BEFORE_BACKOFF,
             self._settings.backoff_base_ms,
-            self._find_cap(),
+            self._compute_cap(),
             self._draw(),
         )
-        self._blocked_until = max(self._blocked_until, now + delay)
+        self._backoff_until = max(self._backoff_until, now + delay)
 
     def release(self) -> None:
-        """Forget a call that was cancelled before its outcome was known."""
+        """Release a call that was cancelled before its outcome was known."""
         self._probing = False
 
-    def _find_cap(self) -> int:
-        """Return the longest wait after a failure, in milliseconds."""
-        by_entries = self._entries * self._settings.backoff_ms_per_entry
-        return max(self._settings.backoff_cap_ms, by_entries)
+    def _compute_cap(self) -> int:
+        """Compute the maximum backoff in milliseconds."""
+        fleet_cap_ms = self._entry_count * self._settings.backoff_ms_per_entry
+        return max(self._settings.backoff_cap_ms, fleet_cap_ms)
 
-    def _find_bucket(self, now: int) -> buckets.TokenBucket:
+    def _get_bucket(self, now: int) -> buckets.TokenBucket:
         if self._bucket is None:
             self._bucket = buckets.build_bucket(
                 self._settings.calls_per_s, self._settings.burst, now
--- a/src/thornspool/adapters/store/memory.py
+++ b/src/thornspool/adapters/store/memory.py
@@ -1,7 +1,7 @@
-"""A platform inside the process, for embedding and for tests.
+"""In-memory platform for embedding and tests.
 
-It keeps the promises of the port and fails on demand in the ways in which
-the real service fails, so that one table of contract tests covers both.
+It fulfils the contract of the port and can inject the failures of the real
+service, so that the same contract tests cover both.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
     from collections.abc import Iterable
 
 LARGEST_VALUE = 1_000_000
-"""Bytes of the largest value."""
+"""Maximum size of a value in bytes."""
 
 DEFAULT_TIMEOUT_MS = 1000
 
@@ -29,28 +29,30 @@
 
 @attrs.define
 class Faults:
-    """What goes wrong from now on.
+    """Injected faults.
 
     Attributes
     ----------
     down : bool
-        No call is carried out, none is answered.
+        Whether no call is executed or gets a response.
     slow_ms : int
-        Wait before each call is carried out.
+        Delay in milliseconds before each call is executed.
     lose_writes : int
-        The next writes that take effect lose their answer.
+        Number of next writes that take effect without a response.
     lose_probability : float
-        Chance that a write that took effect loses its answer.
+        Probability from 0 to 1 that a write takes effect without a
+        response.
     drop_writes : int
-        The next writes never take effect, and nobody is told.
+        Number of next writes that neither take effect nor get a response.
     late_writes : int
-        The next writes cut the caller off and take effect later.
+        Number of next writes that lose their response and take effect
+        later.
     late_ms : int
-        How much later, in milliseconds.
+        Delay of these writes in milliseconds.
     stale_reads : int
-        The next reads give the value before the last write.
+        Number of next reads that return the value before the last write.
     seed : int
-        Seed of the chances.
+        Seed of the random generator.
     """
 
     down: bool = False
@@ -64,27 +66,27 @@
     seed: int = 1
 
     def use(self, name: str) -> bool:
-        """Use up one of a counted fault; False when none is left."""
-        left = getattr(self, name)
-        if left <= 0:
+        """Consume one occurrence of a counted fault; False if none remains."""
+        remaining = getattr(self, name)
+        if remaining <= 0:
             return False
-        setattr(self, name, left - 1)
+        setattr(self, name, remaining - 1)
         return True
 
 
 class MemoryPlatform:
-    """The platform's port over dictionaries.
+    """Implements the ``Platform`` port with dictionaries.
 
     Parameters
     ----------
     clock : thornspool.clock.Clock, optional
-        Times the lag of the host list.
+        Clock for the delay of the host list.
     hosts : iterable of Host, optional
-        The list of hosts at the start.
+        Initial list of hosts.
     host_lag_ms : int, optional
-        How late a change of the list is seen, in milliseconds.
+        Delay in milliseconds until a change of the list is visible.
     timeout_ms : int, optional
-        Longest time of a call, in milliseconds.
+        Timeout of a call in milliseconds.
     """
 
     def __init__(
@@ -104,20 +106,20 @@
         self._previous: dict[str, ports.Versioned] = {}
         self._changed: dict[str, asyncio.Event] = {}
         self._hosts = tuple(hosts)
-        self._next_hosts: list[tuple[int, tuple[ports.Host, ...]]] = []
+        self._pending_hosts: list[tuple[int, tuple[ports.Host, ...]]] = []
 
     def set_faults(self, faults: Faults) -> None:
-        """Replace the faults and start their chances from the seed."""
+        """Replace the faults and reseed the random generator."""
         self.faults = faults
         self._random = random.Random(faults.seed)
 
     def set_hosts(self, hosts: Iterable[ports.Host]) -> None:
-        """Change the list of hosts; it is seen after the lag."""
-        due = self._clock.now() + self.host_lag_ms
-        self._next_hosts.append((due, tuple(hosts)))
+        """Change the list of hosts; it is visible after the delay."""
+        visible_at = self._clock.now() + self.host_lag_ms
+        self._pending_hosts.append((visible_at, tuple(hosts)))
 
     async def get(self, key: str) -> ports.Versioned:
-        """Read a key; version 0 and no bytes when it does not exist."""
+        """Read a key; version 0 and an empty value if it does not exist."""
         await self._delay()
         if self.faults.use('stale_reads'):
             return self._previous.get(key, ports.Versioned(b'', 0))
@@ -126,11 +128,11 @@
     async def put(
         self, key: str, value: bytes, expected_version: int
     ) -> ports.WriteResult:
-        """Write a key if its version still is the expected one."""
+        """Write a key if its version is the expected one."""
         if len(value) > LARGEST_VALUE:
             raise exceptions.PlatformError(
                 f'The value of {key} has {len(value)} bytes.',
-                f'Split it: {LARGEST_VALUE} bytes is the most.',
+                f'Split it: the maximum is {LARGEST_VALUE} bytes.',
             )
         loop = asyncio.get_running_loop()
         if self.faults.slow_ms >= self._timeout_ms:
@@ -145,12 +147,12 @@
             delay = self.faults.late_ms / _MS_PER_S
             loop.call_later(delay, self._apply, key, value, expected_version)
             return ports.WriteUnknown()
-        return self._answer(self._apply(key, value, expected_version))
+        return self._respond(self._apply(key, value, expected_version))
 
     async def watch(
         self, key: str, after_version: int, timeout_ms: int
     ) -> ports.Versioned | None:
-        """Wait until a key is past a version; None when time is up."""
+        """Wait for a newer version of a key; None after the timeout."""
         await self._delay()
         try:
             async with asyncio.timeout(timeout_ms / _MS_PER_S):
@@ -159,18 +161,18 @@
                     await changed.wait()
         except TimeoutError:
             return None
-        self._check_up()
+        self._check_available()
         return self._read(key)
 
     async def announce(self, own: ports.Host) -> None:
-        """Do nothing: no other entry can read the list."""
+        """Do nothing, because no other entry can read the list."""
 
     async def list_hosts(self) -> tuple[ports.Host, ...]:
         """Read the list of live and leaving hosts."""
         await self._delay()
         now = self._clock.now()
-        while self._next_hosts and self._next_hosts[0][0] <= now:
-            self._hosts = self._next_hosts.pop(0)[1]
+        while self._pending_hosts and self._pending_hosts[0][0] <= now:
+            self._hosts = self._pending_hosts.pop(0)[1]
         return self._hosts
 
     async def _delay(self) -> None:
@@ -179,14 +181,14 @@
             await asyncio.sleep(slow_ms / _MS_PER_S)
         if slow_ms >= self._timeout_ms:
             raise exceptions.PlatformError(
-                'The platform gave no answer in time.', 'Try again later.'
+                'The platform did not respond in time.', 'Retry later.'
             )
-        self._check_up()
+        self._check_available()
 
-    def _check_up(self) -> None:
+    def _check_available(self) -> None:
         if self.faults.down:
             raise exceptions.PlatformError(
-                'The platform is down.', 'Try again later.'
+                'The platform is down.', 'Retry later.'
             )
 
     def _read(self, key: str) -> ports.Versioned:
@@ -206,7 +208,7 @@
             changed.set()
         return ports.WriteDone(self._revision)
 
-    def _answer(
+    def _respond(
         self, result: ports.WriteDone | ports.WriteConflict
     ) -> ports.WriteResult:
         if isinstance(result, ports.WriteConflict):
--- a/src/thornspool/adapters/targets/__init__.py
+++ b/src/thornspool/adapters/targets/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of model engines and plain services."""
+"""HTTP clients of model engines and plain services."""
--- a/src/thornspool/adapters/targets/engine_messages.py
+++ b/src/thornspool/adapters/targets/engine_messages.py
@@ -1,4 +1,4 @@
-"""Bodies of the calls to engines, as ``docs/standins/engine.md`` says."""
+"""Bodies of requests to engines; see ``docs/standins/engine.md``."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 @attrs.frozen
 class StageBody:
-    """A stage of the route.
+    """A stage of a route.
 
     Attributes
     ----------
     target, url : str
-        Its name and address.
+        Name and URL of the engine.
     first_layer, end_layer : int
-        Its layers.
+        Range of the layers that the stage runs, without ``end_layer``.
     """
 
     target: str
@@ -46,22 +46,22 @@
     attempt : int
         Number of the attempt.
     model, version, adapter : str
-        What to run.
+        Model, model version and adapter to run.
     route : tuple of StageBody
-        The stages in order; the first is the engine that is called.
+        The stages in order; the first one is the called engine.
     prompt : str
         The prompt.
     resume : tuple of str
-        Tokens to go on after.
+        Tokens after which generation continues.
     max_tokens : int
-        Longest answer, resumed tokens included.
+        Maximum number of tokens, including resumed tokens.
     priority : int
-        Higher goes first.
+        Requests with a higher priority run first.
     attachments : tuple of generation_attachments.Attachment
-        Files that come with the prompt.
+        Files attached to the prompt.
     tell : tuple of str or UnsetType
-        What to tell along with the answer, ``loads`` or ``hops``; left out
-        for nothing, as in most calls.
+        Reports requested with the response, ``loads`` or ``hops``; omitted
+        if there are none, as in most requests.
     """
 
     request: str
@@ -87,7 +87,7 @@
     request : str
         Identifier of the request.
     attempt : int
-        Number of the attempt; older ones are stopped too.
+        Number of the attempt; earlier attempts are cancelled as well.
     """
 
     request: str
@@ -95,7 +95,7 @@
 
 
 def encode_generate(call: generation_messages.GenerateCall) -> bytes:
-    """Encode an attempt."""
+    """Encode the body of an attempt."""
     request = call.request
     return msgspec.json.encode(
         GenerateBody(
@@ -118,17 +118,19 @@
             max_tokens=request.max_tokens,
             priority=request.priority,
             attachments=request.attachments,
-            tell=_name_told(call.tell),
+            tell=_name_requested_reports(call.tell),
         )
     )
 
 
-def _name_told(tell: questions.Tell) -> tuple[str, ...] | msgspec.UnsetType:
-    wanted = ((tell.loads, 'loads'), (tell.hops, 'hops'))
-    names = tuple(name for is_wanted, name in wanted if is_wanted)
+def _name_requested_reports(
+    tell: questions.Tell,
+) -> tuple[str, ...] | msgspec.UnsetType:
+    options = ((tell.loads, 'loads'), (tell.hops, 'hops'))
+    names = tuple(name for is_requested, name in options if is_requested)
     return names or msgspec.UNSET
 
 
 def encode_cancel(request_id: str, attempt: int) -> bytes:
-    """Encode a cancel."""
+    """Encode the body of a cancellation."""
     return msgspec.json.encode(CancelBody(request_id, attempt))
--- a/src/thornspool/adapters/targets/engines.py
+++ b/src/thornspool/adapters/targets/engines.py
@@ -1,4 +1,4 @@
-"""Client of model engines over HTTP, by tornado's curl client."""
+"""HTTP client of model engines, based on tornado's curl client."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
     )
 
 MAX_STREAMS = 512
-"""Streams at once; tornado's client queues what is above, unseen."""
+"""Concurrent streams; tornado's client queues others without a signal."""
 
 MAX_STREAM_BYTES = 100 * 1024 * 1024
-"""Longest answer; 32,768 tokens, the most of a request, have a tenth."""
+"""Response limit; 32,768 tokens, the request limit, need a tenth of it."""
 
 _CONNECT_TIMEOUT_MS = 1_000
 _CLOSE_TIMEOUT_MS = 1_000
@@ -41,61 +41,61 @@
 
 @attrs.define
 class _Transfer:
-    """One transfer of curl, to be able to break it off."""
+    """A transfer of tornado's curl client that can be aborted."""
 
     read: Callable[[bytes], int] | None = None
     handle: pycurl.Curl | None = None
-    unwanted: bool = False
+    aborted: bool = False
     may_have_written: bool = False
 
     def prepare(self, handle: pycurl.Curl) -> None:
-        """Have curl ask now and then whether to go on."""
+        """Set the callbacks by which curl can abort the transfer."""
         self.handle = handle
         handle.setopt(pycurl.NOPROGRESS, 0)
         handle.setopt(pycurl.XFERINFOFUNCTION, self._read_progress)
-        handle.setopt(pycurl.PREREQFUNCTION, self._note_connected)
+        handle.setopt(pycurl.PREREQFUNCTION, self._record_connected)
         if self.read is not None:
             handle.setopt(pycurl.WRITEFUNCTION, self.read)
 
     def abort(self) -> None:
         """Close the connection.
 
-        tornado's client can't drop a transfer: it would go on until its
-        timeout, and the engine would go on computing for nobody. Pausing
-        and resuming makes curl look at the transfer, and thus ask
-        ``_read_progress``, at once.
+        tornado's client cannot cancel a transfer: it would continue until
+        its timeout, and the engine would compute tokens without a reader.
+        Pausing and resuming the transfer makes curl call
+        ``_read_progress`` immediately.
         """
-        self.unwanted = True
+        self.aborted = True
         if self.handle is None:
             return
         with contextlib.suppress(pycurl.error):
             self.handle.pause(pycurl.PAUSE_RECV)
             self.handle.pause(pycurl.PAUSE_CONT)
 
-    def _note_connected(self, *_addresses: object) -> int:
-        """Note that the request is written next."""
+    def _record_connected(self, *_addresses: object) -> int:
+        """Record that the request may be written from now on."""
         self.may_have_written = True
         return int(pycurl.PREREQFUNC_OK)
 
-    def forget(self, fetch: asyncio.Future[httpclient.HTTPResponse]) -> None:
-        """Let go of the handle: tornado uses it again for another call."""
+    def release(self, fetch: asyncio.Future[httpclient.HTTPResponse]) -> None:
+        """Release the handle, which tornado reuses for other requests."""
         self.handle = None
-        # Nobody waits for a transfer that was broken off; its error is read
-        # here, or the loop would log each one as forgotten.
+        # No task awaits an aborted transfer. Its exception is retrieved here,
+        # because the loop would otherwise log it as never retrieved.
         if not fetch.cancelled():
             fetch.exception()
 
     def _read_progress(self, *_sizes: int) -> int:
-        return 1 if self.unwanted else 0
+        return 1 if self.aborted else 0
 
 
 class CurlEngines:
-    """Calls to model engines.
+    """HTTP client of model engines.
 
     Parameters
     ----------
     max_streams : int
-        Streams and calls at once.
+        Maximum number of concurrent streams and requests.
     """
 
     def __init__(self, max_streams: int = MAX_STREAMS) -> None:
@@ -105,10 +105,10 @@
         self._fetches: set[asyncio.Future[httpclient.HTTPResponse]] = set()
 
     async def close(self) -> None:
-        """Wait a while for transfers to end, then close every connection.
+        """Wait a limited time for transfers, then close every connection.
 
-        tornado's client, closed under a running transfer, calls curl once
-        more and logs the error that this gives.
+        If tornado's client is closed during a transfer, it calls curl again
+        and logs the resulting error.
         """
         if self._fetches:
             await asyncio.wait(self._fetches, timeout=_CLOSE_TIMEOUT_MS / 1000)
@@ -119,25 +119,25 @@
         call: generation_messages.GenerateCall,
         deliver: Callable[[list[frames.Frame]], None],
     ) -> None:
-        """Run an attempt, handing over its frames in order as they come.
+        """Run an attempt and deliver its frames in order of arrival.
 
         Parameters
         ----------
         call : generation_messages.GenerateCall
             The attempt.
         deliver : callable
-            Told the frames of each chunk.
+            Called with the frames of each chunk.
 
         Raises
         ------
         TargetNotReached
-            Not one byte was written.
+            If no byte of the request was written.
         EngineRefused
-            The engine did not take the work.
+            If the engine rejected the attempt.
         StreamMalformed
-            It sent what is no frame.
+            If the stream contains an invalid frame.
         TargetAnswerLost
-            The stream broke.
+            If the stream broke.
         """
         reader = _ChunkReader(deliver)
         response = await self._post(
@@ -148,8 +148,8 @@
         )
         if response.code in (_CONFLICT, _UNAVAILABLE):
             raise generation_exceptions.EngineRefused(
-                f'The engine answered {response.code}.',
-                'Another engine will be tried.',
+                f'The engine returned status {response.code}.',
+                'The request is retried at another engine.',
             )
         if reader.error is not None:
             raise generation_exceptions.StreamMalformed(
@@ -160,18 +160,18 @@
     async def cancel(
         self, url: str, request_id: str, attempt: int, timeout_ms: int
     ) -> None:
-        """Stop an attempt at one engine.
+        """Cancel an attempt at one engine.
 
         Parameters
         ----------
         url : str
             ``http://ip:port`` of the engine.
         request_id : str
-            The request.
+            Identifier of the request.
         attempt : int
-            The attempt.
+            Number of the attempt.
         timeout_ms : int
-            Longest wait.
+            Timeout in milliseconds.
 
         Raises
         ------
@@ -206,18 +206,18 @@
         )
         self._fetches.add(fetch)
         fetch.add_done_callback(self._fetches.discard)
-        fetch.add_done_callback(transfer.forget)
+        fetch.add_done_callback(transfer.release)
         try:
             return await asyncio.shield(fetch)
         except asyncio.CancelledError:
             transfer.abort()
             raise
         except httpclient.HTTPError as error:
-            raise _translate(error, transfer.may_have_written) from error
+            raise _convert_error(error, transfer.may_have_written) from error
 
 
 class _ChunkReader:
-    """Decodes chunks until one is malformed, then drops the rest."""
+    """Decodes chunks and discards all data after a malformed one."""
 
     def __init__(self, deliver: Callable[[list[frames.Frame]], None]) -> None:
         self.error: pipeline_exceptions.MalformedFrame | None = None
@@ -226,16 +226,16 @@
         self._size = 0
 
     def read(self, chunk: bytes) -> int:
-        """Hand over the frames of a chunk and return how much was read.
+        """Deliver the frames of a chunk and return the bytes consumed.
 
-        It runs inside of curl, where an error would be lost and a call of
-        the client would reenter it. Frames are decoded and put into their
-        request's queue here, no more.
+        This runs inside a curl callback, where an exception would be lost
+        and a call of the client would be reentrant. It therefore only
+        decodes the frames and appends them to the queue of the request.
         """
         self._size += len(chunk)
         if self._size > MAX_STREAM_BYTES:
-            # An engine that never ends its line would fill the memory of
-            # the entry. To read less than was given ends the transfer.
+            # An engine that never terminates a line would exhaust the memory
+            # of the entry. Consuming fewer bytes aborts the transfer.
             return 0
         if self.error is not None:
             return len(chunk)
@@ -246,7 +246,7 @@
         return len(chunk)
 
 
-def _translate(
+def _convert_error(
     error: httpclient.HTTPError, may_have_written: bool
 ) -> exceptions.TargetError:
     if may_have_written:
@@ -261,6 +261,6 @@
 def _check_status(response: httpclient.HTTPResponse) -> None:
     if response.code != _OK:
         raise exceptions.TargetAnswerLost(
-            f'The engine answered {response.code}.',
+            f'The engine returned status {response.code}.',
             'See the log of the engine.',
         )
--- a/src/thornspool/adapters/targets/loads.py
+++ b/src/thornspool/adapters/targets/loads.py
@@ -1,4 +1,4 @@
-"""Reads the load report of a target over HTTP."""
+"""Fetches load reports of targets over HTTP."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class LoadBody:
-    """Body of a target's answer; unknown members are passed over."""
+    """Body of a load report; unknown members are ignored."""
 
     state: str
     running: int = 0
@@ -32,12 +32,12 @@
 
 
 class LoadReader:
-    """Asks targets for their load.
+    """Fetches load reports from targets.
 
     Parameters
     ----------
     clock : clock.Clock
-        Stamps each report with the time of its arrival.
+        Clock for the arrival time of each report.
     """
 
     def __init__(self, clock: clock.Clock) -> None:
@@ -51,12 +51,12 @@
         self._client.close()
 
     async def fetch(self, target: documents.Target) -> messages.LoadReport:
-        """Read the report of one target.
+        """Fetch the load report of a target.
 
         Raises
         ------
         exceptions.TargetError
-            No report came in time, or it can't be understood.
+            If no report arrives within the timeout or it cannot be decoded.
         """
         request = httpclient.HTTPRequest(
             f'{target.url}/v1/load',
@@ -64,11 +64,11 @@
             request_timeout=TIMEOUT_MS / 1000,
         )
         try:
-            # A target that leaves answers 409 with its report.
+            # A leaving target responds with status 409 and its report.
             response = await self._client.fetch(request, raise_error=False)
             body = msgspec.json.decode(response.body, type=LoadBody)
         except (OSError, httpclient.HTTPError, msgspec.DecodeError) as error:
-            reason = f'No load report of {target.name}: {error}.'
+            reason = f'No load report from {target.name}: {error}.'
             raise exceptions.TargetNotReached(reason) from error
         readiness = (
             messages.Readiness.LEAVING
--- a/src/thornspool/adapters/targets/services.py
+++ b/src/thornspool/adapters/targets/services.py
@@ -1,4 +1,4 @@
-"""Calls to plain services over HTTP."""
+"""HTTP client of plain services."""
 
 from __future__ import annotations
 
@@ -16,82 +16,85 @@
 from thornspool.domain.targets import messages
 
 DEFAULT_MAX_CALLS = 256
-_LARGEST_ANSWER = 8_000_000
+_MAX_RESPONSE_BYTES = 8_000_000
 _MS_PER_S = 1000.0
 _STATUSES_WITHOUT_BODY = frozenset({204, 304})
 
 
 @attrs.frozen
-class _Refusal:
-    """Body of a 409 by which a target says that it ran nothing."""
+class _ConflictBody:
+    """Body of a 409 response of a target that did not execute the call."""
 
     state: str
 
 
 class HttpServices:
-    """The port of plain services; build it inside a running loop.
+    """Client of plain services; create it inside a running event loop.
 
     Parameters
     ----------
     max_calls : int, optional
-        Most calls at once.
+        Maximum number of concurrent calls.
     """
 
     def __init__(self, max_calls: int = DEFAULT_MAX_CALLS) -> None:
         self._session = transfers.Session()
-        self._free = asyncio.Semaphore(max_calls)
+        self._free_slots = asyncio.Semaphore(max_calls)
 
     def close(self) -> None:
         """Close every connection."""
         self._session.close()
 
     async def call(self, call: ports.ServiceCall) -> ports.ServiceAnswer:
-        """Call an operation once; never repeats it.
+        """Call an operation without retries.
 
         Raises
         ------
         TargetNotReached
-            When not one byte was written.
+            If no byte of the request was written.
         TargetLeaving
-            When the target refused the call to leave, before running it.
+            If the target rejected the call before executing it, because it
+            is leaving.
         TargetAnswerLost
-            When a byte may have been written and no whole answer came;
-            ``TargetConnectionBroken`` when the connection ended under it.
+            If a byte may have been written and no complete response arrived;
+            ``TargetConnectionBroken`` if the connection closed.
         """
         try:
-            answer = await self._fetch(call)
+            response = await self._fetch(call)
         except transfer_errors.NotSent as error:
             raise exceptions.TargetNotReached(
-                f'The target at {call.url} was not reached: {error}.',
-                'Nothing was run; send the request again.',
+                f'The target at {call.url} could not be reached: {error}.',
+                'Nothing was executed; retry the request.',
             ) from error
         except transfer_errors.AnswerLost as error:
-            lost = exceptions.TargetAnswerLost
+            error_type = exceptions.TargetAnswerLost
             if isinstance(error, transfer_errors.ConnectionBroken):
-                lost = exceptions.TargetConnectionBroken
-            raise lost(
-                f'The target at {call.url} gave no whole answer: {error}.',
-                'It may have run; ask for the outcome of its key.',
+                error_type = exceptions.TargetConnectionBroken
+            raise error_type(
+                f'No complete response from {call.url}: {error}.',
+                'It may have been executed; query the outcome of its key.',
             ) from error
-        if not _is_whole(answer):
+        if not _is_complete(response):
             raise exceptions.TargetAnswerLost(
-                f'The answer of {call.url} does not say where it ends.',
-                'It may have run; ask for the outcome of its key.',
+                f'The response of {call.url} has no length.',
+                'It may have been executed; query the outcome of its key.',
             )
-        if _is_leaving(answer):
+        if _is_leaving(response):
             raise exceptions.TargetLeaving(
                 f'The target at {call.url} is leaving.',
-                'Nothing was run; send the request again.',
+                'Nothing was executed; retry the request.',
             )
         return ports.ServiceAnswer(
-            answer.status, _find_header(answer, 'Content-Type'), answer.body
+            response.status,
+            _find_header(response, 'Content-Type'),
+            response.body,
         )
 
     async def _fetch(self, call: ports.ServiceCall) -> transfers.Answer:
-        """Send a call as soon as a connection is free."""
+        """Send a call when the number of concurrent calls permits it."""
         try:
             async with asyncio.timeout(call.timeout_ms / _MS_PER_S):
-                await self._free.acquire()
+                await self._free_slots.acquire()
         except TimeoutError as error:
             raise transfer_errors.NotSent(
                 'Every connection is in use.'
@@ -105,13 +108,13 @@
                     call.body,
                     connect_ms=call.timeout_ms,
                     total_ms=call.timeout_ms,
-                    # Only a call without a key may be sent twice by libcurl.
+                    # libcurl may resend only calls without a key.
                     own_connection=bool(call.key or call.alone),
-                    max_body=_LARGEST_ANSWER,
+                    max_body=_MAX_RESPONSE_BYTES,
                 )
             )
         finally:
-            self._free.release()
+            self._free_slots.release()
 
 
 def _build_url(call: ports.ServiceCall) -> str:
@@ -131,40 +134,40 @@
     return tuple(headers)
 
 
-def _find_header(answer: transfers.Answer, name: str) -> str:
-    """Return the value of a header; empty when it is not there."""
+def _find_header(response: transfers.Answer, name: str) -> str:
+    """Return the value of a header; empty if it is missing."""
     return next(
         (
             value
-            for found, value in answer.headers
+            for found, value in response.headers
             if found.lower() == name.lower()
         ),
         '',
     )
 
 
-def _is_leaving(answer: transfers.Answer) -> bool:
-    """Tell whether a target refused a call, before running it, to leave."""
-    if answer.status != http.HTTPStatus.CONFLICT:
+def _is_leaving(response: transfers.Answer) -> bool:
+    """Return whether a leaving target rejected a call before executing it."""
+    if response.status != http.HTTPStatus.CONFLICT:
         return False
     try:
-        refusal = msgspec.json.decode(answer.body, type=_Refusal)
+        conflict = msgspec.json.decode(response.body, type=_ConflictBody)
     except msgspec.DecodeError:
         return False
-    return refusal.state == messages.Readiness.LEAVING.value
+    return conflict.state == messages.Readiness.LEAVING.value
 
 
-def _is_whole(answer: transfers.Answer) -> bool:
-    """Tell whether an answer is known to be whole.
+def _is_complete(response: transfers.Answer) -> bool:
+    """Return whether a response is known to be complete.
 
-    libcurl reports a body shorter than its Content-Length and a chunked
-    body without its last chunk as errors. A body that ends with the
-    connection looks whole wherever the connection broke, so it is not
-    trusted.
+    libcurl reports an error if a body is shorter than its Content-Length or
+    a chunked body has no last chunk. A body that is delimited by the end of
+    the connection appears complete even if the connection broke, so it is
+    not accepted.
     """
-    if answer.status in _STATUSES_WITHOUT_BODY:
+    if response.status in _STATUSES_WITHOUT_BODY:
         return True
-    if 'chunked' in _find_header(answer, 'Transfer-Encoding').lower():
+    if 'chunked' in _find_header(response, 'Transfer-Encoding').lower():
         return True
-    length = _find_header(answer, 'Content-Length')
-    return length.isdecimal() and int(length) == len(answer.body)
+    length = _find_header(response, 'Content-Length')
+    return length.isdecimal() and int(length) == len(response.body)
--- a/src/thornspool/adapters/transfers.py
+++ b/src/thornspool/adapters/transfers.py
@@ -1,11 +1,11 @@
-"""Transfers over libcurl's multi interface that stream and can be ended.
-
-tornado's curl client can neither end a transfer early nor keep the order of
-head and body of an answer whose bytes arrive together, and libcurl sends a
-request again by itself when a kept connection breaks before the first byte
-of the answer. Here the head is handed over before any body, a transfer ends
-when its owner says so, and a request that must not be repeated gets a
-connection of its own, on which libcurl never sends twice.
+"""Streaming, cancellable HTTP transfers over libcurl's multi interface.
+
+tornado's curl client cannot cancel a transfer, and it does not preserve the
+order of headers and body when both arrive together. libcurl also resends a
+request when a reused connection breaks before the first byte of the
+response. This module delivers the headers before the body, lets the owner
+cancel a transfer, and uses a dedicated connection for requests that must not
+be retried, because libcurl never resends on a new connection.
 """
 
 from __future__ import annotations
@@ -27,10 +27,10 @@
 Headers = tuple[tuple[str, str], ...]
 
 _MS_PER_S = 1000.0
-_POOL_SIZE = 64
-"""Idle handles kept; one takes some 20 kB."""
+_MAX_IDLE_HANDLES = 64
+"""Idle curl handles kept for reuse; a handle uses about 20 kB."""
 
-_BEFORE_SENDING = frozenset(
+_UNSENT_ERRORS = frozenset(
     {
         pycurl.E_URL_MALFORMAT,
         pycurl.E_COULDNT_RESOLVE_HOST,
@@ -38,12 +38,12 @@
         pycurl.E_OPERATION_TIMEDOUT,
     }
 )
-"""Errors that come up before the first byte of a request."""
+"""Errors that can occur before the first byte of a request is sent."""
 
-_BROKEN = frozenset(
+_CONNECTION_ERRORS = frozenset(
     {
-        # A kept connection broke and libcurl found no listener to send the
-        # request to once more.
+        # A reused connection broke and libcurl could not open a new one to
+        # resend the request.
         pycurl.E_COULDNT_CONNECT,
         pycurl.E_GOT_NOTHING,
         pycurl.E_PARTIAL_FILE,
@@ -51,7 +51,7 @@
         pycurl.E_SEND_ERROR,
     }
 )
-"""Errors by which the other side, or the way to it, ended a connection."""
+"""Errors that report a connection closed by the server or the network."""
 
 _CUSTOM_BODY = frozenset({'POST', 'PUT', 'PATCH', 'DELETE', 'OPTIONS'})
 
@@ -59,10 +59,10 @@
 
 
 class Ending(enum.Enum):
-    """How a transfer ended.
+    """Result of a transfer.
 
-    ``NOT_SENT`` is certain: no byte of the request was written. After the
-    others but ``WHOLE`` the request may have been read.
+    ``NOT_SENT`` guarantees that no byte of the request was written. After
+    any other failure the server may have received the request.
     """
 
     WHOLE = 'whole'
@@ -75,12 +75,12 @@
 
 @attrs.frozen
 class Request:
-    """A request to one address.
+    """An HTTP request.
 
     Attributes
     ----------
     url : str
-        Whole address.
+        Absolute URL.
     method : str
         HTTP method.
     headers : tuple of pairs of str
@@ -88,18 +88,19 @@
     body : bytes or None
         Request body.
     connect_ms : int
-        Longest time to connect, in milliseconds.
+        Connect timeout in milliseconds.
     total_ms : int
-        Longest time for the whole answer, in milliseconds; 0 for any.
+        Timeout for the complete response in milliseconds; 0 for none.
     pause_ms : int
-        Where it is set, ``total_ms`` counts up to the first byte of the
-        answer only, and this is the longest pause after that. A large
-        answer on a slow link is neither lost nor taken for silence then.
-        For ``fetch`` only.
+        Idle timeout in milliseconds between parts of the response. If it is
+        set, ``total_ms`` limits only the time until the first byte, so that
+        a large response on a slow link does not time out. Used by ``fetch``
+        only.
     own_connection : bool
-        Whether it gets a connection that nothing else used or will use.
+        Whether to use a new connection that is not reused afterwards.
     max_body : int
-        Most bytes of the answer's body; 0 for any. For ``fetch`` only.
+        Maximum size of the response body in bytes; 0 for no limit. Used by
+        ``fetch`` only.
     """
 
     url: str
@@ -115,7 +116,7 @@
 
 @attrs.frozen
 class Answer:
-    """A whole answer."""
+    """A complete HTTP response."""
 
     status: int
     headers: Headers
@@ -123,7 +124,7 @@
 
 
 class Transfer:
-    """One request on its way; ended by ``cancel`` or by its ending."""
+    """A running transfer; it ends on completion or by ``cancel``."""
 
     def __init__(
         self,
@@ -136,23 +137,23 @@
         self._on_head = on_head
         self._on_body = on_body
         self._on_end = on_end
-        self._lines: list[str] = []
+        self._header_lines: list[str] = []
         self.sent = False
         self.done = False
 
     def cancel(self) -> None:
-        """End the transfer and close its connection; nothing follows."""
+        """Cancel the transfer and close its connection without a callback."""
         if not self.done:
             self.done = True
             self._session.discard(self)
 
     def receive_line(self, raw: bytes) -> None:
-        """Take one line of the head, run by libcurl."""
+        """Handle a header line; called by libcurl."""
         line = raw.decode('latin-1').rstrip('\r\n')
         if line:
-            self._lines.append(line)
+            self._header_lines.append(line)
             return
-        lines, self._lines = self._lines, []
+        lines, self._header_lines = self._header_lines, []
         if not lines or not lines[0].startswith('HTTP/'):
             return  # trailers of a chunked body
         parts = lines[0].split(' ', 2)
@@ -162,19 +163,19 @@
         self._on_head(status, tuple(_split_header(one) for one in lines[1:]))
 
     def receive_body(self, chunk: bytes) -> int | None:
-        """Take a piece of the body, run by libcurl."""
+        """Handle a chunk of the body; called by libcurl."""
         if self.done:
             return 0
         self._on_body(chunk)
         return None
 
-    def note_sending(self, *_: typing.Any) -> int:
-        """Run by libcurl once connected, before the first byte."""
+    def record_sending(self, *_: typing.Any) -> int:
+        """Record that sending starts; libcurl calls it after connecting."""
         self.sent = True
         return int(pycurl.PREREQFUNC_OK)
 
     def finish(self, ending: Ending) -> None:
-        """Tell the owner the ending, once."""
+        """Call the completion callback once."""
         if not self.done:
             self.done = True
             self._on_end(ending)
@@ -186,7 +187,7 @@
 
 
 class Session:
-    """All transfers of a process, driven by the running loop."""
+    """Runs the transfers of a process on the running event loop."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
@@ -194,10 +195,10 @@
         self._multi.setopt(pycurl.M_SOCKETFUNCTION, self._watch_socket)
         self._multi.setopt(pycurl.M_TIMERFUNCTION, self._set_timer)
         self._timer: asyncio.TimerHandle | None = None
-        self._running: dict[pycurl.Curl, Transfer] = {}
+        self._transfers: dict[pycurl.Curl, Transfer] = {}
         self._handles: dict[Transfer, pycurl.Curl] = {}
-        self._idle: list[pycurl.Curl] = []
-        self._busy = False
+        self._idle_handles: list[pycurl.Curl] = []
+        self._in_callback = False
         self._discarded: list[Transfer] = []
 
     def start(
@@ -212,31 +213,33 @@
         Parameters
         ----------
         request : Request
-            What to send.
+            The request to send.
         on_head : callable
-            Takes the status and the headers of the final answer.
+            Called with the status and headers of the final response.
         on_body : callable
-            Takes each piece of the body, after the head.
+            Called with each chunk of the body, after the headers.
         on_end : callable
-            Takes the ending, last; not called after ``cancel``.
+            Called last with the result; not called after ``cancel``.
         """
         transfer = Transfer(self, on_head, on_body, on_end)
-        curl = self._idle.pop() if self._idle else pycurl.Curl()
-        self._running[curl] = transfer
+        curl = (
+            self._idle_handles.pop() if self._idle_handles else pycurl.Curl()
+        )
+        self._transfers[curl] = transfer
         self._handles[transfer] = curl
         self._loop.call_soon(self._add, curl, request, transfer)
         return transfer
 
     async def fetch(self, request: Request) -> Answer:
-        """Send a request and collect the whole answer.
+        """Send a request and collect the complete response.
 
         Raises
         ------
         exceptions.NotSent
-            When not one byte was written.
+            If no byte of the request was written.
         exceptions.AnswerLost
-            When the request may have been read and no whole answer came;
-            ``ConnectionBroken`` when the connection ended under it.
+            If the server may have received the request and no complete
+            response arrived; ``ConnectionBroken`` if the connection closed.
         """
         done: asyncio.Future[Ending] = self._loop.create_future()
         head: list[tuple[int, Headers]] = []
@@ -248,17 +251,17 @@
 
         watchdog = _Watchdog(self._loop, request, end)
 
-        def take_head(status: int, headers: Headers) -> None:
-            watchdog.note_progress()
+        def handle_head(status: int, headers: Headers) -> None:
+            watchdog.record_progress()
             head.append((status, headers))
 
-        def take_body(chunk: bytes) -> None:
-            watchdog.note_progress()
+        def handle_body(chunk: bytes) -> None:
+            watchdog.record_progress()
             body.extend(chunk)
             if 0 < request.max_body < len(body):
                 end(Ending.TOO_LARGE)
 
-        transfer = self.start(request, take_head, take_body, end)
+        transfer = self.start(request, handle_head, handle_body, end)
         try:
             ending = await done
         finally:
@@ -270,14 +273,14 @@
 
     def discard(self, transfer: Transfer) -> None:
         """Remove a transfer; libcurl closes its connection."""
-        if self._busy:
-            # libcurl can't remove a transfer inside one of its callbacks.
+        if self._in_callback:
+            # libcurl cannot remove a transfer within one of its callbacks.
             self._discarded.append(transfer)
         else:
             self._remove(transfer)
 
     def close(self) -> None:
-        """End every transfer without telling its owner."""
+        """Cancel every transfer without calling its callbacks."""
         for transfer in list(self._handles):
             transfer.cancel()
         if self._timer is not None:
@@ -287,14 +290,14 @@
     def _add(
         self, curl: pycurl.Curl, request: Request, transfer: Transfer
     ) -> None:
-        if self._running.get(curl) is not transfer or transfer.done:
+        if self._transfers.get(curl) is not transfer or transfer.done:
             return
         try:
             _configure(curl, request, transfer)
         except (ValueError, pycurl.error) as error:
-            # Nothing was sent; without an ending its owner would wait on.
+            # Nothing was sent; without a result the owner would wait forever.
             logger.error('request_unsendable', reason=str(error))
-            self._end(curl, Ending.NOT_SENT)
+            self._complete(curl, Ending.NOT_SENT)
             return
         self._multi.add_handle(curl)
 
@@ -302,13 +305,14 @@
         curl = self._handles.pop(transfer, None)
         if curl is None:
             return
-        del self._running[curl]
+        del self._transfers[curl]
         with contextlib.suppress(pycurl.error):
-            # Not yet added, when it is cancelled in the same turn.
+            # The handle is not added yet if the transfer is cancelled in the
+            # same loop iteration.
             self._multi.remove_handle(curl)
-        if len(self._idle) < _POOL_SIZE:
+        if len(self._idle_handles) < _MAX_IDLE_HANDLES:
             curl.reset()
-            self._idle.append(curl)
+            self._idle_handles.append(curl)
         else:
             curl.close()
 
@@ -318,9 +322,13 @@
         self._loop.remove_reader(fd)
         self._loop.remove_writer(fd)
         if event in {pycurl.POLL_IN, pycurl.POLL_INOUT}:
-            self._loop.add_reader(fd, self._act, fd, pycurl.CSELECT_IN)
+            self._loop.add_reader(
+                fd, self._perform_action, fd, pycurl.CSELECT_IN
+            )
         if event in {pycurl.POLL_OUT, pycurl.POLL_INOUT}:
-            self._loop.add_writer(fd, self._act, fd, pycurl.CSELECT_OUT)
+            self._loop.add_writer(
+                fd, self._perform_action, fd, pycurl.CSELECT_OUT
+            )
 
     def _set_timer(self, milliseconds: int) -> None:
         if self._timer is not None:
@@ -328,34 +336,37 @@
             self._timer = None
         if milliseconds >= 0:
             self._timer = self._loop.call_later(
-                milliseconds / _MS_PER_S, self._act, pycurl.SOCKET_TIMEOUT, 0
+                milliseconds / _MS_PER_S,
+                self._perform_action,
+                pycurl.SOCKET_TIMEOUT,
+                0,
             )
 
-    def _act(self, fd: int, mask: int) -> None:
-        self._busy = True
+    def _perform_action(self, fd: int, mask: int) -> None:
+        self._in_callback = True
         try:
             self._multi.socket_action(fd, mask)
         finally:
-            self._busy = False
+            self._in_callback = False
         discarded, self._discarded = self._discarded, []
         for transfer in discarded:
             self._remove(transfer)
-        self._collect()
+        self._handle_completions()
 
-    def _collect(self) -> None:
+    def _handle_completions(self) -> None:
         while True:
-            left, whole, failed = self._multi.info_read()
-            for curl in whole:
-                self._end(curl, Ending.WHOLE)
+            remaining, succeeded, failed = self._multi.info_read()
+            for curl in succeeded:
+                self._complete(curl, Ending.WHOLE)
             for curl, errno, _message in failed:
-                transfer = self._running.get(curl)
+                transfer = self._transfers.get(curl)
                 if transfer is not None:
-                    self._end(curl, _name_ending(errno, transfer.sent))
-            if not left:
+                    self._complete(curl, _classify_error(errno, transfer.sent))
+            if not remaining:
                 return
 
-    def _end(self, curl: pycurl.Curl, ending: Ending) -> None:
-        transfer = self._running.get(curl)
+    def _complete(self, curl: pycurl.Curl, ending: Ending) -> None:
+        transfer = self._transfers.get(curl)
         if transfer is None:
             return
         self._remove(transfer)
@@ -363,7 +374,7 @@
 
 
 class _Watchdog:
-    """Ends a transfer that pauses, where its request bounds pauses."""
+    """Enforces the idle timeout of a request, if it has one."""
 
     def __init__(
         self,
@@ -372,49 +383,51 @@
         end: Callable[[Ending], None],
     ) -> None:
         self._loop = loop
-        self._pause_ms = request.pause_ms
-        self._end = end
+        self._idle_timeout_ms = request.pause_ms
+        self._complete = end
         self._timer: asyncio.TimerHandle | None = None
-        if self._pause_ms:
-            self._set(request.total_ms)
+        if self._idle_timeout_ms:
+            self._restart_timer(request.total_ms)
 
-    def note_progress(self) -> None:
-        """Note that bytes have come."""
-        if self._pause_ms:
-            self._set(self._pause_ms)
+    def record_progress(self) -> None:
+        """Restart the idle timeout after bytes arrived."""
+        if self._idle_timeout_ms:
+            self._restart_timer(self._idle_timeout_ms)
 
     def stop(self) -> None:
-        """Stop watching."""
+        """Cancel the timer."""
         if self._timer is not None:
             self._timer.cancel()
 
-    def _set(self, milliseconds: int) -> None:
+    def _restart_timer(self, milliseconds: int) -> None:
         self.stop()
         self._timer = self._loop.call_later(
-            milliseconds / _MS_PER_S, self._end, Ending.TIMED_OUT
+            milliseconds / _MS_PER_S, self._complete, Ending.TIMED_OUT
         )
 
 
-def _name_ending(errno: int, sent: bool) -> Ending:
-    """Name the ending of a transfer that failed.
+def _classify_error(errno: int, sent: bool) -> Ending:
+    """Map a libcurl error to the result of a transfer.
 
-    That nothing was sent is said only where two witnesses agree: libcurl had
-    not announced the request, and its error comes up before sending.
+    ``NOT_SENT`` needs two conditions: libcurl did not report that sending
+    starts, and the error can occur before sending.
     """
-    if not sent and errno in _BEFORE_SENDING:
+    if not sent and errno in _UNSENT_ERRORS:
         return Ending.NOT_SENT
     if errno == pycurl.E_OPERATION_TIMEDOUT:
         return Ending.TIMED_OUT
-    if errno in _BROKEN:
+    if errno in _CONNECTION_ERRORS:
         return Ending.BROKEN
     return Ending.MALFORMED
 
 
 def _build_error(url: str, ending: Ending) -> exceptions.TransportError:
     if ending is Ending.NOT_SENT:
-        return exceptions.NotSent(f'{url} was not reached.')
+        return exceptions.NotSent(f'{url} could not be reached.')
     if ending is Ending.BROKEN:
-        return exceptions.ConnectionBroken(f'{url}: the connection broke.')
+        return exceptions.ConnectionBroken(
+            f'{url}: the connection was closed.'
+        )
     return exceptions.AnswerLost(f'{url}: {ending.value}.')
 
 
@@ -423,7 +436,7 @@
 ) -> None:
     curl.setopt(pycurl.URL, request.url)
     curl.setopt(pycurl.NOSIGNAL, 1)
-    # A proxy from the environment answers for hosts never reached.
+    # A proxy from the environment would respond for unreachable hosts.
     curl.setopt(pycurl.PROXY, '')
     curl.setopt(pycurl.HTTP_VERSION, pycurl.CURL_HTTP_VERSION_1_1)
     curl.setopt(pycurl.PATH_AS_IS, 1)
@@ -432,7 +445,7 @@
     curl.setopt(pycurl.TIMEOUT_MS, max(0, total_ms))
     curl.setopt(pycurl.FRESH_CONNECT, int(request.own_connection))
     curl.setopt(pycurl.FORBID_REUSE, int(request.own_connection))
-    curl.setopt(pycurl.PREREQFUNCTION, transfer.note_sending)
+    curl.setopt(pycurl.PREREQFUNCTION, transfer.record_sending)
     curl.setopt(pycurl.HEADERFUNCTION, transfer.receive_line)
     curl.setopt(pycurl.WRITEFUNCTION, transfer.receive_body)
     names = {name.lower() for name, _ in request.headers}
@@ -442,7 +455,8 @@
         else f'{name};'.encode('latin-1')
         for name, value in request.headers
     ]
-    # libcurl adds these by itself; a name without a value takes them out.
+    # libcurl adds these headers by default; a name without a value removes
+    # the header.
     lines.extend(
         f'{name}:'.encode()
         for name in ('Accept', 'User-Agent', 'Expect', 'Content-Type')
@@ -456,7 +470,7 @@
     if request.body is not None or request.method == 'POST':
         body = request.body or b''
         curl.setopt(pycurl.POST, 1)
-        # Takes bytes of any value, a zero byte too, and their number.
+        # Sets the length as well, so that the body may contain zero bytes.
         curl.setopt(pycurl.POSTFIELDS, body)
     elif request.method == 'HEAD':
         curl.setopt(pycurl.NOBODY, 1)
--- a/tests/adapters/broken.py
+++ b/tests/adapters/broken.py
@@ -1,4 +1,4 @@
-"""A server whose connections break where a test wants them to."""
+"""A server whose connections break at defined positions."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 if typing.TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-CUT = b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf'
-_ENDED = (
+TRUNCATED = b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf'
+_DISCONNECT_ERRORS = (
     asyncio.IncompleteReadError,
     asyncio.CancelledError,
     ConnectionError,
@@ -20,10 +20,10 @@
 
 
 class BrokenServer:
-    """Answers request number n of all connections by the n-th reply.
+    """Sends the n-th reply to the n-th request of all connections.
 
-    ``None`` closes the connection; a reply in ``closing`` is followed by
-    its end.
+    The reply ``None`` closes the connection. With ``close``, the connection
+    is closed after each reply.
     """
 
     def __init__(self, replies: list[bytes | None], close: bool) -> None:
@@ -35,7 +35,7 @@
     async def serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        with contextlib.suppress(*_ENDED):
+        with contextlib.suppress(*_DISCONNECT_ERRORS):
             while True:
                 request = await reader.readuntil(b'\r\n\r\n')
                 self.requests.append(request)
@@ -65,7 +65,7 @@
 
 @contextlib.contextmanager
 def open_port(backlog: int | None) -> typing.Iterator[str]:
-    """Bind a port that nobody accepts on; it refuses without a backlog."""
+    """Bind a port without an acceptor; it refuses without a backlog."""
     with socket.socket() as bound:
         bound.bind(('127.0.0.1', 0))
         if backlog is not None:
@@ -75,7 +75,7 @@
 
 @contextlib.contextmanager
 def open_full_port() -> typing.Iterator[str]:
-    """Listen on a port whose backlog is full, so that connecting hangs."""
+    """Listen on a port with a full backlog, so that connecting blocks."""
     with open_port(0) as url, contextlib.ExitStack() as stack:
         address = ('127.0.0.1', int(url.rsplit(':', 1)[1]))
         for _ in range(4):
--- a/tests/adapters/certificates.py
+++ b/tests/adapters/certificates.py
@@ -1,4 +1,4 @@
-"""Makes authorities and certificates with the ``openssl`` command."""
+"""Creates authorities and certificates with the ``openssl`` command."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     authority: Pair | None = None,
     password: str = '',
 ) -> Pair:
-    """Make a certificate for loopback; an authority if none is given."""
+    """Create a certificate for loopback, or an authority if none is given."""
     pair = Pair(str(folder / f'{name}.pem'), str(folder / f'{name}.key'))
     command = [*_REQUEST, '-subj', f'/CN={name}', '-keyout', pair.key]
     command += ['-out', pair.certificate]
@@ -46,7 +46,7 @@
 
 
 class Certificates:
-    """Certificates of two authorities that do not know each other."""
+    """Certificates of two independent authorities."""
 
     def __init__(self, folder: pathlib.Path) -> None:
         self.folder = folder
@@ -55,9 +55,15 @@
         self.client = make_pair(folder, 'client', self.authority)
         other = make_pair(folder, 'other-authority')
         self.other_authority = other
-        self.stranger = make_pair(folder, 'stranger', other)
+        self.foreign = make_pair(folder, 'stranger', other)
 
-    def build_tls(self, asks_for_client: bool = False) -> settings.Tls:
-        """Build the settings of a listener."""
-        asked = self.authority.certificate if asks_for_client else ''
-        return settings.Tls(self.server.certificate, self.server.key, asked)
+    def build_tls(
+        self, requires_client_certificate: bool = False
+    ) -> settings.Tls:
+        """Build the TLS settings of a listener."""
+        client_authority = (
+            self.authority.certificate if requires_client_certificate else ''
+        )
+        return settings.Tls(
+            self.server.certificate, self.server.key, client_authority
+        )
--- a/tests/adapters/store/test_client.py
+++ b/tests/adapters/store/test_client.py
@@ -1,4 +1,4 @@
-"""Tests of the port over the store, where connections break and without."""
+"""Tests of the store client with failing and working connections."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 CONFLICT = build_reply('412 Precondition Failed')
 NO_KEY = build_reply('404 Not Found')
 EMPTY = build_reply('200 OK', '{"items": [], "as_of": 4}')
-NO_NEWS = build_reply('200 OK', '{"events": [], "as_of": 4}')
+NO_EVENTS = build_reply('200 OK', '{"events": [], "as_of": 4}')
 
 
 def build_platform(
@@ -47,18 +47,18 @@
 
 
 class BrokenStoreTest(unittest.IsolatedAsyncioTestCase):
-    async def test_write_is_settled_only_by_a_whole_answer(self) -> None:
-        """The connection of a write breaks, or the service fails, midway.
+    async def test_write_result_requires_a_complete_response(self) -> None:
+        """Guards against a publication in force that is reported as rejected.
 
-        Nobody can tell whether it took effect. An operator would see a
-        publication reported as refused that is in force, if any of these
-        were called a conflict or an error.
+        The connection breaks or the service fails during a write, so it is
+        unknown whether the write took effect. It must not be reported as a
+        conflict or an error.
         """
         cases: dict[str, tuple[bytes | None, object]] = {
             'done': (DONE, ports.WriteDone(7)),
             'conflict': (CONFLICT, ports.WriteConflict()),
             'closed': (None, ports.WriteUnknown()),
-            'cut': (broken.CUT, ports.WriteUnknown()),
+            'cut': (broken.TRUNCATED, ports.WriteUnknown()),
             'failed': (build_reply('500 Error'), ports.WriteUnknown()),
             'no revision': (broken.DONE, ports.WriteUnknown()),
         }
@@ -66,14 +66,14 @@
             with self.subTest(name):
                 async with broken.open_broken([reply]) as server:
                     platform = build_platform(self, server.url)
-                    answer = await platform.put('k', b'v', 0)
-                    self.assertEqual(expected, answer)
+                    result = await platform.put('k', b'v', 0)
+                    self.assertEqual(expected, result)
                     self.assertEqual(1, len(server.requests))
 
-    async def test_refused_write_raises(self) -> None:
-        """The store turns calls away, or knows no such call.
+    async def test_rejected_write_raises(self) -> None:
+        """Guards against an unknown outcome of a rejected write.
 
-        It promises that nothing was done, so the caller can be told.
+        The store rejects the call and guarantees that it was not executed.
         """
         for status in ('503 Unavailable', '429 Too Many', '403 Forbidden'):
             with self.subTest(status):
@@ -83,10 +83,10 @@
                         await platform.put('k', b'v', 0)
 
     async def test_unsent_write_raises(self) -> None:
-        """The service refuses connections or accepts none.
+        """Guards against an unknown outcome of a write that was not sent.
 
-        Not a byte of the write was sent, so the caller can be told that
-        it was not done, instead of being left with an unknown outcome.
+        The service refuses connections or does not accept them, so no byte
+        of the write was sent.
         """
         cases = {
             'refused': lambda: broken.open_port(None),
@@ -99,35 +99,38 @@
                     await platform.put('k', b'v', 0)
                 self.assertEqual(1, platform.errors['put'])
 
-    async def test_silent_service_leaves_the_write_unknown(self) -> None:
-        """The kernel takes the connection, but no process reads from it.
+    async def test_write_to_an_unresponsive_service_is_unknown(self) -> None:
+        """Guards against an error for a write that is executed later.
 
-        The bytes wait in its buffer and may be carried out later.
+        The kernel accepts the connection, but no process reads from it. The
+        write stays in the receive buffer and may be executed later.
         """
         with broken.open_port(8) as url:
             platform = build_platform(self, url)
-            answer = await platform.put('k', b'v', 0)
-        self.assertEqual(ports.WriteUnknown(), answer)
+            result = await platform.put('k', b'v', 0)
+        self.assertEqual(ports.WriteUnknown(), result)
 
-    async def test_write_is_never_sent_twice(self) -> None:
-        """The service closes a kept connection when the second write comes.
+    async def test_write_is_not_resent(self) -> None:
+        """Guards against a conflict of a write with itself.
 
-        libcurl would send the write again on a new connection, where it
-        meets itself and looks like a conflict although it took effect.
+        The service closes a reused connection when it receives the second
+        write. libcurl would resend it on a new connection, where it results
+        in a conflict although it took effect.
         """
         replies: list[bytes | None] = [DONE, None, CONFLICT]
         async with broken.open_broken(replies, close=False) as server:
             platform = build_platform(self, server.url)
             await platform.put('k', b'one', 0)
-            answer = await platform.put('k', b'two', 7)
-            self.assertEqual(ports.WriteUnknown(), answer)
+            result = await platform.put('k', b'two', 7)
+            self.assertEqual(ports.WriteUnknown(), result)
             self.assertEqual(2, len(server.requests))
 
-    async def test_outage_is_not_hammered(self) -> None:
-        """The service is gone and the entry keeps being asked.
+    async def test_outage_stops_calls(self) -> None:
+        """Guards against an outage that is prolonged by retries.
 
-        After two failures calls are held back without touching the
-        network; the counts of calls stay small while errors grow.
+        The service is down while the entry gets requests. After two failures
+        calls fail without being sent, so that the number of calls stays low
+        while the number of errors increases.
         """
         with broken.open_port(None) as url:
             platform = build_platform(
@@ -139,14 +142,13 @@
         self.assertEqual(2, platform.calls['get'])
         self.assertEqual(20, platform.errors['get'])
 
-    async def test_watch_as_a_probe_does_not_wait(self) -> None:
-        """After an outage the first call that passes is a watch.
+    async def test_watch_as_a_probe_does_not_block(self) -> None:
+        """Guards against rejected actions after the platform recovered.
 
-        While it waits for news, for up to 20 s, every other call is held
-        back as long as it is the probe. Callers' actions are refused with
-        the platform being up.
+        The first call after an outage is a watch. While it is the probe and
+        waits for events, for up to 20 s, all other calls are rejected.
         """
-        replies = [None, None, EMPTY, NO_NEWS, NO_NEWS]
+        replies = [None, None, EMPTY, NO_EVENTS, NO_EVENTS]
         async with broken.open_broken(replies) as server:
             platform = build_platform(self, server.url)
             for _ in range(2):
@@ -158,10 +160,11 @@
         self.assertIn(b'wait_ms=0 ', server.requests[3])
         self.assertIn(b'wait_ms=20000 ', server.requests[4])
 
-    async def test_budget_bounds_calls(self) -> None:
-        """A defect asks the platform in a loop.
+    async def test_rate_limit_applies_to_calls(self) -> None:
+        """Guards against one entry that overloads the platform.
 
-        The service is shared by all entries; one entry may not use it up.
+        A fault causes calls to the platform in a loop. The platform is
+        shared by all entries.
         """
         replies: list[bytes | None] = [NO_KEY] * 9
         async with broken.open_broken(replies, close=False) as server:
@@ -187,11 +190,11 @@
         text = base64.b64encode(value).decode()
         return self.state.write([{'key': key, 'value': text}], [])
 
-    async def test_a_version_is_shown_until_it_was_taken(self) -> None:
-        """An entry saw a new head and could not read all that it names.
+    async def test_version_is_returned_until_it_is_applied(self) -> None:
+        """Guards against an entry that keeps an old configuration.
 
-        It asks again for what is past its own version; a watch that went on
-        behind the head would leave it on the old configuration.
+        An entry received a new head, but could not read all its buckets. It
+        watches again with its own version, and must receive the head again.
         """
         self.write(f'{client.PREFIX}head', b'one')
         for _ in range(3):
@@ -200,11 +203,11 @@
             self.assertEqual(b'one', seen.value)
         self.assertIsNone(await self.platform.watch('head', seen.version, 50))
 
-    async def test_changes_are_seen_without_a_history(self) -> None:
-        """The store drops its history while an entry does not watch.
+    async def test_changes_are_found_without_a_history(self) -> None:
+        """Guards against an entry that misses a change for hours.
 
-        The change is only in the key by then. An entry that waited for the
-        next one would stay behind for hours.
+        The store compacts its history while an entry does not watch, so the
+        change is only visible in the value of the key.
         """
         first = self.write(f'{client.PREFIX}head', b'one')
         await self.platform.watch('head', 0, 50)
@@ -215,11 +218,11 @@
         assert seen is not None
         self.assertEqual(b'two', seen.value)
 
-    async def test_a_store_put_back_is_followed_again(self) -> None:
-        """The store was restored to an earlier state.
+    async def test_restored_store_is_watched_again(self) -> None:
+        """Guards against missed changes after the store was restored.
 
-        Its revisions are used a second time; changes under those that the
-        entry has seen must wake it again once they are past its version.
+        The store was restored to an earlier state and reuses its revisions.
+        Changes must be returned when they are newer than the entry's version.
         """
         for _ in range(5):
             first = self.write(f'{client.PREFIX}head', b'one')
@@ -235,15 +238,15 @@
         assert seen is not None
         self.assertEqual(b'two', seen.value)
 
-    async def test_other_keys_are_none_of_this_project(self) -> None:
-        """Servers and operators write to the same store."""
+    async def test_keys_without_the_prefix_are_ignored(self) -> None:
+        """Guards against values of servers and operators in the same store."""
         self.write('head', b'of another writer')
         self.write(f'{client.PREFIX}head-2', b'beside')
         self.assertEqual(0, (await self.platform.get('head')).version)
         self.assertIsNone(await self.platform.watch('head', 0, 50))
 
-    async def test_hosts_of_servers_that_drain_are_leaving(self) -> None:
-        """A target's host is about to go, and the list says so."""
+    async def test_hosts_of_draining_servers_are_leaving(self) -> None:
+        """Guards against new requests to a host that is about to leave."""
         server = {'service': 's', 'address': 'h:1', 'zone': 'perth-a'}
         for name, state in (('h1', 'ready'), ('h2', 'draining')):
             body = json.dumps({**server, 'state': state}).encode()
@@ -255,11 +258,11 @@
         )
         self.assertEqual(expected, await self.platform.list_hosts())
 
-    async def test_announced_entries_are_listed_for_some_time(self) -> None:
-        """An entry announces itself, is killed, and stays away.
+    async def test_announcements_expire(self) -> None:
+        """Guards against joins through addresses of other programs.
 
-        Others join through the list. One that never forgot would have them
-        probe addresses that other programs use by then.
+        An entry announces itself and is killed. Entries join through the
+        list, and another program may use the address later.
         """
         own = ports.Host('one', 'perth-a', ports.HostState.LIVE, 'tcp://one:1')
         await self.platform.announce(own)
--- a/tests/adapters/store/test_contract.py
+++ b/tests/adapters/store/test_contract.py
@@ -1,4 +1,4 @@
-"""One table of contract tests for both platforms."""
+"""Contract tests for both implementations of the platform."""
 
 from __future__ import annotations
 
@@ -60,8 +60,8 @@
 async def check_conflict(test: typing.Any, platform: typing.Any) -> None:
     done = await platform.put('k', b'one', 0)
     for expected in (0, done.version + 7):
-        answer = await platform.put('k', b'two', expected)
-        test.assertEqual(ports.WriteConflict(), answer)
+        result = await platform.put('k', b'two', expected)
+        test.assertEqual(ports.WriteConflict(), result)
     test.assertEqual(b'one', (await platform.get('k')).value)
 
 
@@ -73,13 +73,13 @@
     test.assertIsInstance(await platform.put('k', largest, 0), ports.WriteDone)
 
 
-async def check_landed(test: typing.Any, platform: typing.Any) -> None:
+async def check_response_lost(test: typing.Any, platform: typing.Any) -> None:
     test.store.faults.lose_writes = 1
     test.assertEqual(ports.WriteUnknown(), await platform.put('k', b'v', 0))
     test.assertEqual(b'v', (await platform.get('k')).value)
 
 
-async def check_lost(test: typing.Any, platform: typing.Any) -> None:
+async def check_write_lost(test: typing.Any, platform: typing.Any) -> None:
     test.store.faults.drop_writes = 1
     test.assertEqual(ports.WriteUnknown(), await platform.put('k', b'v', 0))
     test.assertEqual(0, (await platform.get('k')).version)
@@ -118,14 +118,14 @@
 async def check_watch(test: typing.Any, platform: typing.Any) -> None:
     test.assertIsNone(await platform.watch('k', 0, 30))
     first = await platform.put('k', b'one', 0)
-    seen = await platform.watch('k', 0, 5000)
-    test.assertEqual(ports.Versioned(b'one', first.version), seen)
+    watched = await platform.watch('k', 0, 5000)
+    test.assertEqual(ports.Versioned(b'one', first.version), watched)
     waiting = asyncio.ensure_future(platform.watch('k', first.version, 5000))
     await asyncio.sleep(0.05)
     test.assertFalse(waiting.done())
     second = await platform.put('k', b'two', first.version)
-    seen = await waiting
-    test.assertEqual(ports.Versioned(b'two', second.version), seen)
+    watched = await waiting
+    test.assertEqual(ports.Versioned(b'two', second.version), watched)
 
 
 async def check_stale(test: typing.Any, platform: typing.Any) -> None:
@@ -140,9 +140,9 @@
     'done': check_done,
     'conflict': check_conflict,
     'too large': check_large,
-    'unknown, landed': check_landed,
-    'unknown, lost': check_lost,
-    'unknown, late': check_late,
+    'unknown, written': check_response_lost,
+    'unknown, not written': check_write_lost,
+    'unknown, written later': check_late,
     'down': check_down,
     'slow': check_slow,
     'watch': check_watch,
@@ -154,19 +154,19 @@
     store: typing.Any
 
     async def test_memory_keeps_the_contract(self) -> None:
-        """The platform fails in each way that the table names.
+        """Guards against actions that run twice and holds that are lost.
 
-        A write whose answer is lost, comes late or never was carried out
-        must come back as not known; taken for a conflict or for done, an
-        action would be run twice or a hold would be lost.
+        The platform fails in each way of the table. A write whose response
+        is lost or late, or that was not executed, must be reported as
+        unknown, not as conflict or done.
         """
         await self._run_checks(open_memory)
 
     async def test_store_keeps_the_contract(self) -> None:
-        """The same failures reach the caller through a real connection.
+        """Guards against the same failures over a real connection.
 
-        A dropped connection or a timeout of a write must come back as not
-        known, and the next read must show what the service holds.
+        A closed connection or a timeout of a write must be reported as
+        unknown, and the next read must return the stored value.
         """
         await self._run_checks(open_store)
 
--- a/tests/adapters/store/test_gate.py
+++ b/tests/adapters/store/test_gate.py
@@ -1,4 +1,4 @@
-"""Tests of the gate before the platform."""
+"""Tests of the rate limit and backoff of calls to the platform."""
 
 from __future__ import annotations
 
@@ -12,70 +12,73 @@
 
 def build_gate() -> gate.Gate:
     settings = gate.GateSettings(
-        patience_ms=10, backoff_base_ms=100, backoff_cap_ms=800
+        max_wait_ms=10, backoff_base_ms=100, backoff_cap_ms=800
     )
     return gate.Gate(settings, lambda: 1.0)
 
 
 class GateTest(unittest.TestCase):
-    def test_waits_grow_to_a_cap_and_one_probe_passes(self) -> None:
-        """The platform fails for a long time.
+    def test_backoff_grows_to_a_cap_and_admits_one_probe(self) -> None:
+        """Guards against retries that prolong an outage.
 
-        Calls back off further with each failure and one probe at a time
-        finds out when it is back; then all calls pass again at once.
+        During a long outage the backoff grows with each failure and one
+        probe at a time is admitted. After its success all calls are admitted.
         """
-        guard = build_gate()
-        guard.record_failure(0)
-        self.assertEqual(0, guard.enter(0))
+        tested_gate = build_gate()
+        tested_gate.record_failure(0)
+        self.assertEqual(0, tested_gate.admit(0))
         now = 0
         for delay in (100, 200, 400, 800, 800):
-            guard.record_failure(now)
+            tested_gate.record_failure(now)
             with self.assertRaises(exceptions.PlatformError):
-                guard.enter(now + delay - 11)
+                tested_gate.admit(now + delay - 11)
             now += delay
-            self.assertEqual(0, guard.enter(now))
+            self.assertEqual(0, tested_gate.admit(now))
             with self.assertRaises(exceptions.PlatformError):
-                guard.enter(now)
-        guard.record_success()
-        self.assertEqual([0, 0], [guard.enter(now), guard.enter(now)])
+                tested_gate.admit(now)
+        tested_gate.record_success()
+        self.assertEqual(
+            [0, 0], [tested_gate.admit(now), tested_gate.admit(now)]
+        )
 
-    def test_probes_of_a_fleet_do_not_grow_with_it(self) -> None:
-        """The platform fails for a long time before a large fleet.
+    def test_probe_rate_is_independent_of_the_fleet_size(self) -> None:
+        """Guards against probes of a large fleet that prolong an outage.
 
-        Probing as often as a small one would keep it down; 400 calls a
-        second are a fifth of what it takes.
+        With the probe interval of a small fleet, a large one would overload
+        the platform. 400 calls per second are a fifth of its capacity.
         """
         settings = gate.GateSettings()
         for entries in (1, 9, 50, 350, 1_000):
             with self.subTest(entries):
-                guard = gate.Gate(settings, lambda: 0.5)
-                guard.record_success(entries)
+                tested_gate = gate.Gate(settings, lambda: 0.5)
+                tested_gate.record_success(entries)
                 for _ in range(20):
-                    guard.record_failure(0)
-                wait = guard.read_backoff(0)
-                self.assertIsNotNone(wait)
-                self.assertLessEqual(entries * 1000 / (wait or 1), 401)
-                self.assertLessEqual(wait or 0, max(125, entries * 2.5))
+                    tested_gate.record_failure(0)
+                delay_ms = tested_gate.read_backoff(0)
+                self.assertIsNotNone(delay_ms)
+                self.assertLessEqual(entries * 1000 / (delay_ms or 1), 401)
+                self.assertLessEqual(delay_ms or 0, max(125, entries * 2.5))
 
-    def test_cancelled_probe_frees_the_gate(self) -> None:
-        """A caller gives up while its call is the probe.
+    def test_cancelled_probe_releases_the_gate(self) -> None:
+        """Guards against a gate that rejects calls forever.
 
-        The gate would stay shut for ever if the probe were not forgotten.
+        A call is cancelled while it is the probe.
         """
-        guard = build_gate()
+        tested_gate = build_gate()
         for _ in range(2):
-            guard.record_failure(0)
-        guard.enter(200)
-        guard.release()
-        self.assertEqual(0, guard.enter(200))
+            tested_gate.record_failure(0)
+        tested_gate.admit(200)
+        tested_gate.release()
+        self.assertEqual(0, tested_gate.admit(200))
 
-    def test_the_budget_lets_one_entry_write_every_ledger_page(self) -> None:
-        """One entry is alone, or the preferred writer of all pages.
+    def test_rate_limit_permits_writes_of_all_ledger_pages(self) -> None:
+        """Guards against rejected writes while the platform is available.
 
-        A budget under the pace of the pages held writes back while the
-        platform was up, and callers were told that it can not be reached.
+        A single entry, or the preferred writer of all pages, writes every
+        ledger page. With a lower rate limit, writes were delayed and callers
+        received the error that the platform is unreachable.
         """
-        layout, pace = keys.Layout(), writer.Pace()
-        writes_per_s = layout.buckets * 1000 / pace.write_ms
-        budget = gate.GateSettings().calls_per_s
-        self.assertGreaterEqual(budget, 1.5 * writes_per_s)
+        layout, limits = keys.Layout(), writer.Pace()
+        writes_per_s = layout.buckets * 1000 / limits.write_ms
+        rate_limit = gate.GateSettings().calls_per_s
+        self.assertGreaterEqual(rate_limit, 1.5 * writes_per_s)
--- a/tests/adapters/store/test_outages.py
+++ b/tests/adapters/store/test_outages.py
@@ -1,4 +1,4 @@
-"""Tests of how a fleet finds out that the platform is back."""
+"""Tests of how a fleet detects the recovery of the platform."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 BUCKET_MS = 100
 
 
-class World:
-    """Entries with a gate each before one platform, in virtual time."""
+class Simulation:
+    """Entries with a gate each and one platform, in virtual time."""
 
     def __init__(self, entries: int) -> None:
         self.clock = builders.FakeClock()
@@ -31,7 +31,7 @@
         self.down = False
         self.calls: list[int] = []
         self.tasks: list[asyncio.Future[None]] = []
-        self.back_at: dict[str, int] = {}
+        self.recovered_at: dict[str, int] = {}
         self.handlers: dict[str, typing.Any] = {}
         self.entries = [Entry(self, member) for member in self.members]
 
@@ -42,8 +42,8 @@
         if self.down:
             raise exceptions.PlatformError('It is down.')
 
-    async def pass_outage(self) -> int:
-        """Let an outage pass and return when it ended."""
+    async def run_outage(self) -> int:
+        """Simulate an outage and return its end in milliseconds."""
         for entry in self.entries:
             await entry.probe()
         self.down = True
@@ -57,87 +57,99 @@
 
 
 class Entry:
-    """One entry: its client's gate, and its end of the network."""
+    """An entry with the gate of its client and its peer messaging."""
 
-    def __init__(self, world: World, member: typing.Any) -> None:
-        self._world = world
+    def __init__(self, simulation: Simulation, member: typing.Any) -> None:
+        self._simulation = simulation
         self._member = member
-        self._gate = gate.Gate(gate.GateSettings(), world.random.random)
+        self._gate = gate.Gate(gate.GateSettings(), simulation.random.random)
         self.service = outages.OutageService(
-            world.clock,
+            simulation.clock,
             self,
             typing.cast('typing.Any', self),
             typing.cast('typing.Any', self),
             member.incarnation,
-            world.random,
+            simulation.random,
             lambda: None,
         )
 
     def follow_outages(
-        self, count_entries: typing.Any, failing: typing.Any, back: typing.Any
+        self,
+        count_entries: typing.Any,
+        on_outage: typing.Any,
+        on_recovery: typing.Any,
     ) -> None:
-        self._count, self._failing, self._back = count_entries, failing, back
+        self._count, self._on_outage, self._on_recovery = (
+            count_entries,
+            on_outage,
+            on_recovery,
+        )
 
     def read_backoff(self) -> int | None:
-        return self._gate.read_backoff(self._world.clock.now())
+        return self._gate.read_backoff(self._simulation.clock.now())
 
     def end_backoff(self) -> None:
         self._gate.end_backoff()
 
     def fail_twice(self) -> None:
         for _ in range(2):
-            self._gate.record_failure(self._world.clock.now())
-        self._failing()
+            self._gate.record_failure(self._simulation.clock.now())
+        self._on_outage()
 
     async def probe(self) -> None:
-        wait = self._gate.enter(self._world.clock.now())
-        await asyncio.sleep(wait / 1000)
+        delay_ms = self._gate.admit(self._simulation.clock.now())
+        await asyncio.sleep(delay_ms / 1000)
         try:
-            await self._world.call()
+            await self._simulation.call()
         except exceptions.PlatformError:
-            self._gate.record_failure(self._world.clock.now())
+            self._gate.record_failure(self._simulation.clock.now())
             raise
         was_backing_off = self._gate.is_backing_off
         self._gate.record_success(self._count())
         if was_backing_off:
-            back_at = self._world.back_at
-            back_at[self._member.incarnation] = self._world.clock.now()
-            self._back()
+            recovered_at = self._simulation.recovered_at
+            recovered_at[self._member.incarnation] = (
+                self._simulation.clock.now()
+            )
+            self._on_recovery()
 
     def list_members(self) -> tuple[typing.Any, ...]:
-        return self._world.members
+        return self._simulation.members
 
     def handle(self, message_type: type, handler: typing.Any) -> None:
-        self._world.handlers[self._member.peer_address] = handler
+        self._simulation.handlers[self._member.peer_address] = handler
 
     def tell(self, address: str, message: typing.Any) -> None:
-        handler = self._world.handlers[address]
+        handler = self._simulation.handlers[address]
         task = asyncio.ensure_future(handler('', message))
-        self._world.tasks.append(task)
+        self._simulation.tasks.append(task)
 
 
 class OutageServiceTest(unittest.TestCase):
-    def test_fleet_is_back_soon_and_does_not_storm(self) -> None:
-        """The platform is away for a while and comes back.
+    def test_fleet_recovers_without_a_burst(self) -> None:
+        """Guards against a slow recovery and against a burst of calls.
 
-        Entries that find out each by themselves refuse actions for as long
-        as their backoff lasts; if all asked more often, or all at once when
-        it is back, they would put it down again.
+        The platform recovers from an outage. Entries that detect this
+        independently reject actions until their backoff ends. If all entries
+        probed more often, or all at once after the recovery, they would
+        overload the platform again.
         """
         print(f'seed {SEED}')
-        for entries, within_ms in ((5, 100), (50, 250), (350, 1_000)):
+        for entries, limit_ms in ((5, 100), (50, 250), (350, 1_000)):
             with self.subTest(entries):
-                world = World(entries)
-                ended = fakes.run(world.clock, world.pass_outage())
-                self.assertEqual(entries, len(world.back_at))
-                last = max(world.back_at.values())
-                self.assertLessEqual(last - ended, within_ms)
-                began = ended - OUTAGE_MS + 1_000
-                during = sum(began <= at < ended for at in world.calls)
+                simulation = Simulation(entries)
+                ended = fakes.run(simulation.clock, simulation.run_outage())
+                self.assertEqual(entries, len(simulation.recovered_at))
+                last = max(simulation.recovered_at.values())
+                self.assertLessEqual(last - ended, limit_ms)
+                window_start = ended - OUTAGE_MS + 1_000
+                during = sum(
+                    window_start <= at < ended for at in simulation.calls
+                )
                 self.assertLess(during, 9 * 450)
                 after = collections.Counter(
                     (at - ended) // BUCKET_MS
-                    for at in world.calls
+                    for at in simulation.calls
                     if at >= ended
                 )
                 self.assertLessEqual(max(after.values()), 200)
--- a/tests/adapters/targets/test_engines.py
+++ b/tests/adapters/targets/test_engines.py
@@ -1,4 +1,4 @@
-"""Contract tests of the engines' client, against a stand-in process."""
+"""Contract tests of the engine client with a stand-in process."""
 
 from __future__ import annotations
 
@@ -64,7 +64,7 @@
     def count_computed(self):
         return sum(len(each['indexes']) for each in self.engine.read_counts())
 
-    async def test_hands_over_frames_in_order(self):
+    async def test_frames_are_delivered_in_order(self):
         await self.generate(resume=('x', 'y'))
         expected = [
             engine_stage.compute_token('Prompt', at) for at in (2, 3, 4)
@@ -73,35 +73,41 @@
         self.assertEqual(tokens, expected)
         self.assertEqual(self.frames[-1].end, 5)
 
-    async def test_loads_come_only_when_asked_for(self):
-        """Loads with every answer were twice the bytes that control has."""
+    async def test_loads_are_sent_only_on_request(self):
+        """Guards against excessive control traffic.
+
+        With loads in every response, it was twice the permitted amount.
+        """
         await self.generate()
         self.assertEqual(self.frames[-1].loads, [])
-        asked = questions.Tell(loads=True, hops=True)
-        await self.generate(attempt=1, tell=asked)
+        requested = questions.Tell(loads=True, hops=True)
+        await self.generate(attempt=1, tell=requested)
         self.assertEqual(self.frames[-1].loads[0].target, 'a-1')
 
     async def test_attachments_reach_the_engine(self):
-        given = generation_attachments.Attachment(
+        attachment = generation_attachments.Attachment(
             'photo', 'image/jpeg', 'front.jpg'
         )
-        request = attrs.evolve(self.build_call().request, attachments=(given,))
+        request = attrs.evolve(
+            self.build_call().request, attachments=(attachment,)
+        )
         await self.generate(request=request)
         self.assertEqual(self.frames[-1].end, 5)
         body = engine_messages.encode_generate(
             self.build_call(request=request)
         )
         self.assertEqual(
-            json.loads(body)['attachments'], [attrs.asdict(given)]
+            json.loads(body)['attachments'], [attrs.asdict(attachment)]
         )
 
-    async def test_attachments_name_another_request(self):
-        """One of two requests with one prompt crashes engines by its photo.
+    async def test_attachments_change_the_fingerprint(self):
+        """Guards against quarantine of a harmless request.
 
-        With one fingerprint the other would be refused for it.
+        Two requests have the same prompt, and the photo of one of them
+        crashes engines. With the same fingerprint, both would be refused.
         """
         plain = self.build_call().request
-        names = {
+        fingerprints = {
             generation_attempts.fingerprint_request(
                 attrs.evolve(
                     plain,
@@ -115,37 +121,39 @@
             )
             for references in ((), ('a',), ('b',), ('a', 'b'), ('b', 'a'))
         }
-        self.assertEqual(len(names), 5)
+        self.assertEqual(len(fingerprints), 5)
 
-    async def test_failures_get_their_error(self):
-        """An engine refuses, dies, has gone or takes too long.
+    async def test_failures_raise_their_error(self):
+        """Guards against a wrong outcome after a failure of an engine.
 
-        Taken for one another, a request that ran would be called not run,
-        or one that never ran would cost a retry.
+        An engine rejects the request, crashes, has exited or is too slow. If
+        these were confused, an executed request would be reported as not
+        run, or one that was not executed would use a retry.
         """
         lost = exceptions.TargetAnswerLost
         refused = generation_exceptions.EngineRefused
         cases = (
             ('leaving', {'leave': True}, {}, refused),
-            ('stays', {'leave': False, 'slow': 500}, {'timeout_ms': 50}, lost),
-            ('dies', {'slow': 1, 'die_after': 3}, {}, lost),
-            ('gone', None, {}, exceptions.TargetNotReached),
+            ('slow', {'leave': False, 'slow': 500}, {'timeout_ms': 50}, lost),
+            ('crashes', {'slow': 1, 'die_after': 3}, {}, lost),
+            ('exited', None, {}, exceptions.TargetNotReached),
         )
         for name, orders, changes, error in cases:
             with self.subTest(name):
                 if orders is not None:
                     self.engine.order(**orders)
                 else:
-                    # Until its process has ended, its port may still take
-                    # a connection and break it.
+                    # Until the process has exited, its port may still accept
+                    # a connection and close it.
                     self.engine.wait_end()
                 with self.assertRaises(error):
                     await self.generate(request_id=name, **changes)
 
-    async def test_lines_that_are_no_frames(self):
-        """Something else listens at the engine's address.
+    async def test_lines_that_are_not_frames(self):
+        """Guards against an entry that fails on an invalid response.
 
-        Its answer must end the attempt at once, not the entry.
+        Another program listens at the address of the engine. Its response
+        must only fail the attempt.
         """
         route = routes.Route(
             (
@@ -157,22 +165,21 @@
         with self.assertRaises(exceptions.TargetError):
             await self.generate(route=route)
 
-    async def test_endless_answer_is_broken_off(self):
-        """Something at the engine's address sends bytes without an end.
+    async def test_endless_response_is_aborted(self):
+        """Guards against an entry that runs out of memory.
 
-        Read on, it would fill the memory of the entry until it is killed
-        with all its callers' requests.
+        A program at the address of the engine sends bytes without end.
         """
         limit = mock.patch.object(engines, 'MAX_STREAM_BYTES', 1_000)
         with limit, self.assertRaises(exceptions.TargetAnswerLost):
             await self.generate(max_tokens=500)
         self.assertLess(len(self.frames), 20)
 
-    async def test_dropping_a_call_closes_its_connection(self):
-        """A caller leaves and its call is dropped here.
+    async def test_cancelled_task_closes_its_connection(self):
+        """Guards against an engine that computes without a reader.
 
-        Left open, the connection would keep the engine computing for
-        nobody until the timeout.
+        A caller disconnects and its call is cancelled. With an open
+        connection, the engine would continue until the timeout.
         """
         task = asyncio.create_task(self.generate(max_tokens=2_000))
         while not self.frames:
@@ -184,9 +191,10 @@
         self.assertEqual(self.count_computed(), computed)
 
     async def test_cancel_stops_a_stream(self):
-        """A stage is told to stop while the connection is still open.
+        """Guards against stages that continue a cancelled request.
 
-        This is how the stages behind the first one learn of it.
+        A stage is cancelled while its connection is open, like all stages
+        after the first one.
         """
         task = asyncio.create_task(self.generate(max_tokens=2_000))
         while not self.frames:
--- a/tests/adapters/targets/test_probes.py
+++ b/tests/adapters/targets/test_probes.py
@@ -1,4 +1,4 @@
-"""Tests of telling a process that ended from other ways to be silent."""
+"""Tests of the detection of terminated processes by refused connections."""
 
 from __future__ import annotations
 
@@ -11,16 +11,17 @@
 
 
 class ProbesTest(unittest.IsolatedAsyncioTestCase):
-    async def test_only_a_refusal_counts(self) -> None:
-        """A target is silent for one of several reasons.
+    async def test_only_a_refused_connection_is_detected(self) -> None:
+        """Guards against a busy target that is classified as crashed.
 
-        Taken for dead, a busy one would make its calls suspects, and a
-        suspect payout that meets two busy targets would be condemned.
+        A target may be unresponsive for several reasons. The calls of a
+        target classified as crashed become suspects, and a suspected payout
+        would be quarantined after two busy targets.
         """
         cases: dict[str, tuple[typing.Any, bool]] = {
-            'nobody listens': (lambda: broken.open_port(None), True),
-            'frozen': (lambda: broken.open_port(8), False),
-            'queue full': (broken.open_full_port, False),
+            'no listener': (lambda: broken.open_port(None), True),
+            'suspended': (lambda: broken.open_port(8), False),
+            'backlog full': (broken.open_full_port, False),
             'unknown name': (
                 lambda: contextlib.nullcontext('http://target.invalid:1'),
                 False,
--- a/tests/adapters/targets/test_services.py
+++ b/tests/adapters/targets/test_services.py
@@ -1,4 +1,4 @@
-"""Tests of calls to plain services where connections break."""
+"""Tests of calls to plain services over failing connections."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from thornspool.application import ports
 
 CHUNKED = b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n'
-ENDLESS = b'HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{"cut":'
+WITHOUT_LENGTH = b'HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{"cut":'
 MOVED = (
     b'HTTP/1.1 307 Moved\r\nLocation: /v1/operations/hold\r\n'
     b'Content-Length: 0\r\n\r\n'
@@ -42,15 +42,16 @@
         self.services = services.HttpServices(max_calls=2)
         self.addCleanup(self.services.close)
 
-    async def test_not_reached_only_when_nothing_was_written(self) -> None:
-        """The connection cannot be made at all.
+    async def test_not_reached_only_if_nothing_was_written(self) -> None:
+        """Guards against an unknown outcome of a call that was not sent.
 
-        Nothing ran, so the caller is told "not run" and may send again.
+        The connection cannot be established. Nothing was executed, so the
+        outcome is "not run" and the caller may retry.
         """
         cases: dict[str, typing.Any] = {
             'refused': lambda: broken.open_port(None),
-            'connecting hangs': broken.open_full_port,
-            'no such name': lambda: contextlib.nullcontext(
+            'connect blocks': broken.open_full_port,
+            'unknown name': lambda: contextlib.nullcontext(
                 'http://target.invalid:1'
             ),
             'no address': lambda: contextlib.nullcontext('http://'),
@@ -63,20 +64,20 @@
             ):
                 await self.services.call(build_call(url))
 
-    async def test_answer_lost_once_a_byte_may_be_written(self) -> None:
-        """The connection breaks after the target may have read the call.
+    async def test_answer_lost_if_a_byte_may_have_been_written(self) -> None:
+        """Guards against a second hold after an unknown outcome.
 
-        A hold may have been made. Called "not run", its sender would make
-        a second one; it must be an unknown outcome, and sent only once.
+        The connection breaks after the target may have read the call. If the
+        outcome were "not run", the caller would create another hold.
         """
         cases: dict[str, bytes | None] = {
             'closed after the request': None,
             'within the status': b'HTTP/1.1 20',
-            'after the headers': broken.CUT[:-4],
-            'within the body': broken.CUT,
+            'after the headers': broken.TRUNCATED[:-4],
+            'within the body': broken.TRUNCATED,
             'within the chunks': CHUNKED,
-            'end not told': ENDLESS,
-            'no HTTP': b'hello\r\n\r\n',
+            'without a length': WITHOUT_LENGTH,
+            'not HTTP': b'hello\r\n\r\n',
         }
         for name, reply in cases.items():
             with self.subTest(name):
@@ -85,17 +86,17 @@
                         await self.services.call(build_call(server.url))
                     self.assertEqual(1, len(server.requests))
 
-    async def test_a_broken_connection_differs_from_a_late_answer(self):
-        """A target ends in the middle of a call, or only takes too long.
+    async def test_broken_connection_differs_from_a_timeout(self):
+        """Guards against a slow call that is counted as a crash.
 
-        A payout that is merely slow must never count as one that crashed
-        its target; it would be refused for an hour.
+        A target exits during a call, or only responds too late. A payout
+        that is counted as the cause of a crash is refused for an hour.
         """
         cases: dict[str, tuple[typing.Any, bool]] = {
             'closed': (None, True),
-            'within the body': (broken.CUT, True),
-            'end not told': (ENDLESS, False),
-            'no HTTP': (b'hello\r\n\r\n', False),
+            'within the body': (broken.TRUNCATED, True),
+            'without a length': (WITHOUT_LENGTH, False),
+            'not HTTP': (b'hello\r\n\r\n', False),
         }
         for name, (reply, is_broken) in cases.items():
             with self.subTest(name):
@@ -111,10 +112,11 @@
             await self.services.call(build_call(server.url))
         return isinstance(caught.exception, exceptions.TargetConnectionBroken)
 
-    async def test_a_call_alone_is_sent_once(self) -> None:
-        """A kept connection was broken before a suspect was sent over it.
+    async def test_call_of_a_suspect_is_sent_once(self) -> None:
+        """Guards against quarantine of a request that caused no crash.
 
-        Its target did not die under that call, which would be condemned.
+        A reused connection broke before a suspect was sent on it, so its
+        target did not crash during the call.
         """
         replies = [broken.DONE, None, broken.DONE]
         async with broken.open_broken(replies, close=False) as server:
@@ -126,9 +128,10 @@
             self.assertEqual(2, len(server.requests))
 
     async def test_closed_at_accept_counts_as_lost(self) -> None:
-        """The target closes each connection as soon as it accepts it.
+        """Guards against "not run" for a call that may have been read.
 
-        The kernel had taken the connection, so bytes may have been read.
+        The target closes each connection immediately after accepting it. The
+        kernel had established the connection, so bytes may have been read.
         """
 
         async def close(_: typing.Any, writer: typing.Any) -> None:
@@ -141,9 +144,10 @@
         server.close()
 
     async def test_never_accepted_counts_as_lost(self) -> None:
-        """The target is frozen; its kernel still takes the connection.
+        """Guards against "not run" for a call that is executed later.
 
-        It reads the call when it wakes, after the caller was answered.
+        The target is suspended, but its kernel accepts the connection. The
+        target reads the call when it resumes, after the caller's timeout.
         """
         with (
             broken.open_port(8) as url,
@@ -152,10 +156,10 @@
             await self.services.call(build_call(url))
 
     async def test_call_with_a_key_is_sent_once(self) -> None:
-        """The target closes a kept connection when the second call comes.
+        """Guards against a payout that is executed twice.
 
-        libcurl sends such a call again by itself, and a payout that had
-        been carried out would be carried out twice.
+        The target closes a reused connection when it receives the second
+        call. libcurl resends such a call by default.
         """
         replies = [broken.DONE, None, broken.DONE]
         async with broken.open_broken(replies, close=False) as server:
@@ -165,53 +169,55 @@
             self.assertEqual(2, len(server.requests))
 
     async def test_redirect_is_not_followed(self) -> None:
-        """A target answers with a redirect that asks to send the body again.
+        """Guards against a call that is executed at another URL.
 
-        Following it would run the call at another place.
+        A target responds with a redirect that preserves method and body.
         """
         async with broken.open_broken([MOVED, broken.DONE]) as server:
-            answer = await self.services.call(build_call(server.url))
-            self.assertEqual(307, answer.status)
+            response = await self.services.call(build_call(server.url))
+            self.assertEqual(307, response.status)
             self.assertEqual(1, len(server.requests))
 
-    async def test_cancelled_call_leaves_no_queued_request(self) -> None:
-        """A caller gives up while its call waits for a free connection.
+    async def test_cancelled_call_is_not_queued(self) -> None:
+        """Guards against a cancelled call that is sent minutes later.
 
-        A client that queues requests would send it minutes later.
+        A caller cancels a call that waits for a free connection.
         """
         async with broken.open_broken([broken.DONE] * 3) as server:
-            with broken.open_port(8) as silent:
+            with broken.open_port(8) as unresponsive:
                 calls = [
                     asyncio.ensure_future(self.services.call(build_call(url)))
-                    for url in (silent, silent, server.url)
+                    for url in (unresponsive, unresponsive, server.url)
                 ]
                 await asyncio.sleep(0.02)
                 for call in calls:
                     call.cancel()
                 await asyncio.gather(*calls, return_exceptions=True)
-                answer = await self.services.call(
+                response = await self.services.call(
                     build_call(server.url, key='key-2', timeout_ms=3000)
                 )
-            self.assertEqual(200, answer.status)
+            self.assertEqual(200, response.status)
             self.assertEqual(1, len(server.requests))
 
-    async def test_standin_executes_and_answers(self) -> None:
+    async def test_standin_executes_the_call(self) -> None:
         state = standin.State('slots-1')
         server, url = common.listen(standin.make_application(state))
-        answer = await self.services.call(build_call(url))
-        self.assertEqual(200, answer.status)
-        self.assertEqual('application/json', answer.content_type)
-        self.assertIn(b'"key":"key-1"', answer.body)
+        response = await self.services.call(build_call(url))
+        self.assertEqual(200, response.status)
+        self.assertEqual('application/json', response.content_type)
+        self.assertIn(b'"key":"key-1"', response.body)
         self.assertEqual({'key-1': 1}, dict(state.executions))
         self.assertEqual({'key-1': 3}, state.fencing_tokens)
         server.stop()
         await server.close_all_connections()
 
-    async def test_only_a_refusal_to_leave_counts_as_not_run(self) -> None:
-        """A target leaves and refuses the call; another 409 is an answer.
+    async def test_only_a_rejection_by_a_leaving_target_is_not_run(
+        self,
+    ) -> None:
+        """Guards against a conflict that is retried at another target.
 
-        The caller of a refused hold may be served by another target; one
-        whose hold met a conflict must see the conflict.
+        A leaving target rejects a call with status 409, and the call may be
+        retried elsewhere. Any other 409 is the response of the service.
         """
         head = b'HTTP/1.1 409 Conflict\r\nContent-Length: %d\r\n\r\n%s'
         bodies = {
@@ -220,12 +226,12 @@
             b'{"error": "slot taken"}': False,
             b'slot taken': False,
         }
-        for body, left in bodies.items():
+        for body, is_leaving in bodies.items():
             with self.subTest(body=body):
                 reply = head % (len(body), body)
                 async with broken.open_broken([reply]) as server:
                     call = self.services.call(build_call(server.url))
-                    if left:
+                    if is_leaving:
                         with self.assertRaises(exceptions.TargetLeaving):
                             await call
                         continue
--- a/tests/adapters/test_servers.py
+++ b/tests/adapters/test_servers.py
@@ -1,4 +1,4 @@
-"""Listeners that stop while callers still read."""
+"""Tests of listeners that stop while clients read responses."""
 
 from __future__ import annotations
 
@@ -9,81 +9,85 @@
 
 from thornspool.adapters import servers
 
-SIZE = 8_000_000
+BODY_BYTES = 8_000_000
 LIMIT_S = 20.0
 
 
 class _Handler(web.RequestHandler):
     def get(self) -> None:
-        self.write(b'x' * SIZE)
+        self.write(b'x' * BODY_BYTES)
 
 
 class StopTest(unittest.IsolatedAsyncioTestCase):
-    """The last moments of a listener."""
+    """Shutdown of a listener with an open connection."""
 
     async def asyncSetUp(self) -> None:
-        """Listen, and ask for an answer larger than any buffer."""
+        """Listen and request a response that exceeds all buffers."""
         self.listener = servers.Listener('127.0.0.1:0', None)
         self.listener.start(web.Application([('/', _Handler)]))
         port = int(self.listener.read_url().rpartition(':')[2])
         self.reader, self.writer = await asyncio.open_connection(
             '127.0.0.1', port, limit=1024
         )
-        self.ask()
+        self.send_request()
 
     async def asyncTearDown(self) -> None:
-        """Close the caller's connection."""
+        """Close the connection of the client."""
         self.writer.close()
 
-    def ask(self) -> None:
+    def send_request(self) -> None:
         """Send a request."""
         self.writer.write(b'GET / HTTP/1.1\r\nHost: x\r\n\r\n')
 
-    async def read(self) -> tuple[str, int]:
-        """Read an answer slowly; returns its head and the body's size."""
+    async def read_response(self) -> tuple[str, int]:
+        """Read a response slowly; return its headers and the body size."""
         async with asyncio.timeout(LIMIT_S):
             head = await self.reader.readuntil(b'\r\n\r\n')
-            left = SIZE
-            while left:
-                chunk = await self.reader.read(min(left, 65_536))
+            remaining = BODY_BYTES
+            while remaining:
+                chunk = await self.reader.read(min(remaining, 65_536))
                 if not chunk:
                     break
-                left -= len(chunk)
-        return head.decode(), SIZE - left
+                remaining -= len(chunk)
+        return head.decode(), BODY_BYTES - remaining
 
-    async def test_an_answer_that_is_being_read_is_written_whole(self) -> None:
-        """A caller reads slowly while the process exits.
+    async def test_response_is_completed_before_the_stop(self) -> None:
+        """Guards against a truncated response at shutdown.
 
-        The work is done and counted, but most of its answer still waits in
-        the process; closed now, the caller is left with a part of it.
+        A client reads slowly while the process exits. The request was
+        executed, but most of its response is still buffered.
         """
         await self.reader.readexactly(10)
         stopping = asyncio.create_task(self.listener.stop())
         await asyncio.sleep(0.1)
-        _, size = await self.read()
-        self.assertEqual(size, SIZE)
+        _, size = await self.read_response()
+        self.assertEqual(size, BODY_BYTES)
         await asyncio.wait_for(stopping, LIMIT_S)
 
-    async def test_a_caller_that_does_not_read_holds_nothing_up(self) -> None:
-        """A caller hangs without closing its connection.
+    async def test_client_that_does_not_read_does_not_block_the_stop(
+        self,
+    ) -> None:
+        """Guards against a process that never exits.
 
-        Without a bound the process would never exit.
+        A client hangs without closing its connection.
         """
         await self.reader.readexactly(10)
         await asyncio.wait_for(self.listener.stop(50), LIMIT_S)
 
-    async def test_kept_connections_are_sent_away(self) -> None:
-        """A caller keeps its connection to an entry that leaves.
+    async def test_persistent_connections_are_closed_after_a_response(
+        self,
+    ) -> None:
+        """Guards against requests with an unknown outcome at shutdown.
 
-        Its next request would meet a closed connection, and the caller
-        could not tell whether it ran.
+        A client keeps its connection to an entry that is leaving. Its next
+        request would be sent on a connection that is being closed.
         """
-        head, _ = await self.read()
+        head, _ = await self.read_response()
         self.assertNotIn('Connection: close', head)
         self.listener.send_away()
-        self.ask()
-        head, size = await self.read()
-        self.assertEqual(size, SIZE)
+        self.send_request()
+        head, size = await self.read_response()
+        self.assertEqual(size, BODY_BYTES)
         self.assertIn('Connection: close', head)
         async with asyncio.timeout(LIMIT_S):
             self.assertEqual(await self.reader.read(), b'')
@@ -91,13 +95,12 @@
 
 
 class ClosedListenerTest(unittest.IsolatedAsyncioTestCase):
-    async def test_its_address_is_known_after_it_was_closed(self):
-        """An entry drains and a caller's kept connection is still open.
+    async def test_url_is_available_after_the_close(self):
+        """Guards against an internal error instead of a "not run" problem.
 
-        His late request is answered with "not run" and the other entries;
-        to leave itself out of these, the entry asks for its own address.
-        With its sockets closed that failed, and he got an error that tells
-        nothing in place of the promise.
+        A draining entry gets a request on an open connection and responds
+        with "not run" and the other entries. It excludes its own address
+        from these, and reading it failed after the sockets were closed.
         """
         listener = servers.Listener('127.0.0.1:0', None)
         listener.start(web.Application([]))
--- a/tests/adapters/test_servers_tls.py
+++ b/tests/adapters/test_servers_tls.py
@@ -1,4 +1,4 @@
-"""Listeners with TLS, and the tool that talks to them."""
+"""Tests of listeners with TLS and of the command-line tool as a client."""
 
 from __future__ import annotations
 
@@ -49,8 +49,8 @@
         self.addAsyncCleanup(listener.stop)
         return listener.read_url()
 
-    async def _ask(self, url: str, *options: str) -> tuple[int, str, str]:
-        """Run the tool beside the loop that the listener runs on."""
+    async def _run_tool(self, url: str, *options: str) -> tuple[int, str, str]:
+        """Run the tool in a thread while the loop serves the listener."""
         out, err = io.StringIO(), io.StringIO()
         token = self.made.folder / 'token'
         token.write_text('secret')
@@ -62,31 +62,31 @@
         )
         return code, out.getvalue(), err.getvalue()
 
-    async def test_the_tool_is_answered_over_https(self) -> None:
+    async def test_tool_connects_over_https(self) -> None:
         made = self.made
-        own = ('--client-certificate', made.client.certificate)
-        own += ('--client-key', made.client.key)
-        for asks, options in ((False, ()), (True, own)):
-            with self.subTest(asks_for_client=asks):
-                url = await self._start(made.build_tls(asks))
+        client_options = ('--client-certificate', made.client.certificate)
+        client_options += ('--client-key', made.client.key)
+        for requires_client, options in ((False, ()), (True, client_options)):
+            with self.subTest(requires_client_certificate=requires_client):
+                url = await self._start(made.build_tls(requires_client))
                 self.assertTrue(url.startswith('https://127.0.0.1:'))
-                code, out, err = await self._ask(
+                code, out, err = await self._run_tool(
                     url, '--ca-file', made.authority.certificate, *options
                 )
                 self.assertEqual((0, ''), (code, err))
                 self.assertIn('Version 7', out)
                 self.assertEqual(['/v1/configuration'], self.seen)
 
-    async def test_who_cannot_be_trusted_is_refused(self) -> None:
-        """Somebody reaches the port without what TLS asks for.
+    async def test_untrusted_client_is_rejected(self) -> None:
+        """Guards against requests without valid TLS credentials.
 
-        The handler must never see the request, and who asked by mistake
-        must read which option is missing.
+        The handler must not receive the request, and the error must name the
+        missing option.
         """
         made = self.made
         trusted = ('--ca-file', made.authority.certificate)
-        foreign = ('--client-certificate', made.stranger.certificate)
-        foreign += ('--client-key', made.stranger.key)
+        foreign = ('--client-certificate', made.foreign.certificate)
+        foreign += ('--client-key', made.foreign.key)
         cases: dict[str, tuple[bool, str, tuple[str, ...], str]] = {
             'plain HTTP': (False, 'http', (), 'Write https://'),
             'unknown authority': (False, 'https', (), '--ca-file'),
@@ -104,44 +104,51 @@
                 '--client-certificate',
             ),
         }
-        for name, (asks, scheme, options, told) in cases.items():
+        for name, (
+            requires_client,
+            scheme,
+            options,
+            expected,
+        ) in cases.items():
             with self.subTest(name):
-                url = await self._start(made.build_tls(asks))
+                url = await self._start(made.build_tls(requires_client))
                 _, _, address = url.partition('://')
-                code, out, err = await self._ask(
+                code, out, err = await self._run_tool(
                     f'{scheme}://{address}', *options
                 )
                 self.assertEqual((4, '', []), (code, out, self.seen))
-                self.assertIn(told, err)
+                self.assertIn(expected, err)
 
-    async def test_files_of_the_tool_that_cannot_be_read(self) -> None:
-        code, _, err = await self._ask('https://127.0.0.1:1', '--ca-file', 'x')
+    async def test_unreadable_file_of_the_tool_is_named(self) -> None:
+        code, _, err = await self._run_tool(
+            'https://127.0.0.1:1', '--ca-file', 'x'
+        )
         self.assertEqual(2, code)
         self.assertIn('--ca-file', err)
 
 
-class BadFilesTest(_Case):
+class InvalidFilesTest(_Case):
     def _list_cases(self) -> dict[str, tuple[str, settings.Tls]]:
         made, folder = self.made, self.made.folder
-        good = made.build_tls(asks_for_client=True)
+        valid = made.build_tls(requires_client_certificate=True)
         no_pem = folder / 'notes.txt'
         no_pem.write_text('not a certificate')
         locked = certificates.make_pair(
             folder, 'locked', made.authority, 'password'
         )
-        nothing = str(folder / 'nothing.pem')
+        missing = str(folder / 'nothing.pem')
 
         def change(**members: str) -> settings.Tls:
-            return attrs.evolve(good, **members)
+            return attrs.evolve(valid, **members)
 
         return {
-            'no certificate': ('certificate', change(certificate=nothing)),
+            'no certificate': ('certificate', change(certificate=missing)),
             'no PEM': ('certificate', change(certificate=str(no_pem))),
             'key as certificate': (
                 'certificate',
                 change(certificate=made.server.key),
             ),
-            'no key': ('key', change(key=nothing)),
+            'no key': ('key', change(key=missing)),
             'key no PEM': ('key', change(key=str(no_pem))),
             'key of another': ('key', change(key=made.client.key)),
             'key with password': (
@@ -150,7 +157,7 @@
             ),
             'no authority': (
                 'client_authority',
-                change(client_authority=nothing),
+                change(client_authority=missing),
             ),
             'authority no PEM': (
                 'client_authority',
@@ -158,10 +165,11 @@
             ),
         }
 
-    def test_the_member_with_the_bad_file_is_named(self) -> None:
-        """A file is missing, damaged, or of another certificate.
+    def test_error_names_the_member_of_an_invalid_file(self) -> None:
+        """Guards against errors that do not name the settings member.
 
-        OpenSSL only says "PEM lib"; the operator needs the member.
+        A file is missing, damaged or belongs to another certificate. OpenSSL
+        only reports "PEM lib".
         """
         for name, (member, tls) in self._list_cases().items():
             with self.subTest(name):
@@ -171,8 +179,11 @@
                     f'"operators.tls.{member}"', str(caught.exception)
                 )
 
-    async def test_an_address_that_is_taken_is_named(self) -> None:
-        """The entry before has not ended yet, or another program listens."""
+    async def test_error_names_the_member_of_a_used_address(self) -> None:
+        """Guards against an error that does not name the settings member.
+
+        A previous entry still runs, or another program uses the address.
+        """
         first = servers.Listener('127.0.0.1:0', None)
         first.start(web.Application([]))
         self.addAsyncCleanup(first.stop)
@@ -180,8 +191,11 @@
         with self.assertRaisesRegex(servers.ListenError, 'callers.listen'):
             servers.Listener(address, None)
 
-    def test_the_daemon_ends_and_names_the_member(self) -> None:
-        """A certificate was renewed and the key was left as it was."""
+    def test_daemon_exits_and_names_the_member(self) -> None:
+        """Guards against a daemon with a key of another certificate.
+
+        The certificate was renewed, but not its key.
+        """
         made = self.made
         operators: dict[str, typing.Any] = builders.build_settings()[
             'operators'
@@ -195,5 +209,5 @@
                 scope.start_entry('perth-1', operators=operators)
             self.assertIn('"operators.tls.key"', str(caught.exception))
             operators['tls']['key'] = made.server.key
-            good = scope.start_entry('perth-1', operators=operators)
-            self.assertTrue(good.ready['operators'].startswith('https://'))
+            entry = scope.start_entry('perth-1', operators=operators)
+            self.assertTrue(entry.ready['operators'].startswith('https://'))
--- a/tests/adapters/test_transfers.py
+++ b/tests/adapters/test_transfers.py
@@ -11,11 +11,11 @@
 HEAD = b'HTTP/1.1 200 OK\r\nX-A: b\r\nTransfer-Encoding: chunked\r\n\r\n'
 
 
-class _Peer:
-    """A server that does with each connection what the test says."""
+class _Server:
+    """A server that runs a callback of the test for each request."""
 
-    def __init__(self, act):
-        self._act = act
+    def __init__(self, respond):
+        self._respond = respond
         self.requests = []
         self.closed = 0
 
@@ -34,19 +34,19 @@
                     if line.lower().startswith(b'content-length:'):
                         length = int(line.split(b':')[1])
                 body = await reader.readexactly(length)
-                await self._act(len(self.requests), writer, body)
+                await self._respond(len(self.requests), writer, body)
         except (asyncio.IncompleteReadError, ConnectionError):
             self.closed += 1
         except asyncio.CancelledError:
-            # The test is over; the loop would print a traceback for each.
+            # The test has ended; the loop would print a traceback for each.
             pass
         finally:
             writer.close()
 
 
 class TransferTest(unittest.IsolatedAsyncioTestCase):
-    async def start(self, act):
-        self.peer = _Peer(act)
+    async def start(self, respond):
+        self.peer = _Server(respond)
         await self.peer.start()
         self.session = transfers.Session()
         self.addAsyncCleanup(self.stop)
@@ -55,69 +55,73 @@
         self.session.close()
         self.peer.server.close()
 
-    async def test_bodies_of_any_bytes_pass(self):
-        """A card photo holds zero bytes; its request was never sent."""
+    async def test_body_may_contain_any_bytes(self):
+        """Guards against requests with zero bytes that are never sent."""
         body = bytes(range(256)) * 40
 
-        async def act(_number, writer, received):
+        async def respond(_number, writer, received):
             writer.write(
                 b'HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n'
                 % len(received)
                 + received
             )
 
-        await self.start(act)
-        answer = await self.session.fetch(
+        await self.start(respond)
+        response = await self.session.fetch(
             transfers.Request(self.peer.url, 'POST', body=body)
         )
-        self.assertEqual(body, answer.body)
+        self.assertEqual(body, response.body)
 
-    async def test_a_large_answer_on_a_slow_link_is_not_lost(self):
-        """A host that fell behind reads a large configuration.
+    async def test_large_response_on_a_slow_link_does_not_time_out(self):
+        """Guards against a host that never gets a current configuration.
 
-        On a link of 10 Mbit/s it takes longer than any answer may that is
-        silent; given up each time, the host served dropped routes for as
-        long as it ran.
+        A host with an outdated copy reads a large configuration over a link
+        of 10 Mbit/s, which takes longer than the timeout of a stalled
+        response. With a timeout each time, the host kept serving removed
+        routes.
         """
 
-        async def act(_number, writer, _body):
+        async def respond(_number, writer, _body):
             writer.write(HEAD)
             for _ in range(8):
                 writer.write(b'1\r\nx\r\n')
                 await asyncio.sleep(0.1)
             writer.write(b'0\r\n\r\n')
 
-        await self.start(act)
+        await self.start(respond)
         request = transfers.Request(self.peer.url, total_ms=300, pause_ms=300)
-        answer = await self.session.fetch(request)
-        self.assertEqual(b'x' * 8, answer.body)
+        response = await self.session.fetch(request)
+        self.assertEqual(b'x' * 8, response.body)
 
-    async def test_an_answer_that_pauses_is_given_up(self):
-        """A connection goes silent before its answer or in the middle."""
+    async def test_stalled_response_times_out(self):
+        """Guards against requests that wait forever on a stalled connection.
+
+        The connection stalls before or during the response.
+        """
         for started in (False, True):
             with self.subTest(started=started):
 
-                async def act(_number, writer, _body, started=started):
+                async def respond(_number, writer, _body, started=started):
                     if started:
                         writer.write(HEAD + b'1\r\nx\r\n')
                     await asyncio.sleep(2.0)
 
-                await self.start(act)
+                await self.start(respond)
                 request = transfers.Request(
                     self.peer.url, total_ms=200, pause_ms=200
                 )
-                began = asyncio.get_running_loop().time()
+                started_at = asyncio.get_running_loop().time()
                 with self.assertRaises(exceptions.AnswerLost):
                     await self.session.fetch(request)
-                took = asyncio.get_running_loop().time() - began
-                self.assertLess(took, 1.0)
+                duration = asyncio.get_running_loop().time() - started_at
+                self.assertLess(duration, 1.0)
                 await self.stop()
 
-    async def test_the_head_comes_before_a_body_that_came_with_it(self):
-        async def act(_number, writer, _body):
+    async def test_headers_are_delivered_before_the_body(self):
+        async def respond(_number, writer, _body):
             writer.write(HEAD + b'2\r\nab\r\n0\r\n\r\n')
 
-        await self.start(act)
+        await self.start(respond)
         seen = []
         done = asyncio.Event()
         self.session.start(
@@ -131,82 +135,84 @@
             [(200, ('X-A', 'b')), b'ab', transfers.Ending.WHOLE], seen
         )
 
-    async def test_a_request_is_not_sent_twice_when_its_answer_is_lost(self):
-        """A server runs a booking and its connection breaks.
+    async def test_request_is_not_resent_if_its_response_is_lost(self):
+        """Guards against a booking that is executed twice.
 
-        libcurl sends a request of a kept connection again by itself.
+        The server executes the request and the connection breaks. libcurl
+        resends requests on reused connections.
         """
 
-        async def act(number, writer, _body):
+        async def respond(number, writer, _body):
             if number == 1:
                 writer.write(b'HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n')
             else:
                 writer.transport.abort()
 
-        await self.start(act)
+        await self.start(respond)
         request = transfers.Request(self.peer.url, 'POST', body=b'x')
         await self.session.fetch(request)
         with self.assertRaises(exceptions.AnswerLost):
             await self.session.fetch(request)
         self.assertEqual(2, len(self.peer.requests))
 
-    async def test_a_cut_answer_is_not_whole(self):
-        async def act(_number, writer, _body):
+    async def test_truncated_response_is_an_error(self):
+        async def respond(_number, writer, _body):
             writer.write(HEAD + b'5\r\nab')
             await writer.drain()
             writer.close()
 
-        await self.start(act)
+        await self.start(respond)
         with self.assertRaises(exceptions.AnswerLost):
             await self.session.fetch(transfers.Request(self.peer.url))
 
-    async def test_a_closed_port_was_not_reached(self):
-        async def act(_number, writer, _body):
+    async def test_closed_port_raises_not_sent(self):
+        async def respond(_number, writer, _body):
             writer.close()
 
-        await self.start(act)
+        await self.start(respond)
         self.peer.server.close()
         await self.peer.server.wait_closed()
         with self.assertRaises(exceptions.NotSent):
             await self.session.fetch(transfers.Request(self.peer.url))
 
-    async def test_bytes_that_are_no_answer_are_no_answer(self):
-        async def act(_number, writer, _body):
+    async def test_malformed_response_is_an_error(self):
+        async def respond(_number, writer, _body):
             writer.write(b'garbage\r\n\r\n')
             writer.close()
 
-        await self.start(act)
+        await self.start(respond)
         with self.assertRaises(exceptions.AnswerLost):
             await self.session.fetch(transfers.Request(self.peer.url))
 
-    async def test_cancelling_closes_the_connection(self):
-        """A caller leaves while his draft is written.
+    async def test_cancellation_closes_the_connection(self):
+        """Guards against an engine that computes without a reader.
 
-        The engine works on for him until its connection closes.
+        A caller disconnects during a response. The engine continues until
+        its connection is closed.
         """
 
-        async def act(_number, writer, _body):
+        async def respond(_number, writer, _body):
             writer.write(HEAD + b'2\r\nab\r\n')
 
-        await self.start(act)
-        begun = asyncio.Event()
+        await self.start(respond)
+        body_started = asyncio.Event()
         transfer = self.session.start(
             transfers.Request(self.peer.url),
             lambda status, headers: None,
-            lambda chunk: begun.set(),
+            lambda chunk: body_started.set(),
             lambda ending: self.fail('ended'),
         )
-        await asyncio.wait_for(begun.wait(), 5)
+        await asyncio.wait_for(body_started.wait(), 5)
         transfer.cancel()
         async with asyncio.timeout(2):
             while not self.peer.closed:
                 await asyncio.sleep(0.01)
 
-    async def test_a_request_that_can_not_be_sent_ends(self):
-        async def act(_number, writer, _body):
+    async def test_request_that_cannot_be_sent_fails(self):
+        async def respond(_number, writer, _body):
             writer.close()
 
-        await self.start(act)
+        await self.start(respond)
         with self.assertRaises(exceptions.NotSent):
             await self.session.fetch(
                 transfers.Request(self.peer.url, headers=(('X', 'a\0b'),))
