--- a/src/thornspool/adapters/peers/__init__.py
+++ b/src/thornspool/adapters/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between entries over pynng and TCP."""
+"""Messaging between entries over pynng and TCP."""
--- a/src/thornspool/adapters/peers/exceptions.py
+++ b/src/thornspool/adapters/peers/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of messages between entries, before the layer above turns them."""
+"""Errors of peer messaging; the node converts them for the application."""
 
 from __future__ import annotations
 
@@ -6,41 +6,41 @@
 
 
 class PeersError(exceptions.ThornspoolError):
-    """Base of the errors of this package."""
+    """Base class for errors of this package."""
 
 
 class MalformedFrame(PeersError):
-    """Bytes that are no frame, or a body that does not fit its type."""
+    """Invalid bytes of a frame, or a body that does not match its type."""
 
 
 class UnknownVersion(PeersError):
-    """A frame of a format that this release does not read.
+    """A frame in a format version that this release does not support.
 
     Parameters
     ----------
     version : int
-        Its version.
+        Format version of the frame.
     """
 
     def __init__(self, version: int) -> None:
         super().__init__(
-            f'A frame has version {version}, which this release cannot read.',
-            'Roll out a release that reads it before one that sends it.',
+            f'Frame version {version} is not supported by this release.',
+            'Deploy a release that reads it before one that sends it.',
         )
         self.version = version
 
 
 class UnknownKind(PeersError):
-    """A message of a type that nobody registered in this process."""
+    """A message whose type is not registered in this process."""
 
 
 class KindConflict(PeersError):
-    """Two types would share one kind name."""
+    """Two message types have the same kind name."""
 
 
 class MessageTooLarge(PeersError):
-    """A message over the size that peers accept."""
+    """A message that exceeds the maximum size of the peers."""
 
 
 class SendBufferFull(PeersError):
-    """The messages waiting for one peer have reached their bound."""
+    """The send buffer of a peer is full."""
--- a/src/thornspool/adapters/peers/frames.py
+++ b/src/thornspool/adapters/peers/frames.py
@@ -1,10 +1,10 @@
-"""What one message on a socket between two entries carries.
+"""Wire format of messages between entries.
 
-A byte with the version of the format comes first, then a MessagePack array.
-New releases roll out entry by entry, so a format is changed in two releases:
-the first one reads the next version, the second one sends it. An entry drops
-a frame of a version that it does not know, counts it and logs the version
-once; nobody is told, since who sent it can't be read.
+A frame is a byte with the format version, followed by a MessagePack array.
+New releases are deployed one entry at a time, so a format change takes two
+releases: the first one reads the new version, the second one sends it. An
+entry drops and counts frames with an unknown version and logs each version
+once. It does not reply, because it cannot decode the sender.
 """
 
 from __future__ import annotations
@@ -23,30 +23,30 @@
 VERSION = 1
 
 _PREFIX = bytes([VERSION])
-_HIGHEST_VERSION = 15
-"""Text, TLS and MessagePack arrays begin with larger bytes, so that another
-program at the port is not taken for a newer release."""
+_MAX_VERSION = 15
+"""Text, TLS and MessagePack arrays start with larger bytes, so that data of
+another program is not mistaken for a frame of a newer release."""
 
 
 @attrs.frozen
 class Frame:
-    """A message with what is needed to answer it.
+    """A message with the fields that are needed to reply.
 
     Attributes
     ----------
     sender : str
         Incarnation of the sending process.
     address : str
-        ``tcp://ip:port`` at which the sender takes messages.
+        ``tcp://ip:port`` on which the sender receives messages.
     kind : str
         Registered name of the body's type.
     correlation : int
-        Number of the question, 0 for a message that wants no reply.
+        Number of the request; 0 for a message without a reply.
     recipient : bytes
-        For a reply, the digest of the incarnation that asked; empty
+        For a reply, the digest of the requesting incarnation; empty
         otherwise. A process that restarts at the same address numbers its
-        questions from one again, and without this field a late reply to its
-        predecessor would be taken for the answer to another question.
+        requests from one again. Without this field, a late reply to the
+        previous process would be matched to a different request.
     body : bytes
         The encoded message.
     """
@@ -71,7 +71,7 @@
     Raises
     ------
     MalformedFrame
-        The sender's address has no IP number.
+        If the address of the sender is not numeric.
     """
     return _PREFIX + _encoder.encode(
         (
@@ -91,20 +91,20 @@
     Raises
     ------
     UnknownVersion
-        A release that knows another format sent it.
+        If the format version is not supported.
     MalformedFrame
-        The bytes are no frame.
+        If the bytes are not a valid frame.
     """
     version = data[0] if data else 0
     if version != VERSION:
-        _refuse(version, len(data))
+        _raise_unreadable(version, len(data))
     try:
         host, identifier, address, kind, correlation, recipient, body = (
             _decoder.decode(data[1:])
         )
     except msgspec.MsgspecError as error:
         raise exceptions.MalformedFrame(
-            f'{len(data)} bytes are no frame: {error}.'
+            f'{len(data)} bytes are not a valid frame: {error}.'
         ) from error
     return Frame(
         packing.unpack_incarnation(host, identifier),
@@ -116,7 +116,7 @@
     )
 
 
-def _refuse(version: int, size: int) -> typing.NoReturn:
-    if 0 < version <= _HIGHEST_VERSION:
+def _raise_unreadable(version: int, size: int) -> typing.NoReturn:
+    if 0 < version <= _MAX_VERSION:
         raise exceptions.UnknownVersion(version)
-    raise exceptions.MalformedFrame(f'{size} bytes are no frame.')
+    raise exceptions.MalformedFrame(f'{size} bytes are not a valid frame.')
--- a/src/thornspool/adapters/peers/kinds.py
+++ b/src/thornspool/adapters/peers/kinds.py
@@ -1,9 +1,9 @@
-"""Numbers that stand for kinds of messages on the wire.
+"""Numbers that encode message kinds on the wire.
 
-A number is never given to another kind, also when its kind is no longer
-sent: entries of two releases run side by side for hours, and the older one
-would decode a body of the new kind as one of the old. A new kind takes the
-next free number; one that is gone moves its number to ``RETIRED``.
+A number is never reassigned, even if its kind is no longer sent: entries of
+two releases run at the same time for hours, and the older release would
+decode a body of the new kind as the old one. A new kind gets the next free
+number. The number of a removed kind moves to ``RETIRED``.
 """
 
 from __future__ import annotations
@@ -50,21 +50,22 @@
 }
 
 RETIRED: frozenset[int] = frozenset()
-"""Numbers of kinds that no release sends any more."""
+"""Numbers of removed kinds that no release sends."""
 
 _NAMES = {number: kind for kind, number in NUMBERS.items()}
 
 
 def pack_kind(kind: str) -> int | str:
-    """Return the number of a kind, or its name if it has none."""
+    """Return the number of a kind, or its name if it has no number."""
     return NUMBERS.get(kind, kind)
 
 
 def unpack_kind(packed: int | str) -> str:
-    """Return the kind that a number or a name stands for.
+    """Return the kind name for a number or a name.
 
-    A number of a newer release gives a name that nobody registers, so that
-    the message is refused like one of any unknown kind, and its asker told.
+    An unknown number of a newer release results in a name that is never
+    registered. The message is then rejected like any unknown kind, and the
+    sender of a request receives an error.
     """
     if isinstance(packed, str):
         return packed
--- a/src/thornspool/adapters/peers/messages.py
+++ b/src/thornspool/adapters/peers/messages.py
@@ -1,4 +1,4 @@
-"""Replies that the peer adapter itself sends."""
+"""Replies sent by the messaging layer itself."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 @attrs.frozen
 class HandlerFailed:
-    """The handler of a question raised, or there was none.
+    """The handler of a request failed or does not exist.
 
     Attributes
     ----------
     reason : str
-        What a log of the asker may say about it.
+        Description of the failure for the log of the requester.
     """
 
     reason: str
@@ -20,4 +20,4 @@
 
 @attrs.frozen
 class NoReply:
-    """The handler of a question returned None."""
+    """The handler of a request returned None."""
--- a/src/thornspool/adapters/peers/node.py
+++ b/src/thornspool/adapters/peers/node.py
@@ -1,4 +1,4 @@
-"""The port ``Peers`` carried out over pynng and TCP."""
+"""Implements the ``Peers`` port over pynng and TCP."""
 
 from __future__ import annotations
 
@@ -26,51 +26,52 @@
     from thornspool import clock
     from thornspool.application import ports
 
-MAX_HANDLING = 1024
+MAX_CONCURRENT_HANDLERS = 1024
 UNKNOWN_VERSION = 'unknown version'
-"""Reason under which frames of other releases are counted as dropped."""
+"""Drop reason for frames with an unsupported format version."""
 
-_RECEIVE_BUFFER = 256
-_BATCH = 64
+_RECEIVE_BUFFER_MESSAGES = 256
+_MAX_BATCH_MESSAGES = 64
 _STOP_TIMEOUT_S = 1.0
 
 logger = structlog.get_logger(__name__)
 
 
 @attrs.frozen
-class _Question:
-    """A question that waits for its reply."""
+class _PendingRequest:
+    """A request that waits for its reply."""
 
     address: str
     future: asyncio.Future[typing.Any]
 
 
 class PeerNode:
-    """Messages to and from the other entries.
+    """Sends messages to other entries and handles theirs.
 
     Parameters
     ----------
     clock : Clock
         Source of time.
     incarnation : str
-        Names this process to the others.
+        Identifies this process to its peers.
     listen_address : str
-        ``tcp://ip:port``; port 0 lets the system choose.
+        ``tcp://ip:port``; port 0 selects a free port.
     message_types : iterable of type, optional
-        Types that may arrive, replies among them.
+        Types of the messages that may arrive, including replies.
     registry : Registry, optional
-        Where types are registered; the process-wide one by default.
+        Registry of message types; the default registry if omitted.
     max_links : int, optional
-        Most sockets to peers kept open.
-    max_handling : int, optional
-        Most messages being handled at once; more are dropped.
+        Maximum number of open sockets to peers.
+    max_concurrent_handlers : int, optional
+        Maximum number of messages handled at once; others are dropped.
     advertised_address : str, optional
-        ``tcp://ip:port`` that peers are told; the bound one by default.
+        ``tcp://ip:port`` that is sent to peers; the bound address by
+        default.
 
     Attributes
     ----------
     traffic : Traffic
-        What was sent, received and dropped so far.
+        Counters of sent, received and dropped messages.
     """
 
     def __init__(
@@ -81,7 +82,7 @@
         message_types: Iterable[type] = (),
         registry: registries.Registry | None = None,
         max_links: int = links.MAX_LINKS,
-        max_handling: int = MAX_HANDLING,
+        max_concurrent_handlers: int = MAX_CONCURRENT_HANDLERS,
         advertised_address: str = '',
     ) -> None:
         self.traffic = traffic.Traffic()
@@ -91,26 +92,26 @@
         self._address = listen_address
         self._advertised_address = advertised_address
         self._registry = registry or registries.default
-        self._links = links.Links(clock, max_links, self._hear_loss)
-        self._max_handling = max_handling
+        self._links = links.Links(clock, max_links, self._on_connection_lost)
+        self._max_concurrent_handlers = max_concurrent_handlers
         self._handlers: dict[type, ports.Handler] = {}
-        self._questions: dict[int, _Question] = {}
-        self._numbers = itertools.count(1)
-        self._handling: set[asyncio.Task[None]] = set()
+        self._pending: dict[int, _PendingRequest] = {}
+        self._correlations = itertools.count(1)
+        self._handler_tasks: set[asyncio.Task[None]] = set()
         self._socket: pynng.Pull0 | None = None
         self._receiver: asyncio.Task[None] | None = None
         self._loop: asyncio.AbstractEventLoop | None = None
-        own_types = (messages.HandlerFailed, messages.NoReply)
-        for message_type in (*own_types, *message_types):
+        reply_types = (messages.HandlerFailed, messages.NoReply)
+        for message_type in (*reply_types, *message_types):
             self._registry.register(message_type)
 
     @property
     def address(self) -> str:
-        """``tcp://ip:port`` at which peers reach this node."""
+        """``tcp://ip:port`` on which peers reach this node."""
         return self._address
 
     async def start(self) -> str:
-        """Listen and start to receive.
+        """Listen and start receiving.
 
         Returns
         -------
@@ -120,10 +121,10 @@
         Raises
         ------
         PeersError
-            The address cannot be bound.
+            If the address cannot be bound.
         """
         socket = pynng.Pull0(
-            recv_buffer_size=_RECEIVE_BUFFER,
+            recv_buffer_size=_RECEIVE_BUFFER_MESSAGES,
             recv_max_size=links.MAX_MESSAGE_BYTES,
         )
         try:
@@ -142,27 +143,27 @@
         return bound
 
     async def stop(self) -> None:
-        """Stop receiving, fail open questions and close every socket."""
+        """Stop receiving, fail pending requests and close every socket."""
         receiver, self._receiver = self._receiver, None
-        tasks = [*self._handling, *([receiver] if receiver else [])]
+        tasks = [*self._handler_tasks, *([receiver] if receiver else [])]
         for task in tasks:
             task.cancel()
         if tasks:
             await asyncio.wait(tasks, timeout=_STOP_TIMEOUT_S)
-        for question in list(self._questions.values()):
-            _fail(question.future, f'{self._address} stopped.')
+        for request in list(self._pending.values()):
+            _fail(request.future, f'{self._address} stopped.')
         if self._socket is not None:
             self._socket.close()
             self._socket = None
         self._links.close()
 
     def handle(self, message_type: type, handler: ports.Handler) -> None:
-        """Have a coroutine answer every message of one type."""
+        """Register the handler coroutine of a message type."""
         self._registry.register(message_type)
         self._handlers[message_type] = handler
 
     def tell(self, peer_address: str, message: typing.Any) -> None:
-        """Send a message without waiting; it may be lost."""
+        """Send a message without waiting; delivery is not guaranteed."""
         try:
             self._send(peer_address, message)
         except exceptions.PeersError as error:
@@ -171,25 +172,25 @@
     async def ask(
         self, peer_address: str, message: typing.Any, timeout_ms: int
     ) -> typing.Any:
-        """Send a message and wait for its reply.
+        """Send a request and wait for its reply.
 
         Returns
         -------
         object
-            The reply; None when the handler returned None.
+            The reply; None if the handler returned None.
 
         Raises
         ------
         PeerUnreachable
-            No reply in time, or the peer failed to handle the message, or
-            nothing could be sent, or its connection closed.
+            If there is no reply within the timeout, the handler failed, the
+            request could not be sent, or the connection closed.
         """
-        await self._renew(peer_address, timeout_ms)
-        number = next(self._numbers)
+        await self._reconnect(peer_address, timeout_ms)
+        correlation = next(self._correlations)
         future = asyncio.get_running_loop().create_future()
-        self._questions[number] = _Question(peer_address, future)
+        self._pending[correlation] = _PendingRequest(peer_address, future)
         try:
-            self._send(peer_address, message, number)
+            self._send(peer_address, message, correlation)
             async with asyncio.timeout(timeout_ms / 1000):
                 return await future
         except exceptions.PeersError as error:
@@ -197,43 +198,43 @@
                 str(error), 'Try another entry.'
             ) from error
         except TimeoutError as error:
-            self._note_timeout(peer_address)
+            self._handle_timeout(peer_address)
             raise application_exceptions.PeerUnreachable(
-                f'{peer_address} gave no reply in {timeout_ms} ms.',
-                'It may still handle the message.',
+                f'{peer_address} did not reply within {timeout_ms} ms.',
+                'The message may still be handled.',
             ) from error
         finally:
-            del self._questions[number]
+            del self._pending[correlation]
 
-    async def _renew(self, address: str, timeout_ms: int) -> None:
-        """Dial a peer whose connection closed anew, if it listens."""
+    async def _reconnect(self, address: str, timeout_ms: int) -> None:
+        """Redial a peer whose connection closed, if it listens."""
         if not self._links.is_lost(address):
             return
         if not await links.is_listening(address, timeout_ms):
-            raise _build_lost(address)
+            raise _build_connection_lost(address)
         if self._links.is_lost(address):
             self._links.drop(address)
 
-    def _hear_loss(self, address: str) -> None:
-        """Have the loop take in a loss; runs on a thread of nng's."""
+    def _on_connection_lost(self, address: str) -> None:
+        """Forward a lost connection to the loop; runs on a thread of nng."""
         if self._loop is None:
             return
-        # A connection may close after the loop did, when the process ends.
+        # A connection may close after the loop when the process exits.
         with contextlib.suppress(RuntimeError):
-            self._loop.call_soon_threadsafe(self._fail_questions, address)
-
-    def _fail_questions(self, address: str) -> None:
-        # A process that dies answers nothing, and who asked it would wait
-        # for the whole timeout, for instance an action for its grant.
-        # When only the connection broke, the reply comes late and is
-        # dropped: whoever asks must bear that with a timeout as well.
-        for question in self._questions.values():
-            if question.address == address and not question.future.done():
-                question.future.set_exception(_build_lost(address))
-
-    def _note_timeout(self, peer_address: str) -> None:
-        # Messages queued for a peer that is down would be delivered when
-        # something listens there again, long after their senders gave up.
+            self._loop.call_soon_threadsafe(self._fail_pending, address)
+
+    def _fail_pending(self, address: str) -> None:
+        # A process that has ended does not reply, and its requesters would
+        # wait for the whole timeout, for example an action for its grant.
+        # If only the connection broke, the reply is dropped as late; the
+        # requester has to handle this like a timeout.
+        for request in self._pending.values():
+            if request.address == address and not request.future.done():
+                request.future.set_exception(_build_connection_lost(address))
+
+    def _handle_timeout(self, peer_address: str) -> None:
+        # Messages queued for a peer that is down would be delivered to the
+        # next listener at its address, long after their timeout.
         if not self._links.is_connected(peer_address):
             self._links.drop(peer_address)
 
@@ -260,26 +261,26 @@
     async def _receive(self, socket: pynng.Pull0) -> None:
         while True:
             try:
-                self._take(await socket.arecv())
-                self._take_waiting(socket)
+                self._process(await socket.arecv())
+                self._process_buffered(socket)
             except pynng.Closed:
                 return
             except pynng.NNGException as error:
                 self._drop('not received', reason=str(error))
                 await asyncio.sleep(0)
 
-    def _take_waiting(self, socket: pynng.Pull0) -> None:
-        # Waking up costs more than receiving, so what has arrived
-        # meanwhile is taken at once, up to a bound that keeps the loop
-        # free for others.
-        for _ in range(_BATCH):
+    def _process_buffered(self, socket: pynng.Pull0) -> None:
+        # A wake-up of the loop costs more than a receive, so buffered
+        # messages are processed together, up to a limit that keeps the
+        # loop responsive.
+        for _ in range(_MAX_BATCH_MESSAGES):
             try:
                 data = socket.recv(block=False)
             except pynng.TryAgain:
                 return
-            self._take(data)
+            self._process(data)
 
-    def _take(self, data: bytes) -> None:
+    def _process(self, data: bytes) -> None:
         try:
             frame = frames.decode(data)
         except exceptions.UnknownVersion as error:
@@ -288,41 +289,43 @@
         except exceptions.MalformedFrame as error:
             self._drop('not understood', reason=str(error))
             return
-        self._links.note_heard(frame.address)
+        self._links.record_received(frame.address)
         try:
             message = self._registry.decode(frame.kind, frame.body)
         except exceptions.PeersError as error:
-            self._refuse(frame, error)
+            self._reject(frame, error)
             return
         self.traffic.received[frame.kind].add(len(data))
         if frame.recipient:
-            self._settle(frame, message)
+            self._complete_request(frame, message)
             return
         self._start_handling(frame, message)
 
-    def _refuse(
+    def _reject(
         self, frame: frames.Frame, error: exceptions.PeersError
     ) -> None:
         self._drop('not understood', peer=frame.address, reason=str(error))
         failure = messages.HandlerFailed(str(error))
         if frame.recipient:
-            self._settle(frame, failure)
+            self._complete_request(frame, failure)
             return
         self._reply(frame, failure)
 
-    def _settle(self, frame: frames.Frame, message: typing.Any) -> None:
-        question = self._questions.get(frame.correlation)
-        if question is None or frame.recipient != self._digest:
+    def _complete_request(
+        self, frame: frames.Frame, message: typing.Any
+    ) -> None:
+        request = self._pending.get(frame.correlation)
+        if request is None or frame.recipient != self._digest:
             self._drop('late reply', peer=frame.address, kind=frame.kind)
             return
-        if question.future.done():
+        if request.future.done():
             return
         if isinstance(message, messages.HandlerFailed):
-            _fail(question.future, f'{frame.address}: {message.reason}')
+            _fail(request.future, f'{frame.address}: {message.reason}')
             return
         if isinstance(message, messages.NoReply):
             message = None
-        question.future.set_result(message)
+        request.future.set_result(message)
 
     def _start_handling(
         self, frame: frames.Frame, message: typing.Any
@@ -330,15 +333,22 @@
         handler = self._handlers.get(type(message))
         if handler is None:
             self._drop('no handler', peer=frame.address, kind=frame.kind)
-            self._reply(frame, messages.HandlerFailed('There is no handler.'))
+            self._reply(
+                frame,
+                messages.HandlerFailed(
+                    'There is no handler for this message.'
+                ),
+            )
             return
-        if len(self._handling) >= self._max_handling:
+        if len(self._handler_tasks) >= self._max_concurrent_handlers:
             self._drop('too many', peer=frame.address, kind=frame.kind)
-            self._reply(frame, messages.HandlerFailed('It is overloaded.'))
+            self._reply(
+                frame, messages.HandlerFailed('The entry is overloaded.')
+            )
             return
         task = asyncio.create_task(self._handle(frame, message, handler))
-        self._handling.add(task)
-        task.add_done_callback(self._handling.discard)
+        self._handler_tasks.add(task)
+        task.add_done_callback(self._handler_tasks.discard)
 
     async def _handle(
         self, frame: frames.Frame, message: typing.Any, handler: ports.Handler
@@ -366,9 +376,9 @@
             self._drop('not sent', peer=frame.address, reason=str(error))
 
     def _drop_version(self, error: exceptions.UnknownVersion) -> None:
-        # While releases run side by side each of hundreds of entries may
-        # send such frames several times a second; an operator has to see
-        # that, and a line for each would fill the log.
+        # During a rolling upgrade, each of hundreds of entries may send such
+        # frames several times a second. The operator needs one log line per
+        # version; a line per frame would fill the log.
         if error.version in self._unknown_versions:
             self.traffic.dropped[UNKNOWN_VERSION] += 1
             return
@@ -380,7 +390,9 @@
         logger.warning('peer_message_dropped', why=why, **fields)
 
 
-def _build_lost(address: str) -> application_exceptions.PeerUnreachable:
+def _build_connection_lost(
+    address: str,
+) -> application_exceptions.PeerUnreachable:
     return application_exceptions.PeerUnreachable(
         f'The connection to {address} closed.', 'Try another entry.'
     )
--- a/src/thornspool/adapters/peers/packing.py
+++ b/src/thornspool/adapters/peers/packing.py
@@ -1,4 +1,4 @@
-"""Short forms of incarnations and addresses for frames."""
+"""Compact encoding of incarnations and addresses in frames."""
 
 from __future__ import annotations
 
@@ -11,93 +11,93 @@
 from thornspool.adapters.peers import exceptions
 
 PackedIncarnation = tuple[str, bytes]
-"""Name of the host and the bytes of the identifier; these may be empty."""
+"""Host name and bytes of the identifier; the bytes may be empty."""
 
 _SCHEME = 'tcp://'
 _PORT_BYTES = 2
 _UUID_BYTES = 16
-_UUID_LETTERS = 36
-_REMEMBERED = 1024
+_UUID_TEXT_LENGTH = 36
+_CACHE_SIZE = 1024
 
 
-@functools.lru_cache(_REMEMBERED)
+@functools.lru_cache(_CACHE_SIZE)
 def pack_incarnation(incarnation: str) -> PackedIncarnation:
     """Split an incarnation into its host and the bytes of its identifier.
 
-    One that does not end in a UUID stays whole.
+    An incarnation that does not end in a UUID is not split.
     """
-    host, dash = incarnation[:-_UUID_LETTERS], '-'
-    if not host.endswith(dash):
+    host, separator = incarnation[:-_UUID_TEXT_LENGTH], '-'
+    if not host.endswith(separator):
         return incarnation, b''
-    text = incarnation[-_UUID_LETTERS:]
+    text = incarnation[-_UUID_TEXT_LENGTH:]
     try:
         identifier = uuid.UUID(text)
     except ValueError:
         return incarnation, b''
-    # Other spellings of a UUID would come back as the usual one.
+    # Unpacking returns the canonical form, so other forms are not packed.
     if str(identifier) != text:
         return incarnation, b''
-    return host.removesuffix(dash), identifier.bytes
+    return host.removesuffix(separator), identifier.bytes
 
 
-@functools.lru_cache(_REMEMBERED)
+@functools.lru_cache(_CACHE_SIZE)
 def unpack_incarnation(host: str, identifier: bytes) -> str:
-    """Join what `pack_incarnation` split.
+    """Join the parts returned by `pack_incarnation`.
 
     Raises
     ------
     MalformedFrame
-        The identifier is no UUID.
+        If the identifier is not a UUID.
     """
     if not identifier:
         return host
     if len(identifier) != _UUID_BYTES:
         raise exceptions.MalformedFrame(
-            f'{len(identifier)} bytes are no identifier of an incarnation.'
+            f'{len(identifier)} bytes are not an identifier of an incarnation.'
         )
     return f'{host}-{uuid.UUID(bytes=identifier)}'
 
 
-@functools.lru_cache(_REMEMBERED)
+@functools.lru_cache(_CACHE_SIZE)
 def digest_incarnation(incarnation: str) -> bytes:
-    """Digest an incarnation to 8 bytes, for those who know their own."""
+    """Compute the 8-byte digest of an incarnation."""
     return xxhash.xxh3_64_digest(incarnation.encode())
 
 
-@functools.lru_cache(_REMEMBERED)
+@functools.lru_cache(_CACHE_SIZE)
 def pack_address(address: str) -> bytes:
-    """Pack ``tcp://ip:port`` into the bytes of both numbers.
+    """Pack ``tcp://ip:port`` into the bytes of the IP address and port.
 
     Raises
     ------
     MalformedFrame
-        It is not of that form.
+        If the address does not have this form.
     """
     host, _, port = address.removeprefix(_SCHEME).rpartition(':')
     try:
-        number = ipaddress.ip_address(host.strip('[]'))
-        return number.packed + int(port).to_bytes(_PORT_BYTES)
+        ip_address = ipaddress.ip_address(host.strip('[]'))
+        return ip_address.packed + int(port).to_bytes(_PORT_BYTES)
     except (ValueError, OverflowError) as error:
         raise exceptions.MalformedFrame(
             f'{address} cannot be packed: {error}.', 'Use tcp://ip:port.'
         ) from error
 
 
-@functools.lru_cache(_REMEMBERED)
+@functools.lru_cache(_CACHE_SIZE)
 def unpack_address(packed: bytes) -> str:
-    """Return the address that was packed.
+    """Unpack an address to ``tcp://ip:port``.
 
     Raises
     ------
     MalformedFrame
-        The bytes are no address.
+        If the bytes are not an address.
     """
     try:
-        number = ipaddress.ip_address(packed[:-_PORT_BYTES])
+        ip_address = ipaddress.ip_address(packed[:-_PORT_BYTES])
     except ValueError as error:
         raise exceptions.MalformedFrame(
-            f'{len(packed)} bytes are no address.'
+            f'{len(packed)} bytes are not an address.'
         ) from error
     port = int.from_bytes(packed[-_PORT_BYTES:])
-    host = str(number) if number.version == 4 else f'[{number}]'
+    host = str(ip_address) if ip_address.version == 4 else f'[{ip_address}]'
     return f'{_SCHEME}{host}:{port}'
--- a/src/thornspool/adapters/peers/registry.py
+++ b/src/thornspool/adapters/peers/registry.py
@@ -1,4 +1,4 @@
-"""Message types and the kind names that stand for them."""
+"""Registry of message types and their kind names."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
     Parameters
     ----------
     message_type : type
-        A class, usually of a ``messages`` module.
+        A class, usually from a ``messages`` module.
 
     Returns
     -------
     str
-        Its module without package, layer and ``messages``, and its name:
-        ``membership.Ping``.
+        The module without package, layer and ``messages``, followed by the
+        class name, for example ``membership.Ping``.
     """
     module = message_type.__module__
     for prefix in _PACKAGES:
@@ -37,7 +37,7 @@
 
 @attrs.frozen
 class Registration:
-    """A message type with its kind and the decoder of its bodies."""
+    """A message type with its kind name and decoder."""
 
     kind: str
     message_type: type
@@ -45,7 +45,7 @@
 
 
 class Registry:
-    """Message types that a process can send and understand."""
+    """Message types that a process can encode and decode."""
 
     def __init__(self) -> None:
         self._by_kind: dict[str, Registration] = {}
@@ -54,19 +54,19 @@
 
     @property
     def kinds(self) -> frozenset[str]:
-        """The kind names of the registered types."""
+        """Kind names of the registered types."""
         return frozenset(self._by_kind)
 
     def register(self, message_type: type) -> str:
-        """Add a message type; adding one again changes nothing.
+        """Register a message type; repeated registration has no effect.
 
         Parameters
         ----------
         message_type : type
             A frozen ``attrs`` class. Fields may be nested frozen ``attrs``
             classes, tuples, dicts, enums, strings, bytes and numbers, and
-            must be resolvable at run time. A union holds one ``attrs``
-            class at most, beside None.
+            must be resolvable at run time. A union may contain at most one
+            ``attrs`` class in addition to None.
 
         Returns
         -------
@@ -76,17 +76,18 @@
         Raises
         ------
         KindConflict
-            Another type has the same kind name.
+            If another type has the same kind name.
         TypeError
-            The type cannot be decoded.
+            If the type cannot be decoded.
         """
-        known = self._by_type.get(message_type)
-        if known is not None:
-            return known.kind
+        existing = self._by_type.get(message_type)
+        if existing is not None:
+            return existing.kind
         kind = name_kind(message_type)
         if kind in self._by_kind:
             raise exceptions.KindConflict(
-                f'Two message types are named {kind}.', 'Rename one of them.'
+                f'Two message types have the kind name {kind}.',
+                'Rename one of them.',
             )
         decoder: msgspec.msgpack.Decoder[typing.Any]
         decoder = msgspec.msgpack.Decoder(message_type)
@@ -96,7 +97,7 @@
         return kind
 
     def encode(self, message: object) -> tuple[str, bytes]:
-        """Encode a message and register its type if need be.
+        """Encode a message and register its type if necessary.
 
         Returns
         -------
@@ -106,20 +107,20 @@
         return self.register(type(message)), self._encoder.encode(message)
 
     def decode(self, kind: str, body: bytes) -> typing.Any:
-        """Decode a body.
+        """Decode the body of a message.
 
         Raises
         ------
         UnknownKind
-            No type is registered under the kind.
+            If no type is registered for the kind.
         MalformedFrame
-            The body does not fit the type.
+            If the body does not match the type.
         """
         registration = self._by_kind.get(kind)
         if registration is None:
             raise exceptions.UnknownKind(
-                f'No message type is registered as {kind!r}.',
-                'Register it when the entry starts.',
+                f'No message type is registered for kind {kind!r}.',
+                'Register the type when the entry starts.',
             )
         try:
             return registration.decoder.decode(body)
@@ -133,5 +134,5 @@
 
 
 def register(message_type: type) -> str:
-    """Add a message type to the registry that every node uses by default."""
+    """Register a message type in the default registry."""
     return default.register(message_type)
--- a/src/thornspool/adapters/peers/traffic.py
+++ b/src/thornspool/adapters/peers/traffic.py
@@ -1,4 +1,4 @@
-"""Counts of what an entry exchanges with others, by kind of message."""
+"""Traffic counters of the messages between entries, by kind."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @attrs.define
 class Count:
-    """Messages and their bytes, envelope included, without TCP and IP."""
+    """Number of messages and bytes, with framing but without TCP and IP."""
 
     messages: int = 0
     bytes: int = 0
@@ -26,14 +26,14 @@
 
 @attrs.define
 class Traffic:
-    """What was sent, received and dropped.
+    """Counters of sent, received and dropped messages.
 
     Attributes
     ----------
     sent, received : dict of str to Count
-        By kind.
+        Counts by message kind.
     dropped : dict of str to int
-        By reason.
+        Number of dropped messages by reason.
     """
 
     sent: collections.defaultdict[str, Count] = attrs.field(
--- a/tests/adapters/peers/builders.py
+++ b/tests/adapters/peers/builders.py
@@ -1,4 +1,4 @@
-"""Builders of messages and nodes for the tests of this package."""
+"""Builders of messages and nodes for tests of peer messaging."""
 
 from __future__ import annotations
 
@@ -18,31 +18,31 @@
 
 
 @attrs.frozen
-class Question:
+class Request:
     number: int
     parts: tuple[Part, ...] = ()
 
 
 @attrs.frozen
-class Answer:
+class Reply:
     number: int
     part: Part | None = None
 
 
 @attrs.frozen
-class Unheard:
+class Unregistered:
     number: int
 
 
 def build_node(
     name: str, listen_address: str = LOOPBACK, **changes: int
 ) -> node.PeerNode:
-    """Build a node with a registry of its own, as another process has."""
+    """Build a node with a separate registry, as in a separate process."""
     return node.PeerNode(
         clock.Clock(),
         name,
         listen_address,
-        message_types=(Question, Answer),
+        message_types=(Request, Reply),
         registry=registry.Registry(),
         **changes,
     )
--- a/tests/adapters/peers/test_kinds.py
+++ b/tests/adapters/peers/test_kinds.py
@@ -1,4 +1,4 @@
-"""Tests of the numbers of kinds."""
+"""Tests of the numbers of message kinds."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def list_classes() -> set[str]:
-    """List all classes of the program by the kind they would have."""
+    """List the kind names of all classes of the package."""
     modules = pkgutil.walk_packages(thornspool.__path__, 'thornspool.')
     return {
         registry.name_kind(found)
@@ -35,50 +35,51 @@
 
 
 class KindsTest(unittest.TestCase):
-    def test_no_number_stands_for_two_kinds(self) -> None:
-        """Somebody adds a kind with the number of another.
+    def test_numbers_are_unique(self) -> None:
+        """Guards against bodies that are decoded as another kind.
 
-        Bodies of one would be decoded as the other, at some entries.
+        A kind is added with the number of an existing one.
         """
         numbers = sorted(kinds.NUMBERS.values())
         self.assertEqual(sorted(set(numbers)), numbers)
         self.assertFalse(kinds.RETIRED & set(numbers))
 
-    def test_numbers_up_to_the_highest_are_in_use_or_retired(self) -> None:
-        """Somebody deletes a kind, and later its number is given anew.
+    def test_numbers_have_no_gaps(self) -> None:
+        """Guards against bodies that are decoded as a removed kind.
 
-        Entries of the release before would decode the new kind as the old.
+        A kind is removed and its number reassigned. Entries of the previous
+        release would decode the new kind as the old one.
         """
-        known = kinds.RETIRED | set(kinds.NUMBERS.values())
-        self.assertEqual(set(range(1, max(known) + 1)), known)
+        used = kinds.RETIRED | set(kinds.NUMBERS.values())
+        self.assertEqual(set(range(1, max(used) + 1)), used)
 
-    def test_each_number_stands_for_a_class(self) -> None:
-        """A message class is renamed and its number keeps the old name.
+    def test_each_number_has_a_class(self) -> None:
+        """Guards against a message that is sent by its name.
 
-        It would travel under its long name from then on.
+        A message class is renamed, but not the name in the list of numbers.
         """
         self.assertEqual(set(), set(kinds.NUMBERS) - list_classes())
 
 
 class KindsOfEntryTest(unittest.IsolatedAsyncioTestCase):
-    async def test_all_that_an_entry_registers_has_a_number(self) -> None:
-        registered = registry.Registry()
-        now = tests_builders.FakeClock()
+    async def test_all_registered_types_have_a_number(self) -> None:
+        types = registry.Registry()
+        clock = tests_builders.FakeClock()
         peers = node.PeerNode(
-            now, 'x', builders.LOOPBACK, entry.REPLY_TYPES, registered
+            clock, 'x', builders.LOOPBACK, entry.REPLY_TYPES, types
         )
-        # An entry listens for it only where its platform is another process.
-        registered.register(outages.PlatformBack)
-        made = parts.Parts(
+        # An entry registers it only if its platform is a separate process.
+        types.register(outages.PlatformBack)
+        entry_parts = parts.Parts(
             parts.Outside(
-                now,
+                clock,
                 random.Random(1),
-                memory.MemoryPlatform(now),
+                memory.MemoryPlatform(clock),
                 peers,
                 tests_builders.build_member(),
                 metrics.Metrics(),
             )
         )
-        await made.close()
-        self.assertIn('limits.DemandReport', registered.kinds)
-        self.assertEqual(set(), registered.kinds - set(kinds.NUMBERS))
+        await entry_parts.close()
+        self.assertIn('limits.DemandReport', types.kinds)
+        self.assertEqual(set(), types.kinds - set(kinds.NUMBERS))
--- a/tests/adapters/peers/test_links.py
+++ b/tests/adapters/peers/test_links.py
@@ -18,7 +18,7 @@
         self.clock = builders.FakeClock()
         self.lost = threading.Semaphore(0)
         self.links = links.Links(
-            self.clock, note_lost=lambda _: self.lost.release()
+            self.clock, on_lost=lambda _: self.lost.release()
         )
         self.addCleanup(self.links.close)
         self.socket = pynng.Pull0(recv_timeout=RECEIVE_TIMEOUT_MS)
@@ -27,45 +27,45 @@
         self.address = f'tcp://{listener.local_address}'
 
     def send(self) -> object:
-        """Send once and return the peer's side of the connection."""
+        """Send a message and return the connection at the peer."""
         self.links.send(self.address, b'x')
         return self.socket.recv_msg().pipe
 
-    def test_sockets_to_nobody_are_closed(self) -> None:
-        """Hosts are replaced by others at new addresses.
+    def test_sockets_without_a_listener_are_closed(self) -> None:
+        """Guards against sockets that redial forever.
 
-        Sockets to the old ones would go on dialling for ever.
+        Hosts are replaced by hosts with new addresses.
         """
         for port in (1, 2, 3):
             self.links.send(f'tcp://127.0.0.1:{port}', b'x')
-        self.clock.advance(links.SILENCE_MS + 1)
+        self.clock.advance(links.UNRESPONSIVE_MS + 1)
         self.send()
         self.assertEqual(1, len(self.links))
 
-    def test_connection_without_a_sign_of_the_peer_is_replaced(self) -> None:
-        """A link is cut for minutes and heals.
+    def test_connection_to_an_unresponsive_peer_is_replaced(self) -> None:
+        """Guards against a peer that stays unreachable after a partition.
 
-        TCP retries up to two minutes apart by then, so that the peer would
-        look dead for that long after it can be reached again.
+        After minutes without a network link, TCP retransmits at intervals of
+        up to two minutes.
         """
         table = (
-            ('at once', 0, False, True),
-            ('heard meanwhile', links.SILENCE_MS + 1, True, True),
-            ('silent', links.SILENCE_MS + 1, False, False),
+            ('immediately', 0, False, True),
+            ('received a message', links.UNRESPONSIVE_MS + 1, True, True),
+            ('unresponsive', links.UNRESPONSIVE_MS + 1, False, False),
         )
-        for name, wait, heard, kept in table:
+        for name, wait, received, kept in table:
             with self.subTest(name):
                 first = self.send()
-                if heard:
-                    self.links.note_heard(self.address)
+                if received:
+                    self.links.record_received(self.address)
                 self.clock.advance(wait)
                 self.assertEqual(kept, self.send() is first)
-                self.links.note_heard(self.address)
+                self.links.record_received(self.address)
 
-    def test_closed_connection_is_told_and_known(self) -> None:
-        """A host dies and its connections are closed by the system.
+    def test_closed_connection_is_reported(self) -> None:
+        """Guards against requests that wait for the whole timeout.
 
-        Whoever asked it something would wait for the whole timeout.
+        The process of a peer exits and the kernel closes its connections.
         """
         self.send()
         self.assertFalse(self.links.is_lost(self.address))
@@ -73,11 +73,10 @@
         self.assertTrue(self.lost.acquire(timeout=RECEIVE_TIMEOUT_MS / 1000))
         self.assertTrue(self.links.is_lost(self.address))
 
-    def test_connection_closed_from_here_is_not_lost(self) -> None:
-        """A socket is replaced though its peer lives.
+    def test_locally_closed_connection_is_not_lost(self) -> None:
+        """Guards against requests that fail although their replies arrive.
 
-        Questions that were sent by it would fail, though their replies
-        still come.
+        The socket to a running peer is replaced.
         """
         self.send()
         self.links.drop(self.address)
--- a/tests/adapters/peers/test_node.py
+++ b/tests/adapters/peers/test_node.py
@@ -1,4 +1,4 @@
-"""Contract of messages between entries, over real sockets."""
+"""Contract tests of messaging between entries over real sockets."""
 
 from __future__ import annotations
 
@@ -21,127 +21,136 @@
 from thornspool.adapters.peers import registry
 from thornspool.application import exceptions as application_exceptions
 
-PATIENCE_MS = 5000
-SHORT_MS = 150
-NEVER_MS = 600_000
+TEST_TIMEOUT_MS = 5000
+SHORT_TIMEOUT_MS = 150
+LONG_TIMEOUT_MS = 600_000
 
 
-async def answer(sender: str, question: builders.Question) -> builders.Answer:
-    part = question.parts[0] if question.parts else None
-    return builders.Answer(question.number, part)
+async def reply_to(sender: str, request: builders.Request) -> builders.Reply:
+    part = request.parts[0] if request.parts else None
+    return builders.Reply(request.number, part)
 
 
-async def fail(sender: str, question: builders.Question) -> None:
-    raise ValueError(question.number)
+async def fail(sender: str, request: builders.Request) -> None:
+    raise ValueError(request.number)
 
 
-async def freeze(sender: str, question: builders.Question) -> None:
+async def hang(sender: str, request: builders.Request) -> None:
     await asyncio.sleep(60)
 
 
 async def wait_until(condition: object) -> None:
-    async with asyncio.timeout(PATIENCE_MS / 1000):
+    async with asyncio.timeout(TEST_TIMEOUT_MS / 1000):
         while not condition():  # type: ignore[operator]
             await asyncio.sleep(0.005)
 
 
 class PeerNodeTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        self.asker = await self.start('asker')
-        self.replier = await self.start('replier')
-        self.replier.handle(builders.Question, answer)
+        self.requester = await self.start('requester')
+        self.responder = await self.start('responder')
+        self.responder.handle(builders.Request, reply_to)
 
     async def start(
         self, name: str, address: str = builders.LOOPBACK, **changes: int
     ) -> node.PeerNode:
-        made = builders.build_node(name, address, **changes)
-        await made.start()
-        self.addAsyncCleanup(made.stop)
-        return made
-
-    async def ask(self, number: int, timeout_ms: int = PATIENCE_MS) -> object:
-        return await self.asker.ask(
-            self.replier.address, builders.Question(number), timeout_ms
+        started = builders.build_node(name, address, **changes)
+        await started.start()
+        self.addAsyncCleanup(started.stop)
+        return started
+
+    async def send_request(
+        self, number: int, timeout_ms: int = TEST_TIMEOUT_MS
+    ) -> object:
+        return await self.requester.ask(
+            self.responder.address, builders.Request(number), timeout_ms
         )
 
-    async def test_question_fails_when_its_peer_dies(self) -> None:
-        """An entry dies while others wait for its answers.
+    async def test_request_fails_if_its_peer_exits(self) -> None:
+        """Guards against requests that wait for the whole timeout.
 
-        They would wait for the whole timeout, and their callers with them,
-        though the connection was closed at once.
+        An entry exits while others wait for its replies. Their callers would
+        wait as well, although the connection was closed immediately.
         """
-        self.replier.handle(builders.Question, freeze)
-        waiting = asyncio.create_task(self.ask(1, NEVER_MS))
-        await wait_until(lambda: self.replier.traffic.received)
-        await self.replier.stop()
-        async with asyncio.timeout(PATIENCE_MS / 1000):
+        self.responder.handle(builders.Request, hang)
+        waiting = asyncio.create_task(self.send_request(1, LONG_TIMEOUT_MS))
+        await wait_until(lambda: self.responder.traffic.received)
+        await self.responder.stop()
+        async with asyncio.timeout(TEST_TIMEOUT_MS / 1000):
             with self.assertRaises(application_exceptions.PeerUnreachable):
                 await waiting
             with self.assertRaises(application_exceptions.PeerUnreachable):
-                await self.ask(2, NEVER_MS)
+                await self.send_request(2, LONG_TIMEOUT_MS)
 
     async def send_raw(self, data: bytes) -> None:
         socket = pynng.Push0()
-        socket.dial(self.replier.address)
+        socket.dial(self.responder.address)
         await socket.asend(data)
         self.addCleanup(socket.close)
 
     async def test_reply_carries_nested_parts(self) -> None:
         part = builders.Part('weights', b'\x00\xff')
-        question = builders.Question(7, (part, builders.Part('more')))
-        reply = await self.asker.ask(
-            self.replier.address, question, PATIENCE_MS
+        request = builders.Request(7, (part, builders.Part('more')))
+        reply = await self.requester.ask(
+            self.responder.address, request, TEST_TIMEOUT_MS
         )
-        self.assertEqual(builders.Answer(7, part), reply)
-
-    async def test_questions_in_flight_get_their_own_replies(self) -> None:
-        async def answer_later(
-            sender: str, question: builders.Question
-        ) -> builders.Answer:
-            await asyncio.sleep((9 - question.number) / 1000)
-            return builders.Answer(question.number)
-
-        self.replier.handle(builders.Question, answer_later)
-        replies = await asyncio.gather(*(self.ask(i) for i in range(10)))
-        self.assertEqual([builders.Answer(i) for i in range(10)], replies)
+        self.assertEqual(builders.Reply(7, part), reply)
+
+    async def test_concurrent_requests_get_their_replies(self) -> None:
+        async def reply_later(
+            sender: str, request: builders.Request
+        ) -> builders.Reply:
+            await asyncio.sleep((9 - request.number) / 1000)
+            return builders.Reply(request.number)
+
+        self.responder.handle(builders.Request, reply_later)
+        replies = await asyncio.gather(
+            *(self.send_request(i) for i in range(10))
+        )
+        self.assertEqual([builders.Reply(i) for i in range(10)], replies)
 
-    async def test_told_messages_arrive_in_order(self) -> None:
-        heard: list[tuple[str, int]] = []
+    async def test_messages_arrive_in_order(self) -> None:
+        received: list[tuple[str, int]] = []
 
-        async def note(sender: str, question: builders.Question) -> None:
-            heard.append((sender, question.number))
+        async def record(sender: str, request: builders.Request) -> None:
+            received.append((sender, request.number))
 
-        self.replier.handle(builders.Question, note)
+        self.responder.handle(builders.Request, record)
         for number in range(200):
-            self.asker.tell(self.replier.address, builders.Question(number))
-        await wait_until(lambda: len(heard) == 200)
-        self.assertEqual([('asker', i) for i in range(200)], heard)
+            self.requester.tell(
+                self.responder.address, builders.Request(number)
+            )
+        await wait_until(lambda: len(received) == 200)
+        self.assertEqual([('requester', i) for i in range(200)], received)
 
-    async def test_large_message_arrives_whole(self) -> None:
+    async def test_large_message_arrives_complete(self) -> None:
         part = builders.Part('large', bytes(range(256)) * 16 * 1024)
-        reply = await self.asker.ask(
-            self.replier.address, builders.Question(1, (part,)), PATIENCE_MS
+        reply = await self.requester.ask(
+            self.responder.address,
+            builders.Request(1, (part,)),
+            TEST_TIMEOUT_MS,
         )
-        self.assertEqual(builders.Answer(1, part), reply)
+        self.assertEqual(builders.Reply(1, part), reply)
 
-    async def test_handler_without_reply_gives_none(self) -> None:
-        async def ignore(sender: str, question: builders.Question) -> None:
+    async def test_handler_without_reply_returns_none(self) -> None:
+        async def ignore(sender: str, request: builders.Request) -> None:
             return None
 
-        self.replier.handle(builders.Question, ignore)
-        self.assertIsNone(await self.ask(1))
+        self.responder.handle(builders.Request, ignore)
+        self.assertIsNone(await self.send_request(1))
 
     async def test_replies_go_to_the_advertised_address(self) -> None:
-        """A host behind address translation has an address of its own.
+        """Guards against replies to an unreachable address.
 
-        Replies sent to the one that it bound would reach nobody.
+        A host behind network address translation advertises an address that
+        differs from the bound one.
         """
         public = await self.start('public')
         hidden = node.PeerNode(
             clock.Clock(),
             'hidden',
             builders.LOOPBACK,
-            (builders.Answer,),
+            (builders.Reply,),
             registry.Registry(),
             advertised_address=public.address,
         )
@@ -151,75 +160,78 @@
         self.assertNotEqual(public.address, bound)
         with self.assertRaises(application_exceptions.PeerUnreachable):
             await hidden.ask(
-                self.replier.address, builders.Question(1), SHORT_MS
+                self.responder.address, builders.Request(1), SHORT_TIMEOUT_MS
             )
         self.assertEqual(1, public.traffic.dropped['late reply'])
 
-    async def test_failures_reach_the_asker_at_once(self) -> None:
-        """The peer cannot answer, and says so instead of staying silent.
+    async def test_failures_are_reported_immediately(self) -> None:
+        """Guards against requests that wait for a peer that cannot reply.
 
-        An entry that waited out its timeout instead would hold up the
-        request of a caller for nothing. The timeout here is longer than
-        the patience of the test.
+        The peer reports the failure instead of sending no reply, so that the
+        request of a caller is not delayed. The timeout of the request is
+        longer than that of the test.
         """
-        await self.replier.stop()
-        limited = await self.start('limited', max_handling=0)
-        limited.handle(builders.Question, answer)
+        await self.responder.stop()
+        limited = await self.start('limited', max_concurrent_handlers=0)
+        limited.handle(builders.Request, reply_to)
         failing = await self.start('failing')
-        failing.handle(builders.Question, fail)
-        silent = await self.start('silent')
-        too_large = builders.Part('x', bytes(links.MAX_MESSAGE_BYTES))
+        failing.handle(builders.Request, fail)
+        without_handler = await self.start('without-handler')
+        large_part = builders.Part('x', bytes(links.MAX_MESSAGE_BYTES))
         table = (
-            ('raises', failing, builders.Question(1), 'ValueError'),
-            ('no handler', silent, builders.Question(1), 'no handler'),
-            ('unknown kind', failing, builders.Unheard(1), 'registered'),
-            ('overloaded', limited, builders.Question(1), 'overloaded'),
+            ('raises', failing, builders.Request(1), 'ValueError'),
+            ('no handler', without_handler, builders.Request(1), 'no handler'),
+            ('unknown kind', failing, builders.Unregistered(1), 'registered'),
+            ('overloaded', limited, builders.Request(1), 'overloaded'),
             (
                 'too large',
                 failing,
-                builders.Question(1, (too_large,)),
+                builders.Request(1, (large_part,)),
                 'limit',
             ),
         )
         for name, peer, message, reason in table:
             with self.subTest(name):
-                async with asyncio.timeout(PATIENCE_MS / 1000):
+                async with asyncio.timeout(TEST_TIMEOUT_MS / 1000):
                     with self.assertRaisesRegex(
                         application_exceptions.PeerUnreachable, reason
                     ):
-                        await self.asker.ask(peer.address, message, 60_000)
+                        await self.requester.ask(peer.address, message, 60_000)
 
-    async def test_silence_ends_in_a_timeout(self) -> None:
-        """The peer is frozen, gone, or its address leads nowhere.
+    async def test_unresponsive_peer_results_in_a_timeout(self) -> None:
+        """Guards against callers that wait forever.
 
-        The asker must get an error after its timeout, whichever it is, or
-        the caller behind it hangs.
+        The peer is suspended, has exited or has an invalid address. In each
+        case the request must fail after its timeout.
         """
-        self.replier.handle(builders.Question, freeze)
+        self.responder.handle(builders.Request, hang)
         gone = await self.start('gone')
         await gone.stop()
-        for address in (self.replier.address, gone.address, 'tcp://x:y'):
+        for address in (self.responder.address, gone.address, 'tcp://x:y'):
             with (
                 self.subTest(address),
                 self.assertRaises(application_exceptions.PeerUnreachable),
             ):
-                await self.asker.ask(address, builders.Question(1), SHORT_MS)
+                await self.requester.ask(
+                    address, builders.Request(1), SHORT_TIMEOUT_MS
+                )
 
-    async def test_bad_bytes_are_dropped_and_the_node_goes_on(self) -> None:
-        """Some other program, or another release, sends what is no message.
+    async def test_invalid_bytes_are_dropped(self) -> None:
+        """Guards against an entry that fails on invalid data.
 
-        An entry that fell over it would be lost to its callers.
+        Another program or another release sends bytes that are not a valid
+        message.
         """
         encode = msgspec.msgpack.encode
         body = encode({'number': 'not a number'})
-        kind = self.asker._registry.register(builders.Question)
+        kind = self.requester._registry.register(builders.Request)
         frame = frames.Frame('x', 'tcp://127.0.0.1:1', kind, 0, b'', body)
-        former = encode(['x', 'tcp://127.0.0.1:1', kind, 0, '', body])
+        unversioned = encode(['x', 'tcp://127.0.0.1:1', kind, 0, '', body])
         prefix = frames.encode(frame)[:1]
         table = (
             ('empty', b''),
             ('text', b'GET / HTTP/1.1\r\n\r\n'),
-            ('without a version', former),
+            ('without a version', unversioned),
             ('short array', prefix + encode(['x', 1])),
             ('wrong types', prefix + encode([1, 2, 3, 4, 5, 6, 7])),
             (
@@ -237,23 +249,23 @@
                 await self.send_raw(data)
                 await wait_until(
                     lambda expected=count: (
-                        self.replier.traffic.dropped['not understood']
+                        self.responder.traffic.dropped['not understood']
                         == expected
                     )
                 )
-                self.assertEqual(builders.Answer(1), await self.ask(1))
+                self.assertEqual(builders.Reply(1), await self.send_request(1))
 
-    async def test_frames_of_another_version_are_counted_and_logged_once(
+    async def test_frames_of_another_version_are_logged_once(
         self,
     ) -> None:
-        """A newer release rolls out and its entries send another format.
+        """Guards against misinterpreted frames and a flooded log.
 
-        An entry that read it as its own would act on what was never meant,
-        and one that logged each frame would drown its operator.
+        During a deployment, entries of a newer release send another format
+        version.
         """
         frame = frames.Frame('x', 'tcp://127.0.0.1:1', 'k', 0, b'', b'')
         newer = bytes([frames.VERSION + 1]) + frames.encode(frame)[1:]
-        dropped = self.replier.traffic.dropped
+        dropped = self.responder.traffic.dropped
         with testing.capture_logs() as logged:
             for _ in range(3):
                 await self.send_raw(newer)
@@ -261,111 +273,115 @@
         self.assertEqual(
             [node.UNKNOWN_VERSION], [event['why'] for event in logged]
         )
-        self.assertEqual(builders.Answer(1), await self.ask(1))
+        self.assertEqual(builders.Reply(1), await self.send_request(1))
 
-    async def test_unknown_number_is_refused_and_the_asker_told(self) -> None:
-        """A newer release asks with a kind that this one has never heard of.
+    async def test_unknown_kind_number_is_rejected(self) -> None:
+        """Guards against a request that waits for the whole timeout.
 
-        Its asker must hear so at once instead of waiting out its timeout.
+        An entry of a newer release sends a request of an unknown kind.
         """
         number = 1 + max(kinds.NUMBERS.values())
         with (
-            mock.patch.dict(kinds.NUMBERS, {'builders.Unheard': number}),
+            mock.patch.dict(kinds.NUMBERS, {'builders.Unregistered': number}),
             mock.patch.object(
-                registry, 'name_kind', return_value='builders.Unheard'
+                registry, 'name_kind', return_value='builders.Unregistered'
             ),
             self.assertRaisesRegex(
                 application_exceptions.PeerUnreachable, f'number {number}'
             ),
         ):
-            await self.asker.ask(
-                self.replier.address, builders.Unheard(1), 60_000
+            await self.requester.ask(
+                self.responder.address, builders.Unregistered(1), 60_000
             )
 
-    async def test_peer_that_comes_back_is_reached_again(self) -> None:
-        """A peer is killed and another process starts at its address.
+    async def test_restarted_peer_is_reachable(self) -> None:
+        """Guards against peers that stay unreachable after a restart.
 
-        Entries must talk to it again without being restarted, and must not
-        deliver what was asked of the former process after its asker has
-        given up.
+        A peer is killed and another process starts at its address. Requests
+        to the previous process must not be delivered to it after their
+        timeout.
         """
-        self.assertEqual(builders.Answer(1), await self.ask(1))
-        await self.replier.stop()
+        self.assertEqual(builders.Reply(1), await self.send_request(1))
+        await self.responder.stop()
         with self.assertRaises(application_exceptions.PeerUnreachable):
-            await self.ask(2, SHORT_MS)
-        heard: list[int] = []
-
-        async def note(
-            sender: str, question: builders.Question
-        ) -> builders.Answer:
-            heard.append(question.number)
-            return builders.Answer(question.number)
-
-        successor = await self.start('successor', self.replier.address)
-        successor.handle(builders.Question, note)
-        self.assertEqual(builders.Answer(3), await self.ask(3))
-        self.assertEqual([3], heard)
-
-    async def test_reply_to_a_former_process_is_dropped(self) -> None:
-        """An entry restarts at its address while a reply is on its way.
-
-        Its questions are numbered from one again, so the late reply fits
-        one of them by number. Taken for it, it would hand an answer to the
-        wrong question.
+            await self.send_request(2, SHORT_TIMEOUT_MS)
+        received: list[int] = []
+
+        async def record(
+            sender: str, request: builders.Request
+        ) -> builders.Reply:
+            received.append(request.number)
+            return builders.Reply(request.number)
+
+        successor = await self.start('successor', self.responder.address)
+        successor.handle(builders.Request, record)
+        self.assertEqual(builders.Reply(3), await self.send_request(3))
+        self.assertEqual([3], received)
+
+    async def test_reply_to_a_previous_process_is_dropped(self) -> None:
+        """Guards against a reply that is matched to another request.
+
+        An entry restarts at the same address while a reply is in flight. It
+        numbers its requests from one again, so the number of the late reply
+        matches one of them.
         """
-        self.replier.handle(builders.Question, freeze)
-        asked = asyncio.create_task(self.ask(1))
+        self.responder.handle(builders.Request, hang)
+        pending = asyncio.create_task(self.send_request(1))
         await asyncio.sleep(0)
-        kind, body = self.asker._registry.encode(builders.Answer(99))
+        kind, body = self.requester._registry.encode(builders.Reply(99))
         late = frames.Frame(
-            'replier',
-            self.replier.address,
+            'responder',
+            self.responder.address,
             kind,
             1,
             packing.digest_incarnation('former'),
             body,
         )
         socket = pynng.Push0()
-        socket.dial(self.asker.address)
+        socket.dial(self.requester.address)
         await socket.asend(frames.encode(late))
         self.addCleanup(socket.close)
-        await wait_until(lambda: self.asker.traffic.dropped['late reply'])
-        self.assertFalse(asked.done())
-        asked.cancel()
+        await wait_until(lambda: self.requester.traffic.dropped['late reply'])
+        self.assertFalse(pending.done())
+        pending.cancel()
 
-    async def test_sockets_are_bounded(self) -> None:
-        asker = await self.start('frugal', max_links=2)
-        repliers = [await self.start(f'replier-{i}') for i in range(4)]
+    async def test_sockets_are_limited(self) -> None:
+        requester = await self.start('limited', max_links=2)
+        responders = [await self.start(f'responder-{i}') for i in range(4)]
         for _ in range(2):
-            for number, replier in enumerate(repliers):
-                replier.handle(builders.Question, answer)
-                reply = await asker.ask(
-                    replier.address, builders.Question(number), PATIENCE_MS
+            for number, responder in enumerate(responders):
+                responder.handle(builders.Request, reply_to)
+                reply = await requester.ask(
+                    responder.address,
+                    builders.Request(number),
+                    TEST_TIMEOUT_MS,
                 )
-                self.assertEqual(builders.Answer(number), reply)
-        self.assertEqual(2, len(asker._links))
+                self.assertEqual(builders.Reply(number), reply)
+        self.assertEqual(2, len(requester._links))
 
-    async def test_telling_a_dead_peer_never_raises_and_is_bounded(
+    async def test_messages_to_a_stopped_peer_are_limited(
         self,
     ) -> None:
-        """A peer is gone and messages to it pile up.
+        """Guards against errors and unlimited memory use.
 
-        They must neither stop the entry nor fill its memory.
+        Messages to a stopped peer accumulate.
         """
-        await self.replier.stop()
-        for number in range(links.MAX_WAITING + 10):
-            self.asker.tell(self.replier.address, builders.Question(number))
-        self.assertEqual(10, self.asker.traffic.dropped['not sent'])
+        await self.responder.stop()
+        for number in range(links.SEND_BUFFER_MESSAGES + 10):
+            self.requester.tell(
+                self.responder.address, builders.Request(number)
+            )
+        self.assertEqual(10, self.requester.traffic.dropped['not sent'])
 
-    async def test_taken_address_is_refused(self) -> None:
-        other = builders.build_node('other', self.replier.address)
+    async def test_used_address_is_rejected(self) -> None:
+        other = builders.build_node('other', self.responder.address)
         with self.assertRaisesRegex(exceptions.PeersError, 'free port'):
             await other.start()
 
     async def test_bytes_are_counted_by_kind(self) -> None:
-        await self.ask(1)
-        kind = self.asker._registry.register(builders.Question)
-        sent = self.asker.traffic.sent[kind]
-        received = self.replier.traffic.received[kind]
+        await self.send_request(1)
+        kind = self.requester._registry.register(builders.Request)
+        sent = self.requester.traffic.sent[kind]
+        received = self.responder.traffic.received[kind]
         self.assertEqual((1, sent.bytes), (received.messages, received.bytes))
         self.assertGreater(sent.bytes, 0)
--- a/tests/adapters/peers/test_packing.py
+++ b/tests/adapters/peers/test_packing.py
@@ -1,4 +1,4 @@
-"""Tests of the short forms of incarnations and addresses."""
+"""Tests of the compact encoding of incarnations and addresses."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class PackingTest(unittest.TestCase):
-    def test_incarnations_come_back_as_they_were(self) -> None:
+    def test_incarnations_survive_a_round_trip(self) -> None:
         table = (
             (f'perth-1-{IDENTIFIER}', 16),
             (f'-{IDENTIFIER}', 16),
@@ -26,7 +26,7 @@
             (f'perth-1-{IDENTIFIER.upper()}', 0),
             (f'perth-1-{{{IDENTIFIER[:-2]}}}', 0),
             (f'perth-1_{IDENTIFIER}', 0),
-            ('asker', 0),
+            ('entry', 0),
             ('', 0),
         )
         for incarnation, size in table:
@@ -37,14 +37,14 @@
                 self.assertEqual(incarnation, unpacked)
 
     @hypothesis.given(strategies.text(), strategies.uuids())
-    def test_any_host_comes_back(
+    def test_any_host_survives_a_round_trip(
         self, host: str, identifier: uuid.UUID
     ) -> None:
         incarnation = f'{host}-{identifier}'
         packed = packing.pack_incarnation(incarnation)
         self.assertEqual(incarnation, packing.unpack_incarnation(*packed))
 
-    def test_addresses_come_back_as_they_were(self) -> None:
+    def test_addresses_survive_a_round_trip(self) -> None:
         table = (
             ('tcp://127.0.0.1:1', 6),
             ('tcp://10.1.1.200:65535', 6),
@@ -56,7 +56,7 @@
                 self.assertEqual(size, len(packed))
                 self.assertEqual(address, packing.unpack_address(packed))
 
-    def test_address_without_numbers_is_refused(self) -> None:
+    def test_address_that_is_not_numeric_is_rejected(self) -> None:
         for address in ('tcp://host:1', 'tcp://127.0.0.1:65536', '1.2.3.4'):
             with (
                 self.subTest(address),
--- a/tests/adapters/peers/test_registry.py
+++ b/tests/adapters/peers/test_registry.py
@@ -12,7 +12,7 @@
 
 
 class RegistryTest(unittest.TestCase):
-    def test_kind_is_the_module_and_the_name(self) -> None:
+    def test_kind_consists_of_module_and_name(self) -> None:
         table = (
             ('thornspool.domain.membership.messages', 'membership.Ping'),
             ('thornspool.application.drain', 'drain.Ping'),
@@ -21,33 +21,34 @@
         )
         for module, kind in table:
             with self.subTest(module):
-                made = type('Ping', (), {'__module__': module})
-                self.assertEqual(kind, registry.name_kind(made))
+                message_type = type('Ping', (), {'__module__': module})
+                self.assertEqual(kind, registry.name_kind(message_type))
 
-    def test_registering_twice_changes_nothing(self) -> None:
-        registered = registry.Registry()
-        first = registered.register(builders.Part)
-        self.assertEqual(first, registered.register(builders.Part))
+    def test_repeated_registration_has_no_effect(self) -> None:
+        types = registry.Registry()
+        first = types.register(builders.Part)
+        self.assertEqual(first, types.register(builders.Part))
 
-    def test_two_types_of_one_kind_are_refused(self) -> None:
-        """Two classes come to share a kind name after a rename.
+    def test_two_types_of_a_kind_are_rejected(self) -> None:
+        """Guards against bodies that are decoded as another type.
 
-        Bodies of one would be decoded as the other.
+        Two classes have the same kind name after a rename.
         """
-        registered = registry.Registry()
-        registered.register(builders.Part)
-        double = attrs.make_class('Part', [], frozen=True)
-        double.__module__ = builders.__name__
+        types = registry.Registry()
+        types.register(builders.Part)
+        duplicate = attrs.make_class('Part', [], frozen=True)
+        duplicate.__module__ = builders.__name__
         with self.assertRaises(exceptions.KindConflict):
-            registered.register(double)
+            types.register(duplicate)
 
-    def test_field_of_a_newer_release_is_passed_over(self) -> None:
-        """Two releases run side by side while hosts are replaced.
+    def test_unknown_field_of_a_newer_release_is_ignored(self) -> None:
+        """Guards against releases that cannot communicate.
 
-        A field that only the newer one knows must not cut off the older.
+        Two releases run at the same time during a deployment, and the newer
+        one sends an additional field.
         """
-        registered = registry.Registry()
-        kind = registered.register(builders.Part)
+        types = registry.Registry()
+        kind = types.register(builders.Part)
         newer = attrs.make_class('Newer', ['name', 'extra'])('a', 1)
         _, body = registry.Registry().encode(newer)
-        self.assertEqual(builders.Part('a'), registered.decode(kind, body))
+        self.assertEqual(builders.Part('a'), types.decode(kind, body))
