--- a/src/thornspool/adapters/callers/__init__.py
+++ b/src/thornspool/adapters/callers/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP interface of callers."""
+"""HTTP API of callers."""
--- a/src/thornspool/adapters/callers/context.py
+++ b/src/thornspool/adapters/callers/context.py
@@ -1,4 +1,4 @@
-"""What the handlers of callers need from the use cases."""
+"""Dependencies of the handlers of the caller API."""
 
 from __future__ import annotations
 
@@ -14,32 +14,32 @@
 
 
 class RequestPort(typing.Protocol):
-    """The use cases behind callers' requests."""
+    """Use cases that process requests of callers."""
 
     async def run_operation(
         self, request: requests.OperationRequest
     ) -> typing.Any:
-        """Run an operation; returns an action result."""
+        """Run an operation and return an action result."""
         ...
 
     def mint_key(self, workspace: str) -> str:
-        """Make a key that only this process may run."""
+        """Create an idempotency key that only this process may run."""
         ...
 
     async def look_up(self, workspace: str, key: str) -> typing.Any:
-        """Tell what became of an action; returns an action result."""
+        """Look up an action and return its action result."""
         ...
 
     def stream(
         self, request: requests.ModelRequest
     ) -> AsyncIterator[typing.Any]:
-        """Generate text; yields generation events."""
+        """Generate text and yield generation events."""
         ...
 
 
 @attrs.frozen
 class CallerContext:
-    """Everything that the handlers of callers use."""
+    """Dependencies of the handlers."""
 
     requests: RequestPort
     list_entries: typing.Callable[[], membership.EntriesAnswer]
--- a/src/thornspool/adapters/callers/generate_bodies.py
+++ b/src/thornspool/adapters/callers/generate_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of requests for generated text, and what is wrong with them."""
+"""Decoding and validation of bodies of text generation requests."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 MAX_ATTACHMENTS = 16
 MAX_ATTACHMENT_BYTES = 4 * 1024 * 1024
 MAX_TEXT_CHARACTERS = 2_048
-"""Longest kind, media type or reference."""
+"""Maximum length of a kind, media type or reference."""
 
 _MEDIA_TYPE = re.compile(r'[\w.+-]+/[\w.+-]+', re.ASCII)
 
 
 @attrs.frozen
 class GenerateBody:
-    """Body of a request for generated text; members as in docs/api.md."""
+    """Body of a text generation request; see docs/api.md."""
 
     prompt: str
     max_tokens: int = 256
@@ -44,7 +44,7 @@
     Raises
     ------
     msgspec.DecodeError
-        It is not JSON or not of this form.
+        If it is not JSON or does not match the type.
     """
     return msgspec.json.decode(content, type=GenerateBody)
 
@@ -52,29 +52,29 @@
 def find_problem(
     content: bytes, body: GenerateBody, workspace: str, model: str
 ) -> str:
-    """Return what is wrong with the values of a body, or nothing.
+    """Validate a body and return an error message, or an empty string.
 
     Parameters
     ----------
     content : bytes
-        The body as it came.
+        The body as received.
     body : GenerateBody
-        What was read of it.
+        The decoded body.
     workspace, model : str
-        Names in the path.
+        Names in the request path.
     """
-    raw = msgspec.json.decode(content)
-    unknown = _list_unknown(raw)
+    decoded = msgspec.json.decode(content)
+    unknown = _list_unknown(decoded)
     if unknown:
         return f'Unknown members: {", ".join(unknown)}. Remove them.'
-    for name, told, asked in (
+    for name, in_body, in_path in (
         ('workspace', body.workspace, workspace),
         ('model', body.model, model),
     ):
-        if told is not None and told != asked:
+        if in_body is not None and in_body != in_path:
             return (
-                f'The {name} is {told!r} in the body and {asked!r} in the '
-                f'path. Leave it out of the body, or send the same.'
+                f'The {name} is {in_body!r} in the body, {in_path!r} in the '
+                f'path. Omit it in the body or use the name in the path.'
             )
     if not 1 <= body.max_tokens <= MAX_TOKENS_LIMIT:
         return f'max_tokens must be from 1 to {MAX_TOKENS_LIMIT}.'
@@ -83,53 +83,57 @@
     return _find_attachments_problem(body.attachments)
 
 
-def _list_unknown(raw: dict[str, typing.Any]) -> list[str]:
-    """Return members that mean nothing, by their path in the body."""
-    unknown = set(raw) - _list_names(GenerateBody)
-    for place, one in enumerate(raw.get('attachments', ())):
-        strange = set(one) - _list_names(generation_attachments.Attachment)
-        unknown |= {f'attachments[{place}].{name}' for name in strange}
+def _list_unknown(decoded: dict[str, typing.Any]) -> list[str]:
+    """Return the paths of unknown members in the body."""
+    unknown = set(decoded) - _list_names(GenerateBody)
+    for index, attachment in enumerate(decoded.get('attachments', ())):
+        unknown_names = set(attachment) - _list_names(
+            generation_attachments.Attachment
+        )
+        unknown |= {f'attachments[{index}].{name}' for name in unknown_names}
     return sorted(unknown)
 
 
-def _list_names(described: type[attrs.AttrsInstance]) -> set[str]:
-    return {field.name for field in attrs.fields(described)}
+def _list_names(attrs_class: type[attrs.AttrsInstance]) -> set[str]:
+    return {field.name for field in attrs.fields(attrs_class)}
 
 
 def _find_attachments_problem(
-    given: tuple[generation_attachments.Attachment, ...],
+    attachments: tuple[generation_attachments.Attachment, ...],
 ) -> str:
-    if len(given) > MAX_ATTACHMENTS:
-        return f'There are more than {MAX_ATTACHMENTS} attachments.'
+    if len(attachments) > MAX_ATTACHMENTS:
+        return f'The number of attachments exceeds {MAX_ATTACHMENTS}.'
     size = 0
-    for place, one in enumerate(given):
-        problem = _find_attachment_problem(one)
+    for index, attachment in enumerate(attachments):
+        problem = _find_attachment_problem(attachment)
         if problem:
-            return f'attachments[{place}]: {problem}'
-        size += len(one.data) * 3 // 4
+            return f'attachments[{index}]: {problem}'
+        size += len(attachment.data) * 3 // 4
     if size > MAX_ATTACHMENT_BYTES:
         return (
             f'The data of the attachments exceeds {MAX_ATTACHMENT_BYTES} '
-            f'bytes. Send references.'
+            f'bytes. Use references instead.'
         )
     return ''
 
 
-def _find_attachment_problem(one: generation_attachments.Attachment) -> str:
-    texts = (one.kind, one.media_type, one.reference)
+def _find_attachment_problem(
+    attachment: generation_attachments.Attachment,
+) -> str:
+    texts = (attachment.kind, attachment.media_type, attachment.reference)
     if max(map(len, texts)) > MAX_TEXT_CHARACTERS:
         return (
             f'kind, media_type and reference must have at most '
             f'{MAX_TEXT_CHARACTERS} characters.'
         )
-    if not one.kind:
+    if not attachment.kind:
         return 'kind must not be empty.'
-    if not _MEDIA_TYPE.fullmatch(one.media_type):
-        return 'media_type must be a type and a subtype, as image/jpeg.'
-    if bool(one.reference) == bool(one.data):
-        return 'Give either a reference or data.'
+    if not _MEDIA_TYPE.fullmatch(attachment.media_type):
+        return 'media_type must consist of type and subtype, as in image/jpeg.'
+    if bool(attachment.reference) == bool(attachment.data):
+        return 'Set either a reference or data.'
     try:
-        base64.b64decode(one.data, validate=True)
+        base64.b64decode(attachment.data, validate=True)
     except (binascii.Error, ValueError):
         return 'data must be base64 (RFC 4648, section 4).'
     return ''
--- a/src/thornspool/adapters/callers/handlers.py
+++ b/src/thornspool/adapters/callers/handlers.py
@@ -1,4 +1,4 @@
-"""Handlers of callers: entries, operations, actions and health."""
+"""Handlers of the caller API: entries, operations, actions and health."""
 
 from __future__ import annotations
 
@@ -26,33 +26,33 @@
 REPLAYED_HEADER = 'Idempotency-Replayed'
 BODY_KEPT_HEADER = 'Idempotency-Body-Kept'
 _BODY_NOT_KEPT = (
-    'The action ran once and the service answered with status {status}; the '
-    'body was too long to be kept. Ask the service for it.'
+    'The action was executed once and the service returned status {status}; '
+    'its body was too large to be stored. Request it from the service.'
 )
 
 
 @attrs.frozen
 class MintedKey:
-    """A key that only this entry's process may run."""
+    """An idempotency key that only this process may run."""
 
     key: str
 
 
 class CallerHandler(problems.ProblemHandler):
-    """Base of the handlers of callers.
+    """Base class for handlers of the caller API.
 
     Parameters
     ----------
     context : context.CallerContext
-        The use cases.
+        Dependencies of the handlers.
     """
 
     def initialize(self, context: context.CallerContext) -> None:
-        """Keep the use cases."""
+        """Set the dependencies."""
         self.context = context
 
     def write_json(self, value: typing.Any, status: int = 200) -> None:
-        """End the request with a JSON value."""
+        """Respond with a JSON value."""
         self.set_status(status)
         self.set_header('Content-Type', JSON)
         self.finish(msgspec.json.encode(value))
@@ -63,7 +63,7 @@
         Raises
         ------
         problems.ProblemError
-            When it is not JSON.
+            If it is not JSON.
         """
         try:
             msgspec.json.decode(self.request.body, type=msgspec.Raw)
@@ -77,10 +77,10 @@
 
 
 class EntriesHandler(CallerHandler):
-    """``GET /v1/entries``: which addresses to use and for how long."""
+    """``GET /v1/entries``: the entries and how long to cache them."""
 
     def get(self) -> None:
-        """Answer with the list of entries."""
+        """Respond with the list of entries."""
         entries = self.context.list_entries()
         seconds = entries.keep_ms // 1000
         self.set_header('Cache-Control', f'max-age={seconds}')
@@ -91,7 +91,7 @@
     """``GET /v1/health`` and ``/v1/ready``."""
 
     def get(self, probe: str) -> None:
-        """Answer 200, or 503 when the entry takes no new work."""
+        """Respond with 200, or with 503 if the entry is not ready."""
         if probe == 'health' or self.context.is_ready():
             self.write_json({'status': 'ok'})
             return
@@ -102,7 +102,7 @@
     """``POST .../services/{service}/{operation}``."""
 
     async def post(self, workspace: str, service: str, operation: str) -> None:
-        """Run an operation and answer with its result."""
+        """Run an operation and respond with its result."""
         request = requests.OperationRequest(
             workspace=workspace,
             service=service,
@@ -111,8 +111,8 @@
             body=self.read_body(),
             resent=self.request.headers.get(RESENT_HEADER) == 'true',
         )
-        # A refusal here was decided without a look at the ledger, so an
-        # earlier send of the key may have run.
+        # A refusal at this point does not consult the ledger, so an earlier
+        # request with the same key may have been executed.
         key_checked = False if request.key else None
         with translate_errors(key_checked):
             result = await self.context.requests.run_operation(request)
@@ -123,17 +123,17 @@
     """``POST .../keys``: a key bound to this entry, for outages."""
 
     def post(self, workspace: str) -> None:
-        """Answer with a new key."""
+        """Respond with a new key."""
         with translate_errors():
             key = self.context.requests.mint_key(workspace)
         self.write_json(MintedKey(key), http.HTTPStatus.CREATED)
 
 
 class ActionHandler(CallerHandler):
-    """``GET .../actions/{key}``: what became of an action."""
+    """``GET .../actions/{key}``: the outcome of an action."""
 
     async def get(self, workspace: str, key: str) -> None:
-        """Answer with the recorded result."""
+        """Respond with the recorded result."""
         with translate_errors():
             result = await self.context.requests.look_up(workspace, key)
         write_result(self, result)
@@ -141,17 +141,17 @@
 
 @contextlib.contextmanager
 def translate_errors(key_checked: bool | None = None) -> Iterator[None]:
-    """Turn errors of use cases into problems.
+    """Convert errors of use cases to problems.
 
     Parameters
     ----------
     key_checked : bool, optional
-        What refusals say of the idempotency key.
+        Value of ``key_checked`` in the problem of a refusal.
 
     Raises
     ------
     problems.ProblemError
-        For every error that a caller can act on.
+        For each error that a caller can handle.
     """
     try:
         yield
@@ -167,7 +167,7 @@
 def find_problem(
     error: exceptions.ApplicationError,
 ) -> problems.Problem | None:
-    """Return the problem that tells a caller of an error.
+    """Return the problem that describes an error to a caller.
 
     Parameters
     ----------
@@ -177,7 +177,7 @@
     Returns
     -------
     problems.Problem or None
-        None for errors that nobody expected.
+        None for unexpected errors.
     """
     if isinstance(error, requests.RequestRefused):
         return problems.Problem(
@@ -194,14 +194,14 @@
 
 
 def write_result(handler: web.RequestHandler, result: typing.Any) -> None:
-    """End a request with the result of an action or a call.
+    """Respond with the result of an action or a call.
 
     Parameters
     ----------
     handler : tornado.web.RequestHandler
-        The handler to end.
+        Handler of the request.
     result : actions.ActionResult
-        What became of it.
+        The result.
     """
     if isinstance(result, actions.ActionDone):
         handler.set_status(result.status)
@@ -216,10 +216,10 @@
 
 
 def _write_without_body(handler: web.RequestHandler, status: int) -> None:
-    """End a replay whose body is gone.
+    """Respond to a replay whose body was not stored.
 
-    An empty body of the service's own media type could be taken for the
-    whole answer, so a problem that says "done" stands in for it.
+    An empty body with the media type of the service could be mistaken for
+    the complete response, so a problem with outcome "done" is sent instead.
     """
     handler.set_header(BODY_KEPT_HEADER, 'false')
     detail = _BODY_NOT_KEPT.format(status=status)
@@ -229,7 +229,7 @@
 
 
 def _describe_result(result: typing.Any) -> problems.Problem:
-    """Return the problem that stands for a result without an answer."""
+    """Return the problem for a result without a response."""
     match result:
         case actions.ActionNotRun():
             return problems.Problem(
--- a/src/thornspool/adapters/callers/routes.py
+++ b/src/thornspool/adapters/callers/routes.py
@@ -1,4 +1,4 @@
-"""Routes of the callers' interface."""
+"""Routes of the caller API."""
 
 from __future__ import annotations
 
@@ -18,38 +18,38 @@
 
 
 def make_application(context: context.CallerContext) -> web.Application:
-    """Make the tornado application of callers.
+    """Build the tornado application of the caller API.
 
     Parameters
     ----------
     context : context.CallerContext
-        The use cases.
+        Dependencies of the handlers.
 
     Returns
     -------
     tornado.web.Application
         Application without a listener.
     """
-    needs = {'context': context}
+    arguments = {'context': context}
     return web.Application(
         [
-            ('/v1/entries', handlers.EntriesHandler, needs),
-            ('/v1/(health|ready)', handlers.HealthHandler, needs),
+            ('/v1/entries', handlers.EntriesHandler, arguments),
+            ('/v1/(health|ready)', handlers.HealthHandler, arguments),
             (
                 f'{_WORKSPACE}/models/{_NAME}/generate',
                 streams.GenerateHandler,
-                needs,
+                arguments,
             ),
             (
                 f'{_WORKSPACE}/services/{_NAME}/{_NAME}',
                 handlers.OperationHandler,
-                needs,
+                arguments,
             ),
-            (f'{_WORKSPACE}/keys', handlers.KeysHandler, needs),
+            (f'{_WORKSPACE}/keys', handlers.KeysHandler, arguments),
             (
                 f'{_WORKSPACE}/actions/([^/]+)',
                 handlers.ActionHandler,
-                needs,
+                arguments,
             ),
         ],
         default_handler_class=problems.NotFoundHandler,
--- a/src/thornspool/adapters/callers/streams.py
+++ b/src/thornspool/adapters/callers/streams.py
@@ -1,4 +1,4 @@
-"""Handler of generated text: server-sent events or one JSON answer."""
+"""Handler of text generation: server-sent events or one JSON response."""
 
 from __future__ import annotations
 
@@ -28,39 +28,39 @@
     _task: asyncio.Task[typing.Any] | None = None
 
     async def post(self, workspace: str, model: str) -> None:
-        """Generate text and answer in the form that the caller accepts."""
+        """Generate text and respond in the format that the caller accepts."""
         request = self._read_request(workspace, model)
         self._task = asyncio.current_task()
         accepted = self.request.headers.get('Accept', EVENT_STREAM)
-        # The deadline counts while tokens are waited for, not while they are
-        # written: a caller that hangs without reading would hold its place
-        # and its engines for ever, and an entry that drains would never
-        # exit.
+        # The deadline of the request applies while waiting for tokens, not
+        # while writing them. Without this limit, a caller that does not read
+        # would hold its slot and engines forever, and a draining entry would
+        # never exit.
         limit_s = (request.timeout_ms + READ_GRACE_MS) / 1000
         try:
             async with asyncio.timeout(limit_s):
                 if handlers.JSON in accepted:
-                    await self._answer_whole(request)
+                    await self._send_json(request)
                 else:
-                    await self._answer_stream(request)
+                    await self._send_events(request)
         except TimeoutError:
             logger.info('caller_does_not_read', request=request.request_id)
             connection: typing.Any = self.request.connection
             connection.close()
         except (iostream.StreamClosedError, asyncio.CancelledError):
-            # The caller left; leaving the scope of the iterator has told
-            # every stage to stop, so that no accelerator works for nobody.
+            # The caller disconnected. Closing the iterator has cancelled
+            # every stage, so that no accelerator continues the request.
             return
 
     def on_connection_close(self) -> None:
-        """Stop the work of a caller that left."""
+        """Cancel the request of a caller that disconnected."""
         if self._task is not None:
             self._task.cancel()
 
     def _read_request(
         self, workspace: str, model: str
     ) -> requests.ModelRequest:
-        """Check the body."""
+        """Decode and validate the request."""
         content = self.request.body
         try:
             body = generate_bodies.decode_body(content)
@@ -83,23 +83,23 @@
             attachments=body.attachments,
         )
 
-    async def _answer_stream(self, request: requests.ModelRequest) -> None:
-        """Send each chunk of tokens as one server-sent event."""
+    async def _send_events(self, request: requests.ModelRequest) -> None:
+        """Send each chunk of tokens as a server-sent event."""
         self.set_header('X-Request-Id', request.request_id)
         events = self.context.requests.stream(request)
         async with contextlib.aclosing(events):  # type: ignore[type-var]
             with handlers.translate_errors():
                 async for event in events:
                     if not self._headers_written:
-                        self._refuse_early(event)
+                        self._raise_failure(event)
                         self.set_header('Content-Type', EVENT_STREAM)
                         self.set_header('Cache-Control', 'no-store')
                     self.write(_format_event(event))
                     await self.flush()
         await self.finish()
 
-    async def _answer_whole(self, request: requests.ModelRequest) -> None:
-        """Collect the answer and send it as one JSON object."""
+    async def _send_json(self, request: requests.ModelRequest) -> None:
+        """Collect the tokens and send them as one JSON object."""
         self.set_header('X-Request-Id', request.request_id)
         events = self.context.requests.stream(request)
         texts: list[str] = []
@@ -112,14 +112,14 @@
                         texts.extend(event.texts)
         self.write_json({'texts': texts, 'count': len(texts)})
 
-    def _refuse_early(self, event: typing.Any) -> None:
-        """Answer with a status of its own while none has been sent."""
+    def _raise_failure(self, event: typing.Any) -> None:
+        """Raise a problem for a failure before the status is sent."""
         if isinstance(event, generation.Failed):
             raise problems.ProblemError(_describe_failure(event))
 
 
 def _describe_failure(event: generation.Failed) -> problems.Problem:
-    """Return the problem that stands for a failed generation."""
+    """Return the problem for a failed generation."""
     return problems.Problem(
         503,
         event.reason.value,
@@ -129,7 +129,7 @@
 
 
 def _format_event(event: typing.Any) -> bytes:
-    """Return the server-sent event of a generation event."""
+    """Encode a generation event as a server-sent event."""
     if isinstance(event, generation.Tokens):
         data = {'first_index': event.first_index, 'texts': event.texts}
         return b'event: tokens\ndata: ' + _encode(data)
@@ -141,5 +141,5 @@
 
 
 def _encode(value: typing.Any) -> bytes:
-    """Return a value as the data line of an event."""
+    """Encode a value as the data line of an event."""
     return msgspec.json.encode(value) + b'\n\n'
--- a/src/thornspool/adapters/operators/__init__.py
+++ b/src/thornspool/adapters/operators/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP interface of operators."""
+"""HTTP API of operators."""
--- a/src/thornspool/adapters/operators/bodies.py
+++ b/src/thornspool/adapters/operators/bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of requests and answers of the operators' interface."""
+"""Request and response bodies of the operator API."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 MEDIA_TYPE = 'application/json'
 PROBLEM_MEDIA_TYPE = 'application/problem+json'
-PAGE_LENGTH = 100
-LONGEST_PAGE = 200
+DEFAULT_PAGE_LENGTH = 100
+MAX_PAGE_LENGTH = 200
 PROBLEM_TYPE_PREFIX = 'urn:thornspool:problem:'
 
 
 @attrs.frozen
 class Removal:
-    """Address of a document to remove."""
+    """Kind and name of a document to remove."""
 
     kind: str
     name: str
@@ -31,19 +31,19 @@
     Attributes
     ----------
     id : str
-        Made by the sender; sending it again with the same id is safe.
+        Identifier created by the sender; a retry with the same id is safe.
     base_version : int
-        Version that the author looked at.
+        Version that the changes are based on.
     documents : list
-        Documents as service files hold them.
+        Documents in the format of service files.
     removals : tuple of Removal
         Documents to remove.
     author : str
-        Who publishes; the token's name if empty.
+        Name of the author; the token's name if empty.
     message : str
-        The author's note.
+        Message of the author.
     dry_run : bool
-        Check only.
+        Whether to validate without publishing.
     """
 
     id: str
@@ -57,14 +57,14 @@
 
 @attrs.frozen
 class CheckedBody:
-    """Answer to a dry run that found nothing wrong.
+    """Response to a dry run without problems.
 
     Attributes
     ----------
     version : int
-        Version that it was checked against.
+        Version that the publication was validated against.
     changed_count : int
-        Documents that would change.
+        Number of documents that would change.
     """
 
     version: int
@@ -73,7 +73,7 @@
 
 @attrs.frozen
 class HistoryLine:
-    """One accepted publication."""
+    """An accepted publication in the history."""
 
     version: int
     id: str
@@ -86,7 +86,7 @@
 
 @attrs.frozen
 class ConfigurationBody:
-    """Answer to ``GET /v1/configuration``."""
+    """Response to ``GET /v1/configuration``."""
 
     version: int
     history: tuple[HistoryLine, ...]
@@ -94,22 +94,22 @@
 
 @attrs.frozen
 class Query:
-    """Query of ``GET /v1/documents``.
+    """Query parameters of ``GET /v1/documents``.
 
     Attributes
     ----------
     kind, workspace : str
-        Which documents; empty for all that the token may read.
+        Filters; empty for all documents that the token may read.
     after : str
-        ``kind/name`` of the last document of the page before.
+        ``kind/name`` of the last document of the previous page.
     limit : int
-        Most documents of a page.
+        Maximum number of documents on the page.
     """
 
     kind: str = ''
     workspace: str = ''
     after: str = ''
-    limit: int = PAGE_LENGTH
+    limit: int = DEFAULT_PAGE_LENGTH
 
 
 @attrs.frozen
@@ -119,11 +119,11 @@
     Attributes
     ----------
     kind, name : str
-        Its address.
+        Kind and name of the document.
     version : int
-        Version that last changed it.
+        Version that last changed the document.
     document : dict
-        The document as a service file holds it.
+        The document in the format of a service file.
     """
 
     kind: str
@@ -134,16 +134,16 @@
 
 @attrs.frozen
 class DocumentsBody:
-    """Answer to ``GET /v1/documents``.
+    """Response to ``GET /v1/documents``.
 
     Attributes
     ----------
     version : int
-        Version in force; the base of a publication that changes these.
+        Version in force; the base version for changes to these documents.
     documents : tuple of DocumentLine
-        A page of them.
+        Documents on the page.
     following : str
-        What to send as ``after`` for the next page; empty at the end.
+        Value of ``after`` for the next page; empty on the last page.
     """
 
     version: int
@@ -153,7 +153,7 @@
 
 @attrs.frozen
 class MemberLine:
-    """One entry as this one knows it."""
+    """An entry in the local view of the responding entry."""
 
     host: str
     incarnation: str
@@ -167,18 +167,18 @@
 
 @attrs.frozen
 class StatusBody:
-    """Answer to ``GET /v1/status``.
+    """Response to ``GET /v1/status``.
 
     Attributes
     ----------
     version : int
-        Version in force at the entry that answers.
+        Version in force at the responding entry.
     isolated : bool
-        Whether neither the platform nor any peer answered it of late.
+        Whether neither the platform nor any peer responded recently.
     members : tuple of MemberLine
-        The entries it knows of, itself included.
+        Entries in its local view, including itself.
     stragglers : tuple of str
-        Incarnations of those that report an older version.
+        Incarnations of entries that report an older version.
     """
 
     version: int
@@ -189,28 +189,28 @@
 
 @attrs.frozen
 class ProblemBody:
-    """Problem details (RFC 9457) with this project's extensions.
+    """Problem details (RFC 9457) with extension members.
 
     Attributes
     ----------
     type : str
-        URN of the kind of problem.
+        URN of the problem type.
     title : str
-        The kind in words.
+        Summary of the problem type.
     status : int
-        HTTP status.
+        HTTP status code.
     detail : str
-        What happened and what to do next.
+        Description of the error and of the next step.
     names : tuple of str
         Documents in conflict.
     version : int
-        Version to look at before publishing again.
+        Version to rebase on before publishing again.
     problems : tuple of Problem
-        Broken rules.
+        Violated rules.
     publication : str
-        Id to send again when the outcome is open.
+        Id to use for a retry if the outcome is unknown.
     written : bool
-        Whether an open publication may still be accepted.
+        Whether a publication with unknown outcome may still be accepted.
     """
 
     type: str
--- a/src/thornspool/adapters/operators/browsing.py
+++ b/src/thornspool/adapters/operators/browsing.py
@@ -1,4 +1,4 @@
-"""What a token may read of the documents in force and of their history."""
+"""Queries of documents and history, limited to what a token may read."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from thornspool.adapters.operators import bodies
 from thornspool.adapters.operators import exceptions
 from thornspool.adapters.operators import tokens as bearer
-from thornspool.domain.configuration import contents as whole
+from thornspool.domain.configuration import contents as contents_module
 from thornspool.domain.configuration import documents
 from thornspool.domain.configuration import files
 
@@ -22,19 +22,21 @@
 
 
 def list_documents(
-    contents: whole.Contents, token: settings.Token, query: bodies.Query
+    contents: contents_module.Contents,
+    token: settings.Token,
+    query: bodies.Query,
 ) -> bodies.DocumentsBody:
     """Return a page of the documents in force, by kind and then by name.
 
-    Only a page is sorted and encoded: thousands of documents at once would
-    hold up the streams of callers, which share the loop.
+    Only one page is sorted and encoded, because processing thousands of
+    documents at once would delay the streams of callers on the same loop.
 
     Raises
     ------
     BadRequest
-        If the kind or the place to go on from is none.
+        If the kind or the start position is invalid.
     Forbidden
-        If the token does not cover the workspace.
+        If the token does not include the workspace.
     """
     if query.workspace:
         bearer.check_workspace(token, query.workspace)
@@ -43,57 +45,60 @@
     following = (
         '' if len(found) <= query.limit else str(found[query.limit - 1])
     )
-    lines = [_describe(contents, key) for key in found[: query.limit]]
+    lines = [_describe_document(contents, key) for key in found[: query.limit]]
     return bodies.DocumentsBody(contents.head.version, tuple(lines), following)
 
 
 def describe_history(
-    contents: whole.Contents, token: settings.Token
+    contents: contents_module.Contents, token: settings.Token
 ) -> tuple[bodies.HistoryLine, ...]:
     """Return the publications that a token may read, oldest first."""
-    last = _list_last_changes(contents, token)
+    last_changes = _list_last_changes(contents, token)
     lines = (
-        _describe_record(contents, token, one, last.get(one.version, ()))
+        _describe_record(
+            contents, token, one, last_changes.get(one.version, ())
+        )
         for one in contents.head.history
     )
     return tuple(line for line in lines if line is not None)
 
 
 def find_changes(
-    contents: whole.Contents, token: settings.Token, version: int
+    contents: contents_module.Contents, token: settings.Token, version: int
 ) -> bodies.HistoryLine:
-    """Return what one version changed.
+    """Return the changes of one version.
 
     Raises
     ------
     NotFound
-        If the history does not hold it, or nothing of it is the token's.
+        If the history does not contain the version, or the token may not
+        read any of its changes.
     """
     for line in describe_history(contents, token):
         if line.version == version:
             return line
     first = contents.head.horizon + 1
     raise exceptions.NotFound(
-        f'Nothing is known of version {version}.',
-        f'The history holds versions {first} to {contents.head.version}; a '
-        'token reads what changed documents of its workspaces.',
+        f'Version {version} is not available.',
+        f'The history has versions {first} to {contents.head.version}; a '
+        'token can read changes to documents of its workspaces.',
     )
 
 
 def read_kind(text: str) -> documents.DocumentKind:
-    """Return a kind of document.
+    """Parse a document kind.
 
     Raises
     ------
     BadRequest
-        If it is none.
+        If the kind does not exist.
     """
     try:
         return documents.DocumentKind(text)
     except ValueError as error:
         kinds = ', '.join(one.value for one in _KINDS)
         raise exceptions.BadRequest(
-            f'"{text}" is not a kind of document.', f'Write one of: {kinds}.'
+            f'"{text}" is not a document kind.', f'Use one of: {kinds}.'
         ) from error
 
 
@@ -103,19 +108,19 @@
     query: bodies.Query,
     kinds: tuple[documents.DocumentKind, ...],
 ) -> list[documents.DocumentKey]:
-    """Return the keys of a page, and one more if more follow."""
+    """Return the keys of a page, and one more if there is a next page."""
     after_kind, _, after_name = query.after.partition('/')
     start = _KINDS.index(read_kind(after_kind)) if query.after else 0
     found: list[documents.DocumentKey] = []
     for kind in kinds:
-        place = _KINDS.index(kind)
-        if place < start:
+        position = _KINDS.index(kind)
+        if position < start:
             continue
-        beyond = after_name if query.after and place == start else ''
+        lower_bound = after_name if query.after and position == start else ''
         names = (
             name
             for name in _list_names(snapshot, token, kind, query.workspace)
-            if name > beyond
+            if name > lower_bound
         )
         length = query.limit + 1 - len(found)
         found += [
@@ -131,7 +136,7 @@
     kind: documents.DocumentKind,
     workspace: str,
 ) -> Iterator[str]:
-    """Yield the names of a kind that a token may read, in no order."""
+    """Yield the names of a kind that a token may read, unordered."""
     allowed = (workspace,) if workspace else token.workspaces
     if kind is documents.DocumentKind.WORKSPACE:
         names = snapshot.workspaces if allowed is None else set(allowed)
@@ -141,11 +146,11 @@
             if allowed is None or service.workspace in allowed:
                 yield name
     elif allowed is None:
-        yield from whole.copy_by_kind(snapshot)[kind]
+        yield from contents_module.copy_by_kind(snapshot)[kind]
 
 
-def _describe(
-    contents: whole.Contents, key: documents.DocumentKey
+def _describe_document(
+    contents: contents_module.Contents, key: documents.DocumentKey
 ) -> bodies.DocumentLine:
     stored = contents.find(key)
     if stored is None or stored.document is None:
@@ -159,12 +164,13 @@
 
 
 def _list_last_changes(
-    contents: whole.Contents, token: settings.Token
+    contents: contents_module.Contents, token: settings.Token
 ) -> dict[int, list[str]]:
-    """Return what a limited token may read, by the last change of each.
+    """Return readable documents by the version that last changed them.
 
-    A record holds its first names only. Without this, a team whose document
-    came late in a large publication would not find it in its history.
+    It is empty for an unlimited token. A history record contains only the
+    first names of a publication, so a document at the end of a large
+    publication would otherwise be missing in the history of its team.
     """
     found: dict[int, list[str]] = {}
     if token.workspaces is None:
@@ -179,16 +185,18 @@
 
 
 def _describe_record(
-    contents: whole.Contents,
+    contents: contents_module.Contents,
     token: settings.Token,
     record: heads.Record,
-    last: typing.Iterable[str],
+    last_changes: typing.Iterable[str],
 ) -> bodies.HistoryLine | None:
-    """Describe a publication; None if a token may read nothing of it."""
+    """Describe a publication; None if the token may not read any of it."""
     names, count = record.changed, record.changed_count
     if token.workspaces is not None:
-        own = {one for one in names if _covers(contents.snapshot, token, one)}
-        names = tuple(sorted(own.union(last)))
+        readable = {
+            one for one in names if _is_readable(contents.snapshot, token, one)
+        }
+        names = tuple(sorted(readable.union(last_changes)))
         count = len(names)
     if not names:
         return None
@@ -203,10 +211,10 @@
     )
 
 
-def _covers(
+def _is_readable(
     snapshot: documents.Snapshot, token: settings.Token, text: str
 ) -> bool:
-    """Tell whether a limited token covers ``kind/name``."""
+    """Return whether a limited token may read ``kind/name``."""
     kind, _, name = text.partition('/')
     allowed = token.workspaces or ()
     if kind == documents.DocumentKind.WORKSPACE.value:
--- a/src/thornspool/adapters/operators/exceptions.py
+++ b/src/thornspool/adapters/operators/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the operators' interface, each with its HTTP status."""
+"""Errors of the operator API with their HTTP status codes."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class OperatorError(exceptions.ThornspoolError):
-    """Base of the errors that operators are answered with.
+    """Base class for errors in responses to operators.
 
     Attributes
     ----------
     status : int
-        HTTP status.
+        HTTP status code.
     code : str
-        Last part of the problem's type.
+        Last part of the problem type.
     """
 
     status = 500
@@ -21,35 +21,35 @@
 
 
 class Unauthorized(OperatorError):
-    """The request carries no token that is known."""
+    """The request has no valid token."""
 
     status = 401
     code = 'unauthorized'
 
 
 class Forbidden(OperatorError):
-    """The token does not allow this."""
+    """The token does not permit the request."""
 
     status = 403
     code = 'forbidden'
 
 
 class NotFound(OperatorError):
-    """There is nothing at this address."""
+    """The requested resource does not exist."""
 
     status = 404
     code = 'not-found'
 
 
 class BadRequest(OperatorError):
-    """The request's body or query cannot be read."""
+    """The body or query of the request is invalid."""
 
     status = 400
     code = 'bad-request'
 
 
 class Unavailable(OperatorError):
-    """What the answer needs cannot be reached now."""
+    """A dependency of the request is currently unavailable."""
 
     status = 503
     code = 'unavailable'
--- a/src/thornspool/adapters/operators/handlers.py
+++ b/src/thornspool/adapters/operators/handlers.py
@@ -1,4 +1,4 @@
-"""HTTP handlers of the operators' interface."""
+"""HTTP handlers of the operator API."""
 
 from __future__ import annotations
 
@@ -37,26 +37,26 @@
 
 @attrs.frozen
 class Context:
-    """What the handlers work with.
+    """Dependencies of the handlers.
 
     Attributes
     ----------
     clock : Clock
         Source of time.
     service : ConfigurationService
-        Publishes and knows what is in force.
+        Publishes documents and provides the configuration in force.
     members : MemberView
-        Who the entries are.
+        View of the entries.
     tokens : sequence of Token
         Tokens of operators.
     drain : callable
-        Starts the planned stop of this entry.
+        Starts draining this entry.
     look_up_action : callable
-        Takes workspace and key, returns the action's record as an ``attrs``
-        instance, or None if there is none.
+        Called with workspace and key; returns the record of the action as
+        an ``attrs`` instance, or None.
     build_report : callable
-        Takes the workspaces to report on, None for all; gathers the report,
-        an ``attrs`` instance.
+        Called with the workspaces of the report, None for all; returns the
+        report as an ``attrs`` instance.
     """
 
     clock: clocks.Clock
@@ -77,17 +77,17 @@
     look_up_action: Callable[[str, str], Awaitable[typing.Any]],
     build_report: BuildReport,
 ) -> list[tuple[str, type[web.RequestHandler], dict[str, typing.Any]]]:
-    """Return the routes of the operators' interface for tornado.
+    """Return the tornado routes of the operator API.
 
     Parameters
     ----------
     clock, service, members, tokens, drain, look_up_action, build_report
-        As of ``Context``.
+        See ``Context``.
 
     Returns
     -------
     list of tuple
-        Pattern, handler and its arguments.
+        Pattern, handler class and arguments of the handler.
     """
     context = Context(
         clock, service, members, tokens, drain, look_up_action, build_report
@@ -110,24 +110,24 @@
             arguments,
         ),
         ('/v1/report', ReportHandler, arguments),
-        ('/v1/.*', UnknownHandler, arguments),
+        ('/v1/.*', NotFoundHandler, arguments),
     ]
 
 
 class OperatorHandler(web.RequestHandler):
-    """Base: checks the token and answers errors as problem details."""
+    """Base class that checks tokens and reports errors as problems."""
 
     def initialize(self, context: Context) -> None:
-        """Take what the handlers work with."""
+        """Set the dependencies."""
         self.context = context
 
     def prepare(self) -> None:
-        """Check the token before anything is done."""
+        """Check the token before the request is processed."""
         header = self.request.headers.get('Authorization', '')
         self.token = bearer.find_token(header, self.context.tokens)
 
-    def answer(self, body: typing.Any, status: int = 200) -> None:
-        """Write an ``attrs`` instance as JSON."""
+    def respond(self, body: typing.Any, status: int = 200) -> None:
+        """Respond with an ``attrs`` instance as JSON."""
         self.set_status(status)
         media_type = bodies.MEDIA_TYPE
         if isinstance(body, bodies.ProblemBody):
@@ -137,19 +137,19 @@
         self.write(msgspec.json.encode(body))
 
     def write_error(self, status_code: int, **kwargs: typing.Any) -> None:
-        """Answer an error that a handler did not catch."""
+        """Respond to an unhandled error with a problem."""
         error = kwargs.get('exc_info', (None, None, None))[1]
         if isinstance(error, application_exceptions.ApplicationError):
             error = exceptions.Unavailable(error.message, error.hint)
         if isinstance(error, exceptions.Unauthorized):
             self.set_header('WWW-Authenticate', 'Bearer')
         if isinstance(error, exceptions.OperatorError):
-            self.answer(_describe_error(error))
+            self.respond(_describe_error(error))
             return
-        self.answer(_describe_status(status_code, self._reason))
+        self.respond(_describe_status(status_code, self._reason))
 
     def log_exception(self, *details: typing.Any) -> None:
-        """Log only errors that nobody raised on purpose."""
+        """Log unexpected errors only."""
         error = details[1]
         if isinstance(error, root_exceptions.ThornspoolError | web.HTTPError):
             return
@@ -164,46 +164,46 @@
     """Publishes documents."""
 
     async def post(self) -> None:
-        """Publish, or only check in a dry run."""
+        """Publish the documents, or validate them in a dry run."""
         service = self.context.service
         body = publishing.read_body(self.request.body)
         publication = publishing.read_publication(body, self.token)
         if isinstance(publication, bodies.ProblemBody):
-            self.answer(publication)
+            self.respond(publication)
             return
         bearer.check_publication(self.token, service.snapshot(), publication)
         if body.dry_run:
             planned = await service.plan(publication)
-            self.answer(publishing.describe_plan(planned))
+            self.respond(publishing.describe_plan(planned))
             return
         result = await service.publish(publication)
-        self.answer(publishing.describe_result(publication, result))
+        self.respond(publishing.describe_result(publication, result))
 
 
 class ConfigurationHandler(OperatorHandler):
-    """Shows the version in force and the latest publications."""
+    """Returns the version in force and the latest publications."""
 
     def get(self) -> None:
-        """Answer version and history."""
+        """Respond with the version and the history."""
         service = self.context.service
         history = browsing.describe_history(service.contents(), self.token)
-        self.answer(bodies.ConfigurationBody(service.version(), history))
+        self.respond(bodies.ConfigurationBody(service.version(), history))
 
 
 class ChangesHandler(OperatorHandler):
-    """Shows what one version changed."""
+    """Returns the changes of a version."""
 
     def get(self, version: str) -> None:
-        """Answer its record."""
+        """Respond with the history record of the version."""
         contents = self.context.service.contents()
-        self.answer(browsing.find_changes(contents, self.token, int(version)))
+        self.respond(browsing.find_changes(contents, self.token, int(version)))
 
 
 class DocumentsHandler(OperatorHandler):
-    """Shows the documents in force."""
+    """Lists the documents in force."""
 
     def get(self) -> None:
-        """Answer a page of them."""
+        """Respond with a page of documents."""
         query = bodies.Query(
             self.get_query_argument('kind', ''),
             self.get_query_argument('workspace', ''),
@@ -211,44 +211,46 @@
             self._read_limit(),
         )
         contents = self.context.service.contents()
-        self.answer(browsing.list_documents(contents, self.token, query))
+        self.respond(browsing.list_documents(contents, self.token, query))
 
     def _read_limit(self) -> int:
-        text = self.get_query_argument('limit', str(bodies.PAGE_LENGTH))
+        text = self.get_query_argument(
+            'limit', str(bodies.DEFAULT_PAGE_LENGTH)
+        )
         limit = int(text) if text.isascii() and text.isdecimal() else 0
-        if 0 < limit <= bodies.LONGEST_PAGE:
+        if 0 < limit <= bodies.MAX_PAGE_LENGTH:
             return limit
         raise exceptions.BadRequest(
-            f'"{text}" is not a length of a page.',
-            f'Write a number from 1 to {bodies.LONGEST_PAGE}.',
+            f'"{text}" is not a valid page length.',
+            f'Use a number from 1 to {bodies.MAX_PAGE_LENGTH}.',
         )
 
 
 class StatusHandler(OperatorHandler):
-    """Shows the entries and the version in force at each."""
+    """Lists the entries and their versions in force."""
 
     def get(self) -> None:
-        """Answer the members as this entry knows them."""
+        """Respond with the entries in the local view."""
         service = self.context.service
         report = service.report(service.version())
-        late = {one.incarnation for one in report.stragglers}
+        straggling = {one.incarnation for one in report.stragglers}
         lines = tuple(
-            _describe_member(member, member.incarnation in late)
+            _describe_member(member, member.incarnation in straggling)
             for member in self.context.members.list_members()
         )
         isolated = service.is_isolated(self.context.clock.now())
-        self.answer(
+        self.respond(
             bodies.StatusBody(
-                service.version(), isolated, lines, tuple(sorted(late))
+                service.version(), isolated, lines, tuple(sorted(straggling))
             )
         )
 
 
 class DrainHandler(OperatorHandler):
-    """Starts the planned stop of this entry."""
+    """Starts draining this entry."""
 
     async def post(self) -> None:
-        """Start it; 202, since requests in flight are finished first."""
+        """Respond with 202, because in-flight requests complete first."""
         bearer.check_unlimited(self.token)
         logger.info('drain_requested', token=self.token.name)
         await self.context.drain()
@@ -256,38 +258,38 @@
 
 
 class ActionHandler(OperatorHandler):
-    """Shows what became of an action."""
+    """Returns the outcome of an action."""
 
     async def get(self, workspace: str, key: str) -> None:
-        """Answer the record of a key."""
+        """Respond with the record of a key."""
         bearer.check_workspace(self.token, workspace)
         record = await self.context.look_up_action(workspace, key)
         if record is None:
             raise exceptions.NotFound(
                 f'Workspace "{workspace}" has no record of key "{key}".',
-                'Check both; records are kept for a limited time.',
+                'Check both; records are stored for a limited time.',
             )
-        self.answer(record)
+        self.respond(record)
 
 
 class ReportHandler(OperatorHandler):
-    """Shows the report of this entry."""
+    """Returns the report of this entry."""
 
     async def get(self) -> None:
-        """Answer the report."""
+        """Respond with the report."""
         workspaces = self.token.workspaces
-        self.answer(await self.context.build_report(workspaces))
+        self.respond(await self.context.build_report(workspaces))
 
 
-class UnknownHandler(OperatorHandler):
-    """Answers for every other address."""
+class NotFoundHandler(OperatorHandler):
+    """Responds to paths that have no route."""
 
     def prepare(self) -> None:
-        """Refuse before a method is chosen."""
+        """Raise an error for any method."""
         super().prepare()
         raise exceptions.NotFound(
-            f'There is nothing at {self.request.path}.',
-            'See docs/admin-api.md for the addresses.',
+            f'No resource at {self.request.path}.',
+            'See docs/admin-api.md for the available paths.',
         )
 
 
@@ -302,7 +304,7 @@
 
 def _describe_status(status: int, reason: str) -> bodies.ProblemBody:
     return bodies.ProblemBody(
-        'about:blank', reason, status, 'The log of the entry tells more.'
+        'about:blank', reason, status, 'See the log of the entry.'
     )
 
 
--- a/src/thornspool/adapters/operators/publishing.py
+++ b/src/thornspool/adapters/operators/publishing.py
@@ -1,4 +1,4 @@
-"""Translation between publications and their HTTP bodies."""
+"""Conversion between publications and HTTP bodies."""
 
 from __future__ import annotations
 
@@ -32,19 +32,19 @@
     Raises
     ------
     BadRequest
-        If it is not one.
+        If the body is invalid.
     """
     try:
         decoded = msgspec.json.decode(body, type=bodies.PublicationBody)
     except msgspec.DecodeError as error:
         raise exceptions.BadRequest(
-            f'The publication cannot be read: {error}.',
+            f'The publication cannot be decoded: {error}.',
             'Send id, base_version and documents.',
         ) from error
     if not 0 < len(decoded.id) <= _MAX_ID_LENGTH:
         raise exceptions.BadRequest(
-            'The publication has no usable id.',
-            f'Send a new UUID; at most {_MAX_ID_LENGTH} characters.',
+            'The publication has no valid id.',
+            f'Send a new UUID of at most {_MAX_ID_LENGTH} characters.',
         )
     too_long = (
         len(decoded.author) > _MAX_AUTHOR_LENGTH
@@ -62,12 +62,12 @@
 def read_publication(
     body: bodies.PublicationBody, token: settings.Token
 ) -> publications.Publication | bodies.ProblemBody:
-    """Check the documents of a body against the schema.
+    """Validate the documents of a body against the schema.
 
     Returns
     -------
     Publication or ProblemBody
-        What to publish, or every broken rule of the schema.
+        The publication, or a problem with all schema violations.
     """
     collection = files.read_documents(body.documents)
     if collection.problems:
@@ -86,7 +86,7 @@
     publication: publications.Publication,
     result: configuration_results.PublishResult,
 ) -> configuration_results.Accepted | bodies.ProblemBody:
-    """Return the body that tells a publication's outcome."""
+    """Return the response body for the result of a publication."""
     if isinstance(result, configuration_results.Accepted):
         return result
     if isinstance(result, publishing.Undecided):
@@ -97,7 +97,7 @@
 def describe_plan(
     planned: publications.Planned,
 ) -> bodies.CheckedBody | bodies.ProblemBody:
-    """Return the body that answers a dry run."""
+    """Return the response body for a dry run."""
     if isinstance(planned, publications.Unchanged):
         return bodies.CheckedBody(planned.version, 0)
     if isinstance(planned, publications.Plan):
@@ -115,9 +115,9 @@
         f'{bodies.PROBLEM_TYPE_PREFIX}conflict',
         'Documents changed meanwhile',
         409,
-        'Others changed these documents since your base: '
-        f'{", ".join(result.names)}. Look at version {result.version}, '
-        'take their changes in and publish again with it as base.',
+        'These documents changed since the base version: '
+        f'{", ".join(result.names)}. Fetch version {result.version}, '
+        'merge its changes and publish again with it as base_version.',
         names=result.names,
         version=result.version,
     )
@@ -128,9 +128,9 @@
 ) -> bodies.ProblemBody:
     return bodies.ProblemBody(
         f'{bodies.PROBLEM_TYPE_PREFIX}invalid',
-        'Documents break rules',
+        'Documents violate rules',
         422,
-        'Nothing was published. Correct what "problems" lists and publish '
+        'Nothing was published. Correct the listed "problems" and publish '
         'again.',
         problems=found,
     )
@@ -139,21 +139,21 @@
 def _describe_undecided(
     publication: publications.Publication, result: publishing.Undecided
 ) -> bodies.ProblemBody:
-    state = 'It is not accepted'
+    state = 'It was not accepted'
     if result.written:
-        state = 'It may have been accepted, or may still be'
+        state = 'It may have been accepted or may be accepted later'
     return bodies.ProblemBody(
         f'{bodies.PROBLEM_TYPE_PREFIX}undecided',
-        'Outcome not known',
+        'Unknown outcome',
         503,
-        f'{result.reason} {state}. Send it again with the same id.',
+        f'{result.reason} {state}. Retry with the same id.',
         publication=publication.id,
         written=result.written,
     )
 
 
 def _name_author(author: str, token: settings.Token) -> str:
-    """Return the author with the token's name, which cannot be made up."""
+    """Return the author with the token's name, which cannot be forged."""
     if author in ('', token.name):
         return token.name
     return f'{author} ({token.name})'
--- a/src/thornspool/adapters/operators/scrapes.py
+++ b/src/thornspool/adapters/operators/scrapes.py
@@ -1,4 +1,4 @@
-"""``GET /metrics`` for the collector of metrics."""
+"""``GET /metrics`` for metrics collectors."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class MetricsHandler(web.RequestHandler):
-    """Answers with all metrics.
+    """Responds with all metrics.
 
-    It asks for no token: collectors scrape by address, and nothing in the
-    metrics is secret.
+    No token is required, because collectors scrape by address and the
+    metrics contain no secrets.
     """
 
     def initialize(self, metrics: metrics_module.Metrics) -> None:
-        """Keep the metrics."""
+        """Set the metrics."""
         self._metrics = metrics
 
     def get(self) -> None:
-        """Render the metrics."""
+        """Respond with the rendered metrics."""
         accepts = tuple(self.request.headers.get_list('Accept'))
         body, content_type = self._metrics.render(accepts)
         self.set_header('Content-Type', content_type)
@@ -32,5 +32,5 @@
 def make_route(
     metrics: metrics_module.Metrics,
 ) -> tuple[str, type[web.RequestHandler], dict[str, typing.Any]]:
-    """Return the route of metrics for tornado."""
+    """Return the tornado route of the metrics."""
     return ('/metrics', MetricsHandler, {'metrics': metrics})
--- a/src/thornspool/adapters/operators/tokens.py
+++ b/src/thornspool/adapters/operators/tokens.py
@@ -1,4 +1,4 @@
-"""Bearer tokens of operators."""
+"""Authorization of operators by bearer tokens."""
 
 from __future__ import annotations
 
@@ -21,37 +21,39 @@
 def find_token(
     header: str, tokens: Sequence[settings.Token]
 ) -> settings.Token:
-    """Return the token that a request carries.
+    """Return the configured token of a request.
 
-    Every known token is compared, and each in constant time, so that the
-    time of the answer tells nothing about how close a guess was.
+    All tokens are compared, each in constant time, so that the response
+    time does not depend on the similarity of a guessed token.
 
     Parameters
     ----------
     header : str
         Value of the ``Authorization`` header.
     tokens : sequence of Token
-        The tokens that are known.
+        Configured tokens.
 
     Raises
     ------
     Unauthorized
-        If there is none or it is not known.
+        If the token is missing or invalid.
     """
-    scheme, _, given = header.partition(' ')
+    scheme, _, credentials = header.partition(' ')
     if scheme.lower() != _SCHEME:
         raise exceptions.Unauthorized('A token is required.', _HINT)
     found = None
     for token in tokens:
-        if hmac.compare_digest(given.strip().encode(), token.token.encode()):
+        if hmac.compare_digest(
+            credentials.strip().encode(), token.token.encode()
+        ):
             found = token
     if found is None:
-        raise exceptions.Unauthorized('The token is not known.', _HINT)
+        raise exceptions.Unauthorized('The token is invalid.', _HINT)
     return found
 
 
 def check_workspace(token: settings.Token, workspace: str) -> None:
-    """Refuse a token that does not cover a workspace.
+    """Check that a token includes a workspace.
 
     Raises
     ------
@@ -61,24 +63,24 @@
     if token.workspaces is None or workspace in token.workspaces:
         return
     raise exceptions.Forbidden(
-        f'Token "{token.name}" does not cover workspace "{workspace}".',
-        'Ask for a token that does.',
+        f'Token "{token.name}" does not include workspace "{workspace}".',
+        'Use a token that includes it.',
     )
 
 
 def check_unlimited(token: settings.Token) -> None:
-    """Refuse a token that is limited to some workspaces.
+    """Check that a token is not limited to some workspaces.
 
     Raises
     ------
     Forbidden
-        If it is.
+        If it is limited.
     """
     if token.workspaces is None:
         return
     raise exceptions.Forbidden(
         f'Token "{token.name}" is limited to some workspaces.',
-        'Ask an operator of the whole system.',
+        'Use a token without this limit.',
     )
 
 
@@ -87,28 +89,29 @@
     snapshot: documents.Snapshot,
     publication: publications.Publication,
 ) -> None:
-    """Refuse a publication that reaches beyond the token's workspaces.
+    """Check that a publication changes only the token's workspaces.
 
-    A service counts to the workspace that it names and to the one that it
-    named before. Models and targets are shared by all.
+    A service belongs to the workspace that it names and to the one that it
+    named before. Models and targets are shared by all workspaces.
 
-    What this entry does not know of yet is no reason to allow it: whoever
-    owns a name now may have published it in a version that is not in force
-    here. A base that is in force here makes each such change a conflict.
+    A document that is missing at this entry is not necessarily free: its
+    owner may have published it in a version that is not in force here yet.
+    The base version must therefore be in force here, so that any such
+    change results in a conflict.
 
     Raises
     ------
     Forbidden
-        If it does.
+        If it changes other documents.
     Unavailable
-        If its base is not in force here yet.
+        If its base version is not in force at this entry.
     """
     if token.workspaces is None:
         return
     if publication.base_version > snapshot.version:
         raise exceptions.Unavailable(
             f'Base version {publication.base_version} is not in force here.',
-            f'Version {snapshot.version} is; send it again in a few seconds.',
+            f'Version {snapshot.version} is in force; retry in a few seconds.',
         )
     for document in publication.additions:
         _check_key(token, snapshot, documents.identify(document))
--- a/tests/adapters/callers/test_routes.py
+++ b/tests/adapters/callers/test_routes.py
@@ -1,4 +1,4 @@
-"""Contract tests of the callers' interface over a fake of the use cases."""
+"""Contract tests of the caller API with fake use cases."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 KEYS = '/v1/workspaces/swan-coast/keys'
 
 # path, body, status, part of the detail
-BAD_INPUT = (
+INVALID_INPUT = (
     (GENERATE, b'{"prompt": ', 400, 'not a request for text'),
     (GENERATE, b'[]', 400, 'not a request for text'),
     (GENERATE, b'{"max_tokens": 3}', 400, 'prompt'),
@@ -62,14 +62,14 @@
 
 
 class FakeRequests:
-    """Use cases that answer what a test puts in."""
+    """Use cases that return the result set by the test."""
 
     def __init__(self) -> None:
         self.result = results.ActionDone(200, 'text/plain', b'held', False)
         self.events = []
         self.calls = []
         self.closed = asyncio.Event()
-        self.hang = False
+        self.hangs = False
 
     async def run_operation(self, request):
         self.calls.append(request)
@@ -93,7 +93,7 @@
                 if isinstance(event, Exception):
                     raise event
                 yield event
-            if self.hang:
+            if self.hangs:
                 await asyncio.sleep(30)
         finally:
             self.closed.set()
@@ -120,52 +120,53 @@
         names = {k.replace('_', '-'): v for k, v in headers.items()}
         return self.fetch(path, method='POST', body=body, headers=names)
 
-    def test_entries_say_how_long_to_keep_them(self) -> None:
-        answer = self.fetch('/v1/entries')
-        body = json.loads(answer.body)
+    def test_entries_have_a_cache_lifetime(self) -> None:
+        response = self.fetch('/v1/entries')
+        body = json.loads(response.body)
         self.assertEqual('http://10.0.0.1:8000', body['entries'][0]['url'])
         self.assertEqual(['http://10.0.0.9:8000'], body['leaving'])
-        self.assertEqual('max-age=10', answer.headers['Cache-Control'])
+        self.assertEqual('max-age=10', response.headers['Cache-Control'])
 
-    def test_health_and_readiness_differ(self) -> None:
+    def test_health_differs_from_readiness(self) -> None:
         self.assertEqual(200, self.fetch('/v1/health').code)
         self.assertEqual(503, self.fetch('/v1/ready').code)
 
-    def test_bad_input_is_refused_and_runs_nothing(self) -> None:
-        for path, body, status, detail in BAD_INPUT:
+    def test_invalid_input_is_rejected_without_a_call(self) -> None:
+        for path, body, status, detail in INVALID_INPUT:
             with self.subTest(path=path, body=body):
-                answer = self.post(path, body)
-                problem = json.loads(answer.body)
-                self.assertEqual(status, answer.code)
+                response = self.post(path, body)
+                problem = json.loads(response.body)
+                self.assertEqual(status, response.code)
                 self.assertIn(detail, problem['detail'])
                 self.assertEqual('not run', problem['outcome'])
         self.assertEqual([], self.requests.calls)
 
-    def test_results_keep_their_outcome(self) -> None:
+    def test_problem_has_the_outcome_of_the_result(self) -> None:
         for result, status, outcome, retry_after_ms in RESULTS:
             with self.subTest(result=result):
                 self.requests.result = result
-                answer = self.post(HOLD, b'{}', Idempotency_Key='k')
-                problem = json.loads(answer.body)
-                self.assertEqual(status, answer.code)
+                response = self.post(HOLD, b'{}', Idempotency_Key='k')
+                problem = json.loads(response.body)
+                self.assertEqual(status, response.code)
                 self.assertEqual(outcome, problem['outcome'])
                 self.assertEqual(retry_after_ms, problem.get('retry_after_ms'))
                 self.assertEqual(
                     retry_after_ms is not None,
-                    'Retry-After' in answer.headers,
+                    'Retry-After' in response.headers,
                 )
 
-    def test_an_answer_is_passed_on_whole(self) -> None:
-        answer = self.post(HOLD, b'{"slot": 1}', Idempotency_Key='k')
-        self.assertEqual(b'held', answer.body)
-        self.assertEqual('false', answer.headers['Idempotency-Replayed'])
+    def test_response_is_forwarded_unchanged(self) -> None:
+        response = self.post(HOLD, b'{"slot": 1}', Idempotency_Key='k')
+        self.assertEqual(b'held', response.body)
+        self.assertEqual('false', response.headers['Idempotency-Replayed'])
         self.assertEqual('k', self.requests.calls[0].key)
 
-    def test_problems_of_actions_tell_whether_the_key_was_checked(self):
-        """A call is refused while an earlier send of its key has run.
+    def test_problems_of_actions_report_key_checked(self):
+        """Guards against double execution after a refused retry.
 
-        A caller that takes "not run" for a statement about the key books
-        again under a new key and holds two slots.
+        A request is refused although an earlier one with the same key was
+        executed. A caller that applies "not run" to the key would book again
+        with a new key and hold two slots.
         """
         for result, key, checked in KEY_CHECKED:
             with self.subTest(result=result, key=key):
@@ -174,27 +175,28 @@
                 problem = json.loads(self.post(HOLD, b'{}', **headers).body)
                 self.assertIs(checked, problem.get('key_checked'))
 
-    def test_a_replay_without_its_body_is_not_taken_for_a_whole_one(self):
-        """A long answer was recorded without its body, and is replayed.
+    def test_replay_without_its_body_is_a_problem(self):
+        """Guards against an empty replay that appears complete.
 
-        The caller would store an empty answer as that of the service.
+        A long response is recorded without its body. The caller would store
+        the empty replay as the response of the service.
         """
         self.requests.result = results.ActionDone(
             201, 'text/plain', b'', True, False
         )
-        answer = self.post(HOLD, b'{}', Idempotency_Key='k')
-        self.assertEqual(201, answer.code)
-        self.assertEqual('true', answer.headers['Idempotency-Replayed'])
-        self.assertEqual('false', answer.headers['Idempotency-Body-Kept'])
+        response = self.post(HOLD, b'{}', Idempotency_Key='k')
+        self.assertEqual(201, response.code)
+        self.assertEqual('true', response.headers['Idempotency-Replayed'])
+        self.assertEqual('false', response.headers['Idempotency-Body-Kept'])
         self.assertEqual(
-            'application/problem+json', answer.headers['Content-Type']
+            'application/problem+json', response.headers['Content-Type']
         )
-        self.assertEqual('done', json.loads(answer.body)['outcome'])
+        self.assertEqual('done', json.loads(response.body)['outcome'])
 
-    def test_keys_bound_to_the_entry_are_made(self) -> None:
-        answer = self.post(KEYS, b'')
-        self.assertEqual(201, answer.code)
-        self.assertEqual({'key': 'key@entry-1'}, json.loads(answer.body))
+    def test_keys_bound_to_the_entry_are_created(self) -> None:
+        response = self.post(KEYS, b'')
+        self.assertEqual(201, response.code)
+        self.assertEqual({'key': 'key@entry-1'}, json.loads(response.body))
         self.assertEqual(['swan-coast'], self.requests.calls)
         for error, status in (
             (requests.RequestRefused('drain', 100), 503),
@@ -204,40 +206,40 @@
                 self.requests.result = error
                 self.assertEqual(status, self.post(KEYS, b'').code)
 
-    def test_a_drain_names_entries_to_use_instead(self) -> None:
+    def test_draining_entry_names_other_entries(self) -> None:
         self.requests.result = requests.RequestRefused(
             'drain', 0, ('http://10.0.0.1:8000',)
         )
         problem = json.loads(self.post(HOLD, b'{}').body)
         self.assertEqual(['http://10.0.0.1:8000'], problem['instead'])
 
-    def test_a_stream_numbers_its_tokens_and_ends_with_a_count(self):
+    def test_stream_numbers_its_tokens_and_ends_with_a_count(self):
         self.requests.events = [
             generation.Tokens(0, ('a', 'b')),
             generation.Tokens(2, ('c',)),
             generation.Finished(3),
         ]
-        answer = self.post(GENERATE, b'{"prompt": "p"}')
-        self.assertEqual('text/event-stream', answer.headers['Content-Type'])
+        response = self.post(GENERATE, b'{"prompt": "p"}')
+        self.assertEqual('text/event-stream', response.headers['Content-Type'])
         self.assertEqual(
             b'event: tokens\n'
             b'data: {"first_index":0,"texts":["a","b"]}\n\n'
             b'event: tokens\ndata: {"first_index":2,"texts":["c"]}\n\n'
             b'event: end\ndata: {"count":3}\n\n',
-            answer.body,
+            response.body,
         )
-        whole = self.post(
+        collected = self.post(
             GENERATE, b'{"prompt": "p"}', Accept='application/json'
         )
         self.assertEqual(
-            {'texts': ['a', 'b', 'c'], 'count': 3}, json.loads(whole.body)
+            {'texts': ['a', 'b', 'c'], 'count': 3}, json.loads(collected.body)
         )
 
-    def test_a_stream_that_fails_is_never_cut_in_silence(self) -> None:
-        """Every stage of the model dies in mid-answer.
+    def test_failed_stream_ends_with_an_error_event(self) -> None:
+        """Guards against a truncated stream that appears complete.
 
-        The caller must be told in the stream, with what was delivered,
-        since a stream that merely stops looks like a whole answer.
+        Every stage of the model crashes during the response. The stream must
+        report the failure and the number of delivered tokens.
         """
         failed = generation.Failed(
             next(iter(messages.Reason)), generation.Outcome.UNKNOWN, 500, 1
@@ -250,25 +252,25 @@
         self.assertEqual(1, problem['delivered'])
         self.assertEqual(500, problem['retry_after_ms'])
 
-    def test_a_stream_refused_before_its_start_has_a_status(self) -> None:
+    def test_stream_rejected_before_its_start_has_a_status(self) -> None:
         failed = generation.Failed(
             next(iter(messages.Reason)), generation.Outcome.NOT_RUN, 500, 0
         )
         for event in (failed, requests.RequestRefused('limit', 500)):
             with self.subTest(event=event):
                 self.requests.events = [event]
-                answer = self.post(GENERATE, b'{"prompt": "p"}')
-                self.assertEqual(503, answer.code)
-                self.assertEqual('1', answer.headers['Retry-After'])
+                response = self.post(GENERATE, b'{"prompt": "p"}')
+                self.assertEqual(503, response.code)
+                self.assertEqual('1', response.headers['Retry-After'])
 
     @testing.gen_test
-    async def test_work_of_a_caller_that_left_is_stopped(self):
-        """A caller closes its connection in the middle of an answer.
+    async def test_request_of_a_disconnected_caller_is_cancelled(self):
+        """Guards against accelerators that compute without a reader.
 
-        Nobody notices but the accelerators, which would go on for nobody.
+        A caller closes its connection during a response.
         """
         self.requests.events = [generation.Tokens(0, ('a',))]
-        self.requests.hang = True
+        self.requests.hangs = True
         reader, writer = await asyncio.open_connection(
             '127.0.0.1', self.get_http_port()
         )
--- a/tests/adapters/callers/test_streams.py
+++ b/tests/adapters/callers/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams to callers that do not read."""
+"""Tests of streams to callers that do not read."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class _EndlessRequests:
-    """Use cases whose streams end only when they are closed."""
+    """Use cases whose streams end only when closed."""
 
     def __init__(self) -> None:
         self.closed = asyncio.Event()
@@ -38,22 +38,22 @@
             self.closed.set()
 
 
-class HangingCallerTest(unittest.IsolatedAsyncioTestCase):
+class UnreadStreamTest(unittest.IsolatedAsyncioTestCase):
     """A caller hangs with its connection open."""
 
-    async def test_a_stream_that_nobody_reads_ends(self) -> None:
-        """A caller's process is stopped in the middle of a stream.
+    async def test_stream_ends_if_the_caller_does_not_read(self) -> None:
+        """Guards against requests that never end.
 
-        Its connection stays open and takes no bytes. Without a bound the
-        request holds its place and its engines for ever, and an entry that
-        is told to stop never exits.
+        A suspended caller keeps its connection open without reading. Without
+        a limit, the request holds its slot and engines forever, and an entry
+        that is stopped never exits.
         """
-        fake = _EndlessRequests()
+        requests = _EndlessRequests()
         listener = servers.Listener('127.0.0.1:0', None)
         listener.start(
             routes.make_application(
                 context.CallerContext(
-                    typing.cast('context.RequestPort', fake),
+                    typing.cast('context.RequestPort', requests),
                     mock.Mock(),
                     lambda: 'request-1',
                     lambda: True,
@@ -68,7 +68,7 @@
                 f'POST {PATH} HTTP/1.1\r\nHost: x\r\n'
                 f'Content-Length: {len(body)}\r\n\r\n{body}'.encode()
             )
-            await asyncio.wait_for(fake.closed.wait(), LIMIT_S)
-        self.assertGreater(fake.sent, 0)
+            await asyncio.wait_for(requests.closed.wait(), LIMIT_S)
+        self.assertGreater(requests.sent, 0)
         await asyncio.wait_for(listener.stop(), LIMIT_S)
         writer.close()
--- a/tests/adapters/operators/builders.py
+++ b/tests/adapters/operators/builders.py
@@ -1,4 +1,4 @@
-"""An entry that serves operators over HTTP."""
+"""Base class for tests of the operator API."""
 
 from __future__ import annotations
 
@@ -41,9 +41,9 @@
 
 
 def build_report(*severities: burn.Severity) -> objectives.BurnReport:
-    """Build a report of two of three entries, one subject a severity.
+    """Build a report of two of three entries with a subject per severity.
 
-    Subjects at a lower severity have the higher rates.
+    Subjects with a lower severity have higher rates.
     """
     rates = {
         burn.Severity.NONE: (90.0, 20.0, 9.0, 2.0, 0.2),
@@ -66,13 +66,14 @@
 
 
 class OperatorsCase(unittest.IsolatedAsyncioTestCase):
-    """An entry whose operators' interface is served on a port of its own.
+    """An entry whose operator API is served on a separate port.
 
     Attributes
     ----------
     starts_isolated : bool
-        The platform never answers the entry. Otherwise tests begin once it
-        has: until then, some 4 ms, an entry truly reports itself isolated.
+        Whether the platform never responds to the entry. Otherwise a test
+        starts after the first response; until then, for about 4 ms, the
+        entry reports itself as isolated.
     """
 
     starts_isolated = False
--- a/tests/adapters/operators/test_browsing.py
+++ b/tests/adapters/operators/test_browsing.py
@@ -1,4 +1,4 @@
-"""What teams may read and change through the operators' interface."""
+"""Tests of the permissions of teams in the operator API."""
 
 from __future__ import annotations
 
@@ -49,10 +49,10 @@
     TARGET,
     ENGINE,
 ]
-MINE: dict[str, typing.Any] = {'token': builders.LIMITED}
+AS_TEAM: dict[str, typing.Any] = {'token': builders.LIMITED}
 
 
-class TeamsTest(builders.OperatorsCase):
+class TeamPermissionsTest(builders.OperatorsCase):
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
         status, _, _ = await self.publish(id='v1', documents=EVERYTHING)
@@ -65,25 +65,26 @@
         names = [f'{one["kind"]}/{one["name"]}' for one in lines]
         return names, value
 
-    async def test_a_limited_token_changes_only_what_is_its_own(self) -> None:
-        """A team's pipeline publishes with a token of its workspace.
+    async def test_limited_token_changes_only_its_documents(self) -> None:
+        """Guards against changes to documents of other teams.
 
-        A mistake there must not change what other teams or all share.
+        The pipeline of a team publishes with a token of its workspace. An
+        error there must not change other or shared documents.
         """
-        own = _service('a-2', 'alpha')
+        additional = _service('a-2', 'alpha')
         moved = _service('a-1', 'beta')
-        taken = _service('b-1', 'alpha')
+        claimed = _service('b-1', 'alpha')
         leaving = {**TARGET, 'leaving': True}
         cases: tuple[tuple[str, list[typing.Any], list[str], int], ...] = (
-            ('own service', [own], [], 200),
+            ('own service', [additional], [], 200),
             ('own workspace', [{**builders.ALPHA, 'models': []}], [], 200),
             ('own removal', [], ['service/a-2'], 200),
             ('other workspace', [BETA], [], 403),
             ('new workspace', [{**BETA, 'name': 'gamma'}], [], 403),
-            ('own and other', [own, BETA], [], 403),
+            ('own and other', [additional, BETA], [], 403),
             ('service of another', [_service('b-2', 'beta')], [], 403),
             ('own service given away', [moved], [], 403),
-            ('service taken over', [taken], [], 403),
+            ('service taken over', [claimed], [], 403),
             ('target', [leaving], [], 403),
             ('new target', [{**TARGET, 'name': 'mine'}], [], 403),
             ('model', [{**MODEL, 'version': '2'}], [], 403),
@@ -105,34 +106,35 @@
                             {'kind': kind, 'name': one} for kind, one in pairs
                         ],
                         dry_run=dry_run,
-                        **MINE,
+                        **AS_TEAM,
                     )
                     self.assertEqual(expected, status, value)
         names, _ = await self._list()
         self.assertEqual(7, len(names))
 
-    async def test_a_base_that_is_not_in_force_here_proves_nothing(
+    async def test_base_version_must_be_in_force(
         self,
     ) -> None:
-        """The entry that is asked lags behind the one that was looked at.
+        """Guards against a change to a document of another team.
 
-        Another team owns the name by now, and only entries that are ahead
-        know it. The check passes on what is in force here, and by the time
-        that the publication is decided its base has arrived here too.
+        The entry that receives the publication has an older version than the
+        base version, in which another team created the document. The check
+        against the older version would pass, and the base version would be
+        in force here when the publication is decided.
         """
         service = self.entry.service
-        lagging = service.snapshot()
+        outdated = service.snapshot()
         theirs = _service('c-1', 'beta')
         await self.publish(id='2', base_version=1, documents=[theirs])
-        service.snapshot = lambda: lagging  # type: ignore[method-assign]
+        service.snapshot = lambda: outdated  # type: ignore[method-assign]
         ours = _service('c-1', 'alpha')
         status, _, value = await self.publish(
-            id='3', base_version=2, documents=[ours], **MINE
+            id='3', base_version=2, documents=[ours], **AS_TEAM
         )
         self.assertEqual(503, status, value)
         self.assertIn('in a few seconds', value['detail'])
         status, _, _ = await self.publish(
-            id='4', base_version=1, documents=[ours], **MINE
+            id='4', base_version=1, documents=[ours], **AS_TEAM
         )
         self.assertEqual(409, status)
 
@@ -157,17 +159,17 @@
             ('?workspace=beta', {}, ['workspace/beta', 'service/b-1']),
             ('?workspace=beta&kind=service', {}, ['service/b-1']),
             ('?workspace=nobody', {}, []),
-            ('', MINE, ['workspace/alpha', 'service/a-1']),
-            ('?kind=target', MINE, []),
-            ('?kind=model', MINE, []),
-            ('?workspace=alpha&kind=service', MINE, ['service/a-1']),
+            ('', AS_TEAM, ['workspace/alpha', 'service/a-1']),
+            ('?kind=target', AS_TEAM, []),
+            ('?kind=model', AS_TEAM, []),
+            ('?workspace=alpha&kind=service', AS_TEAM, ['service/a-1']),
         )
         for query, options, expected in cases:
             with self.subTest(query=query, options=options):
                 names, _ = await self._list(query, **options)
                 self.assertEqual(expected, names)
 
-    async def test_pages_hold_each_document_once(self) -> None:
+    async def test_pages_contain_each_document_once(self) -> None:
         everything, _ = await self._list()
         for limit in range(1, 9):
             with self.subTest(limit=limit):
@@ -183,10 +185,11 @@
                         break
                 self.assertEqual(everything, seen)
 
-    async def test_history_is_kept_to_what_is_the_tokens_own(self) -> None:
-        """Many teams publish; one looks at what became of its documents.
+    async def test_history_is_limited_to_documents_of_the_token(self) -> None:
+        """Guards against changes that are missing in the history of a team.
 
-        Records hold eight names, and the team's may be beyond them.
+        A history record contains eight names, and the documents of the team
+        may not be among them.
         """
         many = [_service(f'a-0{number}', 'beta') for number in range(9)]
         changed = _service('a-1', 'alpha', 5)
@@ -214,8 +217,8 @@
                 beta_shown = 'Secret of beta' in str(value)
                 self.assertEqual(token == builders.SECRET, beta_shown)
 
-    async def test_addresses_by_token(self) -> None:
-        """A team tries what is not for it, or mistypes an address."""
+    async def test_routes_by_token(self) -> None:
+        """Guards against access that a token does not permit."""
         changes = '/v1/configuration/versions/{}/changes'
         beta = {**BETA, 'limits': {'concurrency': 3}}
         await self.publish(id='2', base_version=1, documents=[beta])
@@ -245,12 +248,13 @@
                     self.assertEqual(expected, status)
         self.assertEqual(1, self.drained)
 
-    async def test_files_of_an_earlier_version_are_published_again(
+    async def test_earlier_version_can_be_published_again(
         self,
     ) -> None:
-        """A change turned out bad, and its author goes back in git.
+        """Guards against a revert that is incomplete.
 
-        There is no rollback on the server; what was added has to be named.
+        An author reverts a change in git. The server has no rollback, so
+        added documents have to be listed as removals.
         """
         added = _service('a-2', 'alpha')
         changed = _service('a-1', 'alpha', 5)
@@ -271,9 +275,9 @@
         self.assertEqual(['service/a-1'], value['changed'])
 
 
-class WritingTest(builders.OperatorsCase):
-    async def test_what_is_shown_can_be_published_as_it_is(self) -> None:
-        """A default that is written out, or lost, would change documents."""
+class RoundTripTest(builders.OperatorsCase):
+    async def test_listed_documents_can_be_published_unchanged(self) -> None:
+        """Guards against documents changed by added or missing defaults."""
         for name in ('swan-coast', 'spjaldamarkadur'):
             with self.subTest(name):
                 paths = sorted((EXAMPLES / name / 'services').rglob('*.json'))
--- a/tests/adapters/operators/test_handlers.py
+++ b/tests/adapters/operators/test_handlers.py
@@ -1,4 +1,4 @@
-"""The operators' interface over HTTP."""
+"""Tests of the operator API over HTTP."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class HandlersTest(builders.OperatorsCase):
-    async def test_publication_is_shown_in_history_and_status(self) -> None:
+    async def test_publication_appears_in_history_and_status(self) -> None:
         status, _, value = await self.publish(author='alice')
         self.assertEqual(
             (200, 1, ['one']), (status, value['version'], value['in_force'])
@@ -28,10 +28,11 @@
         self.assertEqual((200, expected), (status, value))
         self.assertEqual(0, self.entry.service.version())
 
-    async def test_refusals_are_problem_details(self) -> None:
-        """A publication is wrong, overtaken or beyond what a token allows.
+    async def test_rejections_are_problem_details(self) -> None:
+        """Guards against rejections without a reason.
 
-        The operator must learn from the answer alone what to correct.
+        A publication is invalid, in conflict or not permitted by the token.
+        The response has to describe the required correction.
         """
         await self.publish()
         changed = {**builders.ALPHA, 'limits': {'concurrency': 3}}
@@ -81,8 +82,8 @@
                 self.assertEqual(expected, value['status'])
                 self.assertTrue(value['detail'])
 
-    async def test_open_outcome_is_told_as_such(self) -> None:
-        """The platform is down while an operator publishes."""
+    async def test_unknown_outcome_is_reported(self) -> None:
+        """Guards against a wrong outcome during an outage of the platform."""
         self.entry.faults.platform_up = False
         service = self.entry.service
         timing = attrs.evolve(service._timing, decide=300)
@@ -95,7 +96,7 @@
         status, _, _ = await self.publish(dry_run=True)
         self.assertEqual(503, status)
 
-    async def test_other_addresses(self) -> None:
+    async def test_other_routes(self) -> None:
         action = '/v1/workspaces/alpha/actions'
         cases: tuple[tuple[str, object, str, int], ...] = (
             (f'{action}/known', None, builders.LIMITED, 200),
@@ -114,11 +115,13 @@
                 self.assertEqual(expected, status)
         self.assertEqual(1, self.drained)
 
-    async def test_a_report_is_kept_to_the_workspaces_of_a_token(self) -> None:
-        for token, seen in (
+    async def test_report_is_limited_to_the_workspaces_of_a_token(
+        self,
+    ) -> None:
+        for token, expected in (
             (builders.LIMITED, "('alpha',)"),
             (builders.SECRET, 'None'),
         ):
             with self.subTest(token=token):
                 _, _, value = await self.send('/v1/report', None, token)
-                self.assertIn(seen, str(value))
+                self.assertIn(expected, str(value))
