--- a/src/thornspool/adapters/operators/browsing.py
+++ b/src/thornspool/adapters/operators/browsing.py
@@ -41,11 +41,9 @@
     if query.workspace:
         bearer.check_workspace(token, query.workspace)
     kinds = _KINDS if not query.kind else (read_kind(query.kind),)
-    found = _find_page(contents.snapshot, token, query, kinds)
-    following = (
-        '' if len(found) <= query.limit else str(found[query.limit - 1])
-    )
-    lines = [_describe_document(contents, key) for key in found[: query.limit]]
+    keys = _find_page(contents.snapshot, token, query, kinds)
+    following = '' if len(keys) <= query.limit else str(keys[query.limit - 1])
+    lines = [_describe_document(contents, key) for key in keys[: query.limit]]
     return bodies.DocumentsBody(contents.head.version, tuple(lines), following)
 
 
@@ -56,9 +54,9 @@
     last_changes = _list_last_changes(contents, token)
     lines = (
         _describe_record(
-            contents, token, one, last_changes.get(one.version, ())
+            contents, token, record, last_changes.get(record.version, ())
         )
-        for one in contents.head.history
+        for record in contents.head.history
     )
     return tuple(line for line in lines if line is not None)
 
@@ -96,7 +94,7 @@
     try:
         return documents.DocumentKind(text)
     except ValueError as error:
-        kinds = ', '.join(one.value for one in _KINDS)
+        kinds = ', '.join(kind.value for kind in _KINDS)
         raise exceptions.BadRequest(
             f'"{text}" is not a document kind.', f'Use one of: {kinds}.'
         ) from error
@@ -111,7 +109,7 @@
     """Return the keys of a page, and one more if there is a next page."""
     after_kind, _, after_name = query.after.partition('/')
     start = _KINDS.index(read_kind(after_kind)) if query.after else 0
-    found: list[documents.DocumentKey] = []
+    keys: list[documents.DocumentKey] = []
     for kind in kinds:
         position = _KINDS.index(kind)
         if position < start:
@@ -122,12 +120,12 @@
             for name in _list_names(snapshot, token, kind, query.workspace)
             if name > lower_bound
         )
-        length = query.limit + 1 - len(found)
-        found += [
+        length = query.limit + 1 - len(keys)
+        keys += [
             documents.DocumentKey(kind, name)
             for name in heapq.nsmallest(length, names)
         ]
-    return found
+    return keys
 
 
 def _list_names(
@@ -172,16 +170,16 @@
     first names of a publication, so a document at the end of a large
     publication would otherwise be missing in the history of its team.
     """
-    found: dict[int, list[str]] = {}
+    changes: dict[int, list[str]] = {}
     if token.workspaces is None:
-        return found
+        return changes
     for kind in _KINDS:
         for name in _list_names(contents.snapshot, token, kind, ''):
             key = documents.DocumentKey(kind, name)
             stored = contents.find(key)
             if stored is not None:
-                found.setdefault(stored.version, []).append(str(key))
-    return found
+                changes.setdefault(stored.version, []).append(str(key))
+    return changes
 
 
 def _describe_record(
@@ -194,7 +192,9 @@
     names, count = record.changed, record.changed_count
     if token.workspaces is not None:
         readable = {
-            one for one in names if _is_readable(contents.snapshot, token, one)
+            name
+            for name in names
+            if _is_readable(contents.snapshot, token, name)
         }
         names = tuple(sorted(readable.union(last_changes)))
         count = len(names)
--- a/src/thornspool/adapters/operators/handlers.py
+++ b/src/thornspool/adapters/operators/handlers.py
@@ -233,7 +233,7 @@
         """Respond with the entries in the local view."""
         service = self.context.service
         report = service.report(service.version())
-        straggling = {one.incarnation for one in report.stragglers}
+        straggling = {straggler.incarnation for straggler in report.stragglers}
         lines = tuple(
             _describe_member(member, member.incarnation in straggling)
             for member in self.context.members.list_members()
--- a/src/thornspool/adapters/operators/publishing.py
+++ b/src/thornspool/adapters/operators/publishing.py
@@ -77,7 +77,7 @@
         _name_author(body.author, token),
         body.base_version,
         collection.documents,
-        tuple(_read_removal(one) for one in body.removals),
+        tuple(_read_removal(removal) for removal in body.removals),
         body.message,
     )
 
@@ -124,7 +124,7 @@
 
 
 def _describe_invalid(
-    found: tuple[problems.Problem, ...],
+    violations: tuple[problems.Problem, ...],
 ) -> bodies.ProblemBody:
     return bodies.ProblemBody(
         f'{bodies.PROBLEM_TYPE_PREFIX}invalid',
@@ -132,7 +132,7 @@
         422,
         'Nothing was published. Correct the listed "problems" and publish '
         'again.',
-        problems=found,
+        problems=violations,
     )
 
 
--- a/src/thornspool/adapters/operators/tokens.py
+++ b/src/thornspool/adapters/operators/tokens.py
@@ -41,15 +41,15 @@
     scheme, _, credentials = header.partition(' ')
     if scheme.lower() != _SCHEME:
         raise exceptions.Unauthorized('A token is required.', _HINT)
-    found = None
+    matching = None
     for token in tokens:
         if hmac.compare_digest(
             credentials.strip().encode(), token.token.encode()
         ):
-            found = token
-    if found is None:
+            matching = token
+    if matching is None:
         raise exceptions.Unauthorized('The token is invalid.', _HINT)
-    return found
+    return matching
 
 
 def check_workspace(token: settings.Token, workspace: str) -> None:
--- a/src/thornspool/adapters/store/client.py
+++ b/src/thornspool/adapters/store/client.py
@@ -215,9 +215,9 @@
             timeout_ms = 0
         position = self._positions.get(key)
         if position is None or position.version != after_version:
-            found = await self._read_for_watch(key, after_version)
-            if found is not None:
-                return found
+            newer = await self._read_for_watch(key, after_version)
+            if newer is not None:
+                return newer
             position = self._positions[key]
         name = f'{PREFIX}{key}'
         try:
@@ -269,11 +269,11 @@
         servers = await self._read(
             'hosts', lambda: self._store.read_all(documents.SERVERS_PREFIX)
         )
-        found = [
-            *(_decode_entry(one) for one in entries.items),
-            *(_decode_server(one) for one in servers.items),
+        hosts = [
+            *(_decode_entry(item) for item in entries.items),
+            *(_decode_server(item) for item in servers.items),
         ]
-        return tuple(one for one in found if one is not None)
+        return tuple(host for host in hosts if host is not None)
 
     async def _read_for_watch(
         self, key: str, after_version: int
@@ -289,10 +289,12 @@
     ) -> ports.Versioned | None:
         """Return the latest version of a key if it is newer than a version."""
         self._positions[key] = _Position(after_version, changes.revision)
-        found = [one for one in changes.items if one.key == f'{PREFIX}{key}']
-        if not found or found[-1].revision <= after_version:
+        items = [
+            item for item in changes.items if item.key == f'{PREFIX}{key}'
+        ]
+        if not items or items[-1].revision <= after_version:
             return None
-        newest = found[-1]
+        newest = items[-1]
         self._positions[key] = _Position(newest.revision, changes.revision)
         return _convert(newest)
 
--- a/src/thornspool/adapters/store/memory.py
+++ b/src/thornspool/adapters/store/memory.py
@@ -197,11 +197,11 @@
     def _apply(
         self, key: str, value: bytes, expected_version: int
     ) -> ports.WriteDone | ports.WriteConflict:
-        found = self._read(key)
-        if found.version != expected_version:
+        current = self._read(key)
+        if current.version != expected_version:
             return ports.WriteConflict()
         self._revision += 1
-        self._previous[key] = found
+        self._previous[key] = current
         self._values[key] = ports.Versioned(value, self._revision)
         changed = self._changed.pop(key, None)
         if changed is not None:
--- a/src/thornspool/adapters/targets/services.py
+++ b/src/thornspool/adapters/targets/services.py
@@ -139,8 +139,8 @@
     return next(
         (
             value
-            for found, value in response.headers
-            if found.lower() == name.lower()
+            for header, value in response.headers
+            if header.lower() == name.lower()
         ),
         '',
     )
--- a/src/thornspool/adapters/transfers.py
+++ b/src/thornspool/adapters/transfers.py
@@ -160,7 +160,7 @@
         status = int(parts[1]) if len(parts) > 1 else 0
         if status < 200 or self.done:
             return
-        self._on_head(status, tuple(_split_header(one) for one in lines[1:]))
+        self._on_head(status, tuple(_split_header(line) for line in lines[1:]))
 
     def receive_body(self, chunk: bytes) -> int | None:
         """Handle a chunk of the body; called by libcurl."""
--- a/tests/adapters/operators/builders.py
+++ b/tests/adapters/operators/builders.py
@@ -32,7 +32,7 @@
     'open': results.ActionUnknown('Still running.', 100),
     'malformed': results.ActionRefused('No UUID.'),
 }
-Answer = tuple[int, str, typing.Any]
+Response = tuple[int, str, typing.Any]
 
 
 @attrs.frozen
@@ -52,13 +52,15 @@
     }
     burns = tuple(
         burn.Burn(
-            burn.Subject('slots', f'{one.value}-1', burn.Indicator.LATENCY),
+            burn.Subject(
+                'slots', f'{severity.value}-1', burn.Indicator.LATENCY
+            ),
             0.995,
-            rates[one],
+            rates[severity],
             (10, 60, 120, 720, 8640),
-            one,
+            severity,
         )
-        for one in severities
+        for severity in severities
     )
     return objectives.BurnReport(
         1_790_000_000_000, burn.WINDOWS_MS, 3, 2, burns
@@ -105,7 +107,7 @@
 
         async def look_up(workspace: str, key: str) -> typing.Any:
             if key == 'down':
-                raise exceptions.PlatformError('No answer.')
+                raise exceptions.PlatformError('No response.')
             return RECORDS.get(key)
 
         async def report(workspaces: object) -> typing.Any:
@@ -126,7 +128,7 @@
 
     async def send(
         self, path: str, body: object = None, token: str = SECRET
-    ) -> Answer:
+    ) -> Response:
         response = await httpclient.AsyncHTTPClient().fetch(
             f'{self.url}{path}',
             method='GET' if body is None else 'POST',
@@ -137,7 +139,9 @@
         value = json.loads(response.body) if response.body else None
         return response.code, response.headers['Content-Type'], value
 
-    async def publish(self, token: str = SECRET, **changes: object) -> Answer:
+    async def publish(
+        self, token: str = SECRET, **changes: object
+    ) -> Response:
         body: dict[str, object] = {
             'id': 'p1',
             'base_version': 0,
--- a/tests/adapters/operators/test_browsing.py
+++ b/tests/adapters/operators/test_browsing.py
@@ -62,7 +62,7 @@
         status, _, value = await self.send(f'/v1/documents{query}', **options)
         self.assertEqual(200, status, value)
         lines = value['documents']
-        names = [f'{one["kind"]}/{one["name"]}' for one in lines]
+        names = [f'{line["kind"]}/{line["name"]}' for line in lines]
         return names, value
 
     async def test_limited_token_changes_only_its_documents(self) -> None:
@@ -96,14 +96,15 @@
         for name, additions, removed, expected in cases:
             for dry_run in (True, False):
                 with self.subTest(name, dry_run=dry_run):
-                    pairs = [one.split('/') for one in removed]
+                    pairs = [key.split('/') for key in removed]
                     version = self.entry.service.version()
                     status, _, value = await self.publish(
                         id=name,
                         base_version=version,
                         documents=additions,
                         removals=[
-                            {'kind': kind, 'name': one} for kind, one in pairs
+                            {'kind': kind, 'name': removal}
+                            for kind, removal in pairs
                         ],
                         dry_run=dry_run,
                         **AS_TEAM,
@@ -142,14 +143,16 @@
         await self.publish(
             id='v2', base_version=1, documents=[_service('b-1', 'beta', 7)]
         )
-        everything = [f'{one["kind"]}/{one["name"]}' for one in EVERYTHING]
+        everything = [
+            f'{document["kind"]}/{document["name"]}' for document in EVERYTHING
+        ]
         names, value = await self._list()
         self.assertEqual(sorted(everything), sorted(names))
-        found = {one['name']: one for one in value['documents']}
+        found = {line['name']: line for line in value['documents']}
         self.assertEqual((2, ''), (value['version'], value['following']))
         versions = [found[name]['version'] for name in ('a-1', 'b-1')]
         self.assertEqual([1, 2], versions)
-        shown = [one['document'] for one in value['documents']]
+        shown = [line['document'] for line in value['documents']]
         self.assertCountEqual(
             [_service('b-1', 'beta', 7), *EVERYTHING[:3], *EVERYTHING[4:]],
             shown,
@@ -208,10 +211,10 @@
             with self.subTest(token=token):
                 _, _, value = await self.send('/v1/configuration', token=token)
                 read = {
-                    one['version']: one['changed']
+                    line['version']: line['changed']
                     if token == builders.LIMITED
-                    else len(one['changed'])
-                    for one in value['history']
+                    else len(line['changed'])
+                    for line in value['history']
                 }
                 self.assertEqual(expected, read)
                 beta_shown = 'Secret of beta' in str(value)
@@ -267,7 +270,7 @@
         )
         self.assertEqual((200, 3), (status, value['version']))
         _, value = await self._list()
-        shown = [one['document'] for one in value['documents']]
+        shown = [line['document'] for line in value['documents']]
         self.assertCountEqual(EVERYTHING, shown)
         _, _, value = await self.send(
             '/v1/configuration/versions/3/changes', token=builders.LIMITED
@@ -286,7 +289,10 @@
                     for path in paths
                 )
                 self.assertEqual((), read.problems)
-                written = [files.write_document(one) for one in read.documents]
+                written = [
+                    files.write_document(document)
+                    for document in read.documents
+                ]
                 again = files.read_documents(json.loads(json.dumps(written)))
                 self.assertEqual(read.documents, again.documents)
                 self.assertEqual((), again.problems)
--- a/tests/adapters/peers/test_node.py
+++ b/tests/adapters/peers/test_node.py
@@ -205,9 +205,9 @@
         case the request must fail after its timeout.
         """
         self.responder.handle(builders.Request, hang)
-        gone = await self.start('gone')
-        await gone.stop()
-        for address in (self.responder.address, gone.address, 'tcp://x:y'):
+        stopped = await self.start('stopped')
+        await stopped.stop()
+        for address in (self.responder.address, stopped.address, 'tcp://x:y'):
             with (
                 self.subTest(address),
                 self.assertRaises(application_exceptions.PeerUnreachable),
--- a/tests/adapters/store/test_client.py
+++ b/tests/adapters/store/test_client.py
@@ -264,17 +264,19 @@
         An entry announces itself and is killed. Entries join through the
         list, and another program may use the address later.
         """
-        own = ports.Host('one', 'perth-a', ports.HostState.LIVE, 'tcp://one:1')
-        await self.platform.announce(own)
+        host = ports.Host(
+            'one', 'perth-a', ports.HostState.LIVE, 'tcp://one:1'
+        )
+        await self.platform.announce(host)
         self.write(f'{client.ENTRIES_PREFIX}other', b'of another writer')
-        self.assertEqual((own,), await self.platform.list_hosts())
+        self.assertEqual((host,), await self.platform.list_hosts())
         self.clock.advance(client.ANNOUNCE_TTL_MS - 1)
-        await self.platform.announce(own)
+        await self.platform.announce(host)
         self.clock.advance(client.ANNOUNCE_TTL_MS - 1)
         self.state.sweep()
-        self.assertEqual((own,), await self.platform.list_hosts())
+        self.assertEqual((host,), await self.platform.list_hosts())
         self.clock.advance(2)
         self.state.sweep()
         self.assertEqual((), await self.platform.list_hosts())
-        await self.platform.announce(own)
-        self.assertEqual((own,), await self.platform.list_hosts())
+        await self.platform.announce(host)
+        self.assertEqual((host,), await self.platform.list_hosts())
--- a/tests/adapters/test_servers_tls.py
+++ b/tests/adapters/test_servers_tls.py
@@ -31,13 +31,13 @@
 
 
 class _Case(unittest.IsolatedAsyncioTestCase):
-    made: certificates.Certificates
+    pki: certificates.Certificates
 
     @classmethod
     def setUpClass(cls) -> None:
         folder = tempfile.TemporaryDirectory()
         cls.addClassCleanup(folder.cleanup)
-        cls.made = certificates.Certificates(pathlib.Path(folder.name))
+        cls.pki = certificates.Certificates(pathlib.Path(folder.name))
 
 
 class TlsTest(_Case):
@@ -52,7 +52,7 @@
     async def _run_tool(self, url: str, *options: str) -> tuple[int, str, str]:
         """Run the tool in a thread while the loop serves the listener."""
         out, err = io.StringIO(), io.StringIO()
-        token = self.made.folder / 'token'
+        token = self.pki.folder / 'token'
         token.write_text('secret')
         arguments = ['history', '--url', url, '--token-file', str(token)]
         code = await asyncio.to_thread(
@@ -63,15 +63,15 @@
         return code, out.getvalue(), err.getvalue()
 
     async def test_tool_connects_over_https(self) -> None:
-        made = self.made
-        client_options = ('--client-certificate', made.client.certificate)
-        client_options += ('--client-key', made.client.key)
+        pki = self.pki
+        client_options = ('--client-certificate', pki.client.certificate)
+        client_options += ('--client-key', pki.client.key)
         for requires_client, options in ((False, ()), (True, client_options)):
             with self.subTest(requires_client_certificate=requires_client):
-                url = await self._start(made.build_tls(requires_client))
+                url = await self._start(pki.build_tls(requires_client))
                 self.assertTrue(url.startswith('https://127.0.0.1:'))
                 code, out, err = await self._run_tool(
-                    url, '--ca-file', made.authority.certificate, *options
+                    url, '--ca-file', pki.authority.certificate, *options
                 )
                 self.assertEqual((0, ''), (code, err))
                 self.assertIn('Version 7', out)
@@ -83,17 +83,17 @@
         The handler must not receive the request, and the error must name the
         missing option.
         """
-        made = self.made
-        trusted = ('--ca-file', made.authority.certificate)
-        foreign = ('--client-certificate', made.foreign.certificate)
-        foreign += ('--client-key', made.foreign.key)
+        pki = self.pki
+        trusted = ('--ca-file', pki.authority.certificate)
+        foreign = ('--client-certificate', pki.foreign.certificate)
+        foreign += ('--client-key', pki.foreign.key)
         cases: dict[str, tuple[bool, str, tuple[str, ...], str]] = {
             'plain HTTP': (False, 'http', (), 'Write https://'),
             'unknown authority': (False, 'https', (), '--ca-file'),
             'another authority': (
                 False,
                 'https',
-                ('--ca-file', made.other_authority.certificate),
+                ('--ca-file', pki.other_authority.certificate),
                 '--ca-file',
             ),
             'no certificate': (True, 'https', trusted, '--client-certificate'),
@@ -111,7 +111,7 @@
             expected,
         ) in cases.items():
             with self.subTest(name):
-                url = await self._start(made.build_tls(requires_client))
+                url = await self._start(pki.build_tls(requires_client))
                 _, _, address = url.partition('://')
                 code, out, err = await self._run_tool(
                     f'{scheme}://{address}', *options
@@ -129,12 +129,12 @@
 
 class InvalidFilesTest(_Case):
     def _list_cases(self) -> dict[str, tuple[str, settings.Tls]]:
-        made, folder = self.made, self.made.folder
-        valid = made.build_tls(requires_client_certificate=True)
+        pki, folder = self.pki, self.pki.folder
+        valid = pki.build_tls(requires_client_certificate=True)
         no_pem = folder / 'notes.txt'
         no_pem.write_text('not a certificate')
         locked = certificates.make_pair(
-            folder, 'locked', made.authority, 'password'
+            folder, 'locked', pki.authority, 'password'
         )
         missing = str(folder / 'nothing.pem')
 
@@ -146,11 +146,11 @@
             'no PEM': ('certificate', change(certificate=str(no_pem))),
             'key as certificate': (
                 'certificate',
-                change(certificate=made.server.key),
+                change(certificate=pki.server.key),
             ),
             'no key': ('key', change(key=missing)),
             'key no PEM': ('key', change(key=str(no_pem))),
-            'key of another': ('key', change(key=made.client.key)),
+            'key of another': ('key', change(key=pki.client.key)),
             'key with password': (
                 'key',
                 settings.Tls(locked.certificate, locked.key),
@@ -196,18 +196,18 @@
 
         The certificate was renewed, but not its key.
         """
-        made = self.made
+        pki = self.pki
         operators: dict[str, typing.Any] = builders.build_settings()[
             'operators'
         ]
         operators['tls'] = {
-            'certificate': made.server.certificate,
-            'key': made.client.key,
+            'certificate': pki.server.certificate,
+            'key': pki.client.key,
         }
         with processes.open_processes() as scope:
             with self.assertRaises(processes.StartError) as caught:
                 scope.start_entry('perth-1', operators=operators)
             self.assertIn('"operators.tls.key"', str(caught.exception))
-            operators['tls']['key'] = made.server.key
+            operators['tls']['key'] = pki.server.key
             entry = scope.start_entry('perth-1', operators=operators)
             self.assertTrue(entry.ready['operators'].startswith('https://'))
