--- a/tests/adapters/operators/builders.py
+++ b/tests/adapters/operators/builders.py
@@ -1,4 +1,4 @@
-"""An entry that serves operators over HTTP."""
+"""Base class for tests of the operator API."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     'open': results.ActionUnknown('Still running.', 100),
     'malformed': results.ActionRefused('No UUID.'),
 }
-Answer = tuple[int, str, typing.Any]
+Response = tuple[int, str, typing.Any]
 
 
 @attrs.frozen
@@ -41,9 +41,9 @@
 
 
 def build_report(*severities: burn.Severity) -> objectives.BurnReport:
-    """Build a report of two of three entries, one subject a severity.
+    """Build a report of two of three entries with a subject per severity.
 
-    Subjects at a lower severity have the higher rates.
+    Subjects with a lower severity have higher rates.
     """
     rates = {
         burn.Severity.NONE: (90.0, 20.0, 9.0, 2.0, 0.2),
@@ -52,13 +52,15 @@
     }
     burns = tuple(
         burn.Burn(
-            burn.Subject('slots', f'{one.value}-1', burn.Indicator.LATENCY),
+            burn.Subject(
+                'slots', f'{severity.value}-1', burn.Indicator.LATENCY
+            ),
             0.995,
-            rates[one],
+            rates[severity],
             (10, 60, 120, 720, 8640),
-            one,
+            severity,
         )
-        for one in severities
+        for severity in severities
     )
     return objectives.BurnReport(
         1_790_000_000_000, burn.WINDOWS_MS, 3, 2, burns
@@ -66,13 +68,14 @@
 
 
 class OperatorsCase(unittest.IsolatedAsyncioTestCase):
-    """An entry whose operators' interface is served on a port of its own.
+    """An entry whose operator API is served on a separate port.
 
     Attributes
     ----------
     starts_isolated : bool
-        The platform never answers the entry. Otherwise tests begin once it
-        has: until then, some 4 ms, an entry truly reports itself isolated.
+        Whether the platform never responds to the entry. Otherwise a test
+        starts after the first response; until then, for about 4 ms, the
+        entry reports itself as isolated.
     """
 
     starts_isolated = False
@@ -104,7 +107,7 @@
 
         async def look_up(workspace: str, key: str) -> typing.Any:
             if key == 'down':
-                raise exceptions.PlatformError('No answer.')
+                raise exceptions.PlatformError('No response.')
             return RECORDS.get(key)
 
         async def report(workspaces: object) -> typing.Any:
@@ -125,7 +128,7 @@
 
     async def send(
         self, path: str, body: object = None, token: str = SECRET
-    ) -> Answer:
+    ) -> Response:
         response = await httpclient.AsyncHTTPClient().fetch(
             f'{self.url}{path}',
             method='GET' if body is None else 'POST',
@@ -136,7 +139,9 @@
         value = json.loads(response.body) if response.body else None
         return response.code, response.headers['Content-Type'], value
 
-    async def publish(self, token: str = SECRET, **changes: object) -> Answer:
+    async def publish(
+        self, token: str = SECRET, **changes: object
+    ) -> Response:
         body: dict[str, object] = {
             'id': 'p1',
             'base_version': 0,
