--- a/src/thornspool/adapters/store/client.py
+++ b/src/thornspool/adapters/store/client.py
@@ -52,8 +52,8 @@
 
 _ANSWERS = (
     store_errors.ConditionFailed,
-    store_errors.HistoryLost,
-    store_errors.LeaseEnded,
+    store_errors.HistoryCompacted,
+    store_errors.LeaseExpired,
 )
 """Errors that a store which works answers with."""
 
@@ -195,7 +195,7 @@
             )
         except store_errors.ConditionFailed:
             return ports.WriteConflict()
-        except store_errors.StoreUnanswered:
+        except store_errors.StoreOutcomeUnknown:
             return ports.WriteUnknown()
         except store_errors.StoreError as error:
             raise _build_error('put', error) from error
@@ -222,7 +222,7 @@
                 'watch',
                 lambda: self._store.watch(name, position.revision, timeout_ms),
             )
-        except store_errors.HistoryLost:
+        except store_errors.HistoryCompacted:
             return await self._look(key, after_version)
         except store_errors.StoreError as error:
             raise _build_error('watch', error) from error
@@ -240,7 +240,7 @@
                 await self._send(
                     'announce', lambda: self._store.renew_lease(lease)
                 )
-            except store_errors.LeaseEnded:
+            except store_errors.LeaseExpired:
                 self._lease = None
             except store_errors.StoreError as error:
                 raise _build_error('announcement', error) from error
--- a/src/thornspool/application/routing/calls.py
+++ b/src/thornspool/application/routing/calls.py
@@ -14,10 +14,12 @@
 import attrs
 import structlog
 
-from thornspool.application.routing import beliefs as beliefs_module
 from thornspool.application.routing import listeners
 from thornspool.application.routing import ports
-from thornspool.domain.fleet import standing
+from thornspool.application.routing import (
+    routing_state as routing_state_module,
+)
+from thornspool.domain.fleet import server_scores
 
 if typing.TYPE_CHECKING:
     from collections.abc import Callable
@@ -25,7 +27,7 @@
 
     from thornspool import clock as clock_module
     from thornspool.application.routing import exchanges
-    from thornspool.application.routing import repeats
+    from thornspool.application.routing import retry_pools
     from thornspool.domain.fleet import messages as fleet
 
 MAX_SENDS = 4
@@ -71,7 +73,7 @@
     generation : int
         Incremented for each attempt, so that late data of earlier attempts
         is dropped.
-    head : ports.Head or None
+    head : ports.ResponseHead or None
         Head of the current response, once received.
     body : bytearray
         Body received so far.
@@ -82,7 +84,7 @@
     cancel: Callable[[], None] | None = None
     sent_at: int = 0
     generation: int = 0
-    head: ports.Head | None = None
+    head: ports.ResponseHead | None = None
     body: bytearray = attrs.field(factory=bytearray)
 
 
@@ -93,11 +95,11 @@
     ----------
     clock : clock_module.Clock
         Source of time.
-    routing_state : beliefs_module.Beliefs
+    routing_state : routing_state_module.RoutingState
         Known servers and their failure suspicions.
-    servers : ports.Servers
+    servers : ports.ServerClient
         Client for the servers.
-    retry_budget : repeats.Repeats
+    retry_budget : retry_pools.RetryPools
         Limits retries.
     failure_domain : str
         Failure domain of this entry.
@@ -108,9 +110,9 @@
     def __init__(
         self,
         clock: clock_module.Clock,
-        routing_state: beliefs_module.Beliefs,
-        servers: ports.Servers,
-        retry_budget: repeats.Repeats,
+        routing_state: routing_state_module.RoutingState,
+        servers: ports.ServerClient,
+        retry_budget: retry_pools.RetryPools,
         failure_domain: str,
         random_source: random.Random,
     ) -> None:
@@ -120,23 +122,25 @@
         self._retry_budget = retry_budget
         self._failure_domain = failure_domain
         self._random = random_source
-        self._scores = standing.Standings()
+        self._scores = server_scores.ServerScores()
         self.calls: set[Call] = set()
         self._queued: list[Call] = []
 
     def serve(self, exchange: exchanges.Exchange) -> None:
         """Serve a request; its exchange ends when the response is sent."""
         call = Call(exchange)
-        exchange.reply.set_on_close(lambda: self._handle_disconnect(call))
+        exchange.reply.set_disconnect_callback(
+            lambda: self._handle_disconnect(call)
+        )
         self.calls.add(call)
         self._retry_budget.record_request(exchange.service)
         self._start_attempt(call)
 
-    def work(self) -> None:
+    def tick(self) -> None:
         """Expire late calls and retry those whose server is unresponsive."""
         now = self._clock.now()
         for call in list(self.calls):
-            if call.exchange.compute_left(now) <= 0:
+            if call.exchange.compute_remaining_ms(now) <= 0:
                 self._expire(call)
             elif call.cancel is not None and self._is_unresponsive(call, now):
                 self._retry_unresponsive(call)
@@ -147,7 +151,7 @@
 
     def _is_unresponsive(self, call: Call, now: int) -> bool:
         route = call.exchange.route
-        if not route.repeatable or call.head is not None:
+        if not route.retryable or call.head is not None:
             return False
         max_wait_ms = max(
             MIN_RESPONSE_WAIT_MS, route.target_latency_ms * RESPONSE_WAIT_SHARE
@@ -158,13 +162,13 @@
         )
 
     def _retry_unresponsive(self, call: Call) -> None:
-        if not self._retry_budget.take(call.exchange.service):
+        if not self._retry_budget.acquire(call.exchange.service):
             return
         assert call.cancel is not None
         call.cancel()
         if call.server is not None:
-            call.exchange.avoid([call.server.id], self._clock.now())
-        self._record_failure(call, standing.SILENT_WEIGHT)
+            call.exchange.exclude([call.server.id], self._clock.now())
+        self._record_failure(call, server_scores.TIMEOUT_WEIGHT)
         self._end_attempt(call)
         self._start_attempt(call)
 
@@ -172,7 +176,7 @@
         exchange = call.exchange
         now = self._clock.now()
         candidates = self._routing_state.list_servers(exchange.service, now)
-        avoided_ids = exchange.list_avoided(now)
+        avoided_ids = exchange.list_excluded(now)
         server = self._scores.choose(
             [
                 candidate
@@ -196,10 +200,10 @@
         exchange.path = server.id
         self._scores.begin(server.id)
         run = ports.Run(
-            exchange.inquiry,
+            exchange.request,
             server,
             (),
-            exchange.compute_left(now),
+            exchange.compute_remaining_ms(now),
             exchange.workspace_name,
             '',
             exchange.priority,
@@ -214,91 +218,95 @@
 
     def _queue_or_refuse(self, call: Call, now: int) -> None:
         exchange = call.exchange
-        waited_ms = now - exchange.inquiry.arrived_at
+        waited_ms = now - exchange.request.arrived_at
         if exchange.runs == 0 and waited_ms < MAX_QUEUE_WAIT_MS:
             self._queued.append(call)
             return
-        self._fail(call, exchange.note or 'no_server')
+        self._fail(call, exchange.outcome_reason or 'no_server')
 
-    def handle_end(self, call: Call, ending: ports.Ending) -> None:
+    def handle_end(self, call: Call, ending: ports.Completion) -> None:
         """Handle the completion of the current attempt."""
         head = call.head
         exchange = call.exchange
         if head is not None and call.server is not None:
-            self._scores.note_load(
+            self._scores.record_load(
                 call.server.id, head.load, self._clock.now()
             )
-        if ending is ports.Ending.NOT_SENT:
+        if ending is ports.Completion.NOT_SENT:
             exchange.runs -= 1
             if call.server is not None:
                 self._routing_state.suspect(
                     call.server.id,
-                    beliefs_module.NOT_REACHED,
+                    routing_state_module.NOT_REACHED,
                     self._clock.now(),
                 )
             self._retry_or_fail(call, 'not_reached', True)
-        elif head is not None and not head.ran:
+        elif head is not None and not head.executed:
             exchange.runs -= 1
-            self._record_failure(call, standing.REFUSED_WEIGHT)
+            self._record_failure(call, server_scores.REFUSED_WEIGHT)
             self._retry_or_fail(call, f'refused_by_server_{head.status}', True)
-        elif ending is ports.Ending.BROKEN or head is None or not head.genuine:
-            self._record_failure(call, standing.BROKEN_WEIGHT)
-            self._retry_or_fail(call, 'broken', exchange.route.repeatable)
-        elif head.status >= 500 and exchange.route.repeatable:
-            self._record_failure(call, standing.ERROR_WEIGHT)
+        elif (
+            ending is ports.Completion.BROKEN
+            or head is None
+            or not head.is_authentic
+        ):
+            self._record_failure(call, server_scores.BROKEN_WEIGHT)
+            self._retry_or_fail(call, 'broken', exchange.route.retryable)
+        elif head.status >= 500 and exchange.route.retryable:
+            self._record_failure(call, server_scores.ERROR_WEIGHT)
             self._handle_server_error(call, head)
         else:
             self._forward_response(call, head)
 
-    def _handle_server_error(self, call: Call, head: ports.Head) -> None:
+    def _handle_server_error(
+        self, call: Call, head: ports.ResponseHead
+    ) -> None:
         """Retry an idempotent call that failed at its server, if allowed."""
-        if self._may_retry(call) and self._retry_budget.take(
+        if self._may_retry(call) and self._retry_budget.acquire(
             call.exchange.service
         ):
             if call.server is not None:
-                call.exchange.avoid([call.server.id], self._clock.now())
+                call.exchange.exclude([call.server.id], self._clock.now())
             self._end_attempt(call)
             self._start_attempt(call)
             return
         self._forward_response(call, head)
 
-    def _forward_response(self, call: Call, head: ports.Head) -> None:
+    def _forward_response(self, call: Call, head: ports.ResponseHead) -> None:
         exchange = call.exchange
         if exchange.first_event_at is None:
             exchange.first_event_at = self._clock.now()
         body = bytes(call.body)
         self._end_attempt(call)
         self.calls.discard(call)
-        exchange.reply.answer(head.status, head.headers, body)
+        exchange.reply.send(head.status, head.headers, body)
         exchange.end(
             'served' if head.status < 400 else f'server_{head.status}'
         )
 
     def _may_retry(self, call: Call) -> bool:
         exchange = call.exchange
-        remaining_ms = exchange.compute_left(self._clock.now())
+        remaining_ms = exchange.compute_remaining_ms(self._clock.now())
         return (
             exchange.runs < exchange.route.attempts
             and exchange.sends < MAX_SENDS
             and remaining_ms > MIN_REMAINING_MS
         )
 
-    def _retry_or_fail(
-        self, call: Call, reason: str, repeatable: bool
-    ) -> None:
+    def _retry_or_fail(self, call: Call, reason: str, retryable: bool) -> None:
         exchange = call.exchange
         if call.server is not None:
-            exchange.avoid([call.server.id], self._clock.now())
+            exchange.exclude([call.server.id], self._clock.now())
         self._end_attempt(call)
-        exchange.note = reason
+        exchange.outcome_reason = reason
         if (
-            repeatable
+            retryable
             and self._may_retry(call)
-            and self._retry_budget.take(exchange.service)
+            and self._retry_budget.acquire(exchange.service)
         ):
             logger.info(
                 'run_repeated',
-                id=exchange.inquiry.id,
+                id=exchange.request.id,
                 reason=reason,
                 sends=exchange.sends,
             )
@@ -342,7 +350,7 @@
 
     def _record_failure(self, call: Call, weight: float) -> None:
         if call.server is not None:
-            self._scores.note_failure(
+            self._scores.record_failure(
                 call.server.id, weight, self._clock.now()
             )
 
@@ -353,5 +361,5 @@
         call.generation += 1
 
 
-def _store_head(call: Call, head: ports.Head) -> None:
+def _store_head(call: Call, head: ports.ResponseHead) -> None:
     call.head = head
--- a/src/thornspool/application/routing/exchanges.py
+++ b/src/thornspool/application/routing/exchanges.py
@@ -32,9 +32,9 @@
 
     Attributes
     ----------
-    inquiry : ports.Inquiry
+    request : ports.Request
         The request.
-    reply : ports.Reply
+    reply : ports.ResponseWriter
         Writes the answer to the caller.
     route : routing.Route
         Route that the request matched.
@@ -50,11 +50,11 @@
         Times that the request was sent to a server.
     runs : int
         Times that a server may have run the request.
-    begun : bool
+    response_started : bool
         Whether the caller has received a part of the answer.
     ended : bool
         Whether the request has ended.
-    note : str
+    outcome_reason : str
         Reason for the outcome.
     first_event_at : int or None
         Time in milliseconds of the first event of the answer.
@@ -64,8 +64,8 @@
         Waiting times and event intervals of a stream.
     """
 
-    inquiry: ports.Inquiry
-    reply: ports.Reply
+    request: ports.Request
+    reply: ports.ResponseWriter
     route: routing.Route
     workspace: routing.Workspace | None
     service: str
@@ -73,9 +73,9 @@
     on_end: Callable[[Exchange, str], None]
     sends: int = 0
     runs: int = 0
-    begun: bool = False
+    response_started: bool = False
     ended: bool = False
-    note: str = ''
+    outcome_reason: str = ''
     first_event_at: int | None = None
     path: str = ''
     timing: timings.StreamTiming = attrs.field(factory=timings.StreamTiming)
@@ -100,12 +100,12 @@
 
         The caller's or the route's time limit applies, whichever is shorter.
         """
-        timeout_ms = self.inquiry.patience_ms
+        timeout_ms = self.request.timeout_ms
         if self.route.timeout_ms > 0:
             timeout_ms = min(timeout_ms, self.route.timeout_ms)
-        return self.inquiry.arrived_at + timeout_ms
+        return self.request.arrived_at + timeout_ms
 
-    def compute_left(self, now: int) -> int:
+    def compute_remaining_ms(self, now: int) -> int:
         """Compute the milliseconds until the deadline.
 
         Parameters
@@ -115,7 +115,7 @@
         """
         return self.deadline_at - now
 
-    def avoid(self, server_ids: Iterable[str], now: int) -> None:
+    def exclude(self, server_ids: Iterable[str], now: int) -> None:
         """Exclude servers for this request for a limited time.
 
         Parameters
@@ -128,7 +128,7 @@
         for server_id in server_ids:
             self._excluded_until[server_id] = now + EXCLUSION_MS
 
-    def list_avoided(self, now: int) -> set[str]:
+    def list_excluded(self, now: int) -> set[str]:
         """List the servers that are excluded for this request.
 
         Parameters
@@ -175,6 +175,6 @@
         """
         if self.ended:
             return
-        self.note = reason
+        self.outcome_reason = reason
         self.reply.refuse(status, reason, retry_after_ms)
         self.end(f'refused_{status}')
--- a/src/thornspool/application/routing/detection.py
+++ b/src/thornspool/application/routing/failure_detection.py
@@ -15,19 +15,21 @@
 
 import structlog
 
-from thornspool.application.routing import beliefs as beliefs_module
-from thornspool.application.routing import questions
-from thornspool.application.routing import repairs
-from thornspool.domain.fleet import paces
+from thornspool.application.routing import probe_budget
+from thornspool.application.routing import rerouting
+from thornspool.application.routing import (
+    routing_state as routing_state_module,
+)
+from thornspool.domain.fleet import slowdowns as slowdowns_module
 from thornspool.domain.fleet import sweeps
-from thornspool.domain.paths import silence
+from thornspool.domain.paths import stalls
 
 if typing.TYPE_CHECKING:
     from collections.abc import Callable
     import random
 
     from thornspool import clock as clock_module
-    from thornspool.application.routing import flights
+    from thornspool.application.routing import in_flight as in_flight_module
     from thornspool.application.routing import ports
     from thornspool.application.routing import streams
     from thornspool.domain.fleet import messages as fleet
@@ -109,18 +111,18 @@
 logger = structlog.get_logger(__name__)
 
 
-class Detector:
+class FailureDetector:
     """Detects failed and slow engines from the streams of an entry.
 
     Parameters
     ----------
     clock : clock_module.Clock
         Source of time.
-    beliefs : beliefs_module.Beliefs
+    routing_state : routing_state_module.RoutingState
         Routing state in which suspected servers are recorded.
     service : streams.StreamService
         Service whose streams are watched.
-    servers : ports.Servers
+    servers : ports.ServerClient
         Client for calls to engines.
     random_source : random.Random
         Spreads the probes of many entries over time.
@@ -133,37 +135,37 @@
     def __init__(
         self,
         clock: clock_module.Clock,
-        beliefs: beliefs_module.Beliefs,
+        routing_state: routing_state_module.RoutingState,
         service: streams.StreamService,
-        servers: ports.Servers,
+        servers: ports.ServerClient,
         random_source: random.Random,
         count_entries: Callable[[], int],
         announce_suspects: Callable[[], None] = lambda: None,
     ) -> None:
         self._clock = clock
-        self._beliefs = beliefs
+        self._routing_state = routing_state
         self._service = service
         self._servers = servers
         self._random = random_source
         self._count_entries = count_entries
         self._announce_suspects = announce_suspects
         self._tasks: set[asyncio.Task[None]] = set()
-        self._probe_budget = questions.Questions(
+        self._probe_budget = probe_budget.ProbeBudget(
             clock.now(), self._compute_engines_per_entry
         )
         self._last_tick_at = clock.now()
         self._last_check_at = clock.now()
         self._sweep = sweeps.Sweep()
         self._check_scheduled = False
-        self._rerouter = repairs.Rerouter(
+        self._rerouter = rerouting.Rerouter(
             clock, service, servers, self._start_task
         )
 
     def _compute_engines_per_entry(self) -> float:
         """Compute the number of engines per entry that sends probes."""
-        return len(self._beliefs.servers) / self._count_entries()
+        return len(self._routing_state.servers) / self._count_entries()
 
-    def work(self) -> None:
+    def tick(self) -> None:
         """Check streams and engines; called about every 100 ms."""
         now = self._clock.now()
         delay_ms = now - self._last_tick_at
@@ -172,31 +174,31 @@
             # This host was suspended. Events that arrived in the meantime
             # have not been read, so idle times say nothing about engines.
             logger.warning('entry_stood_still', milliseconds=delay_ms)
-            for flight in self._service.flights:
-                flight.active_at = now
+            for in_flight in self._service.in_flight_requests:
+                in_flight.active_at = now
             return
-        for flight in list(self._service.flights):
-            if flight.stop is None or flight.rerouting:
+        for in_flight in list(self._service.in_flight_requests):
+            if in_flight.stop is None or in_flight.rerouting:
                 continue
-            self._check_stream(flight, now)
+            self._check_stream(in_flight, now)
         self._probe_refusing(now)
         self._probe_late_streams(now)
         self._probe_slow(now)
         self._probe_swept(now)
 
-    def look(self) -> None:
+    def check_idle_streams(self) -> None:
         """Check for streams that stall together; called every few ms."""
         now = self._clock.now()
         delay_ms = now - self._last_check_at
         self._last_check_at = now
         if delay_ms > MAX_CHECK_DELAY_MS:
             return
-        self.leave_suspects()
+        self.reroute_from_suspects()
         suspicious = [
-            self._beliefs.servers[server_id]
+            self._routing_state.servers[server_id]
             for server_id in self._find_suspicious(now)
-            if server_id in self._beliefs.servers
-            and server_id not in self._beliefs.suspects
+            if server_id in self._routing_state.servers
+            and server_id not in self._routing_state.suspicions
         ]
         selected = [
             server
@@ -208,10 +210,13 @@
 
     def _find_suspicious(self, now: int) -> list[str]:
         """Find the engines that stalled streams have in common."""
-        return silence.find_doubtful(
-            (flight.engines, self._service.count_idle_intervals(flight, now))
-            for flight in self._list_running()
-            if flight.events.count
+        return stalls.find_suspects(
+            (
+                in_flight.engines,
+                self._service.count_idle_intervals(in_flight, now),
+            )
+            for in_flight in self._list_running()
+            if in_flight.events.count
         )
 
     def _schedule_check(self, after_ms: float) -> None:
@@ -229,21 +234,21 @@
     async def _check_later(self, after_ms: float) -> None:
         await asyncio.sleep(max(1.0, after_ms) / _MS_PER_S)
         self._check_scheduled = False
-        self.leave_suspects()
+        self.reroute_from_suspects()
 
-    def _list_running(self) -> list[flights.Flight]:
+    def _list_running(self) -> list[in_flight_module.InFlightRequest]:
         return [
-            flight
-            for flight in self._service.flights
-            if flight.stop is not None and not flight.rerouting
+            in_flight
+            for in_flight in self._service.in_flight_requests
+            if in_flight.stop is not None and not in_flight.rerouting
         ]
 
-    def leave_suspects(self) -> None:
+    def reroute_from_suspects(self) -> None:
         """Reroute streams away from suspected engines."""
-        if not self._beliefs.suspects:
+        if not self._routing_state.suspicions:
             return
-        for flight in self._list_running():
-            self._reroute_from_suspects(flight)
+        for in_flight in self._list_running():
+            self._reroute_from_suspects(in_flight)
 
     def _probe_refusing(self, now: int) -> None:
         """Probe the engines that have refused requests.
@@ -253,34 +258,36 @@
         requests were sent to a lost engine again and again while the store,
         and with it the server list, was unavailable.
         """
-        candidates, self._beliefs.probe_candidates = (
-            self._beliefs.probe_candidates,
+        candidates, self._routing_state.probe_candidates = (
+            self._routing_state.probe_candidates,
             set(),
         )
         for server_id in candidates:
-            server = self._beliefs.servers.get(server_id)
+            server = self._routing_state.servers.get(server_id)
             if server is not None:
                 self._probe_within_budget(server, now)
 
-    def _check_stream(self, flight: flights.Flight, now: int) -> None:
-        if self._reroute_from_suspects(flight):
+    def _check_stream(
+        self, in_flight: in_flight_module.InFlightRequest, now: int
+    ) -> None:
+        if self._reroute_from_suspects(in_flight):
             return
-        idle_ms = now - flight.active_at
-        has_events = flight.events.count > 0
+        idle_ms = now - in_flight.active_at
+        has_events = in_flight.events.count > 0
         if idle_ms < (STALL_PROBE_MS if has_events else FIRST_EVENT_PROBE_MS):
             return
-        if idle_ms >= FAILOVER_IDLE_MS and self._service.may_retry(flight):
-            server_ids = [hop.server.id for hop in flight.hops]
-            flight.exchange.avoid(server_ids, now)
-            self._service.mend(flight, 'silent')
+        if idle_ms >= FAILOVER_IDLE_MS and self._service.may_retry(in_flight):
+            server_ids = [hop.server.id for hop in in_flight.hops]
+            in_flight.exchange.exclude(server_ids, now)
+            self._service.fail_over(in_flight, 'silent')
             return
-        first_server = flight.first_server
+        first_server = in_flight.first_server
         if (
             first_server is None
-            or now - flight.probed_at < questions.PROBE_INTERVAL_MS
+            or now - in_flight.probed_at < probe_budget.PROBE_INTERVAL_MS
         ):
             return
-        flight.probed_at = now
+        in_flight.probed_at = now
         self._probe_unless_recent(first_server, now)
 
     def _probe_late_streams(self, now: int) -> None:
@@ -290,21 +297,23 @@
         they are the most likely cause, and the number of probes is limited.
         """
         late_engines: collections.Counter[str] = collections.Counter()
-        for flight in self._service.flights:
-            if flight.stop is not None and self._is_late(flight, now):
-                late_engines.update(hop.server.id for hop in flight.hops)
+        for in_flight in self._service.in_flight_requests:
+            if in_flight.stop is not None and self._is_late(in_flight, now):
+                late_engines.update(hop.server.id for hop in in_flight.hops)
         for server_id, _ in late_engines.most_common():
-            if self._beliefs.paces.is_fresh(server_id, now):
+            if self._routing_state.slowdowns.is_fresh(server_id, now):
                 continue
-            server = self._beliefs.servers.get(server_id)
+            server = self._routing_state.servers.get(server_id)
             if server is not None and not self._probe_within_budget(
                 server, now
             ):
                 return
 
-    def _is_late(self, flight: flights.Flight, now: int) -> bool:
-        idle_ms = now - flight.active_at
-        has_events = flight.events.count > 0
+    def _is_late(
+        self, in_flight: in_flight_module.InFlightRequest, now: int
+    ) -> bool:
+        idle_ms = now - in_flight.active_at
+        has_events = in_flight.events.count > 0
         return idle_ms >= (
             LATE_EVENT_MS if has_events else LATE_FIRST_EVENT_MS
         )
@@ -325,27 +334,33 @@
 
     def _probe_slow(self, now: int) -> None:
         """Probe slow engines again before their slowdown factors expire."""
-        slow = self._beliefs.paces.select(self._beliefs.servers, now)
+        slow = self._routing_state.slowdowns.select(
+            self._routing_state.servers, now
+        )
         for server_id in slow:
             age_ms = self._random.randint(*SLOWDOWN_RECHECK_MS)
-            if not self._beliefs.paces.is_fresh(server_id, now, age_ms):
+            if not self._routing_state.slowdowns.is_fresh(
+                server_id, now, age_ms
+            ):
                 self._probe_within_budget(
-                    self._beliefs.servers[server_id], now
+                    self._routing_state.servers[server_id], now
                 )
 
     def _begin_sweep(self, service: str, now: int) -> None:
         """Start a sweep of a service after one of its engines became slow."""
         server_ids = [
             server_id
-            for server_id, server in self._beliefs.servers.items()
+            for server_id, server in self._routing_state.servers.items()
             if server.service == service
         ]
         self._sweep.begin(server_ids, self._random, now)
 
     def _probe_swept(self, now: int) -> None:
-        for server_id in self._sweep.take_next():
-            server = self._beliefs.servers.get(server_id)
-            if server is None or self._beliefs.paces.is_fresh(server_id, now):
+        for server_id in self._sweep.pop_batch():
+            server = self._routing_state.servers.get(server_id)
+            if server is None or self._routing_state.slowdowns.is_fresh(
+                server_id, now
+            ):
                 continue
             self._probe_unless_recent(server, now)
 
@@ -353,7 +368,9 @@
         if self._probe_budget.record_probe(server, now):
             self._start_task(self._probe(server))
 
-    def _reroute_from_suspects(self, flight: flights.Flight) -> bool:
+    def _reroute_from_suspects(
+        self, in_flight: in_flight_module.InFlightRequest
+    ) -> bool:
         """Reroute a stream when an engine of its path is suspected.
 
         Returns
@@ -363,26 +380,26 @@
         """
         suspected = [
             hop.server.id
-            for hop in flight.hops
-            if hop.server.id in self._beliefs.suspects
+            for hop in in_flight.hops
+            if hop.server.id in self._routing_state.suspicions
         ]
         if not suspected:
             return False
         idle_intervals = self._service.count_idle_intervals(
-            flight, self._clock.now()
+            in_flight, self._clock.now()
         )
-        has_events = flight.events.count > 0
-        needed_intervals = silence.UNUSUAL_PAUSES
+        has_events = in_flight.events.count > 0
+        needed_intervals = stalls.STALL_INTERVALS
         if has_events:
-            needed_intervals = silence.OVERDUE_PAUSES
+            needed_intervals = stalls.CONFIRMING_INTERVALS
         if idle_intervals < needed_intervals:
             # The stream is not overdue, so the suspicion may be wrong.
-            interval_ms = self._service.compute_event_interval(flight)
+            interval_ms = self._service.compute_event_interval(in_flight)
             self._schedule_check(
                 (needed_intervals - idle_intervals) * interval_ms
             )
             return False
-        self._rerouter.reroute(flight, suspected)
+        self._rerouter.reroute(in_flight, suspected)
         return True
 
     def _start_task(
@@ -395,9 +412,11 @@
     async def _probe(self, server: fleet.Server) -> None:
         """Probe an engine for its speed and the servers it waits for."""
         probed_at = self._clock.now()
-        report = await self._servers.ask_report(server)
+        report = await self._servers.probe(server)
         if report is None:
-            self._beliefs.note_silence(server.id, probed_at, self._clock.now())
+            self._routing_state.record_unanswered_probe(
+                server.id, probed_at, self._clock.now()
+            )
             return
         self._apply_report(server, report)
 
@@ -412,7 +431,7 @@
             for server, is_unresponsive in zip(servers, answers, strict=True)
             if is_unresponsive
         ]
-        if not silence.is_credible(len(servers), len(unresponsive)):
+        if not stalls.is_loss_plausible(len(servers), len(unresponsive)):
             logger.warning(
                 'own_link_doubted',
                 asked=len(servers),
@@ -420,12 +439,12 @@
             )
             return
         for server in unresponsive:
-            self._beliefs.note_silence(
+            self._routing_state.record_unanswered_probe(
                 server.id,
                 probed_at,
                 self._clock.now(),
                 LOSS_PROBE_TIMEOUT_MS,
-                beliefs_module.NO_QUICK_REPORT,
+                routing_state_module.NO_QUICK_REPORT,
                 MAX_PROBE_DELAY_MS,
             )
         self._announce_losses()
@@ -437,7 +456,7 @@
         announcement, and callers count every stall.
         """
         self._announce_suspects()
-        self.leave_suspects()
+        self.reroute_from_suspects()
 
     async def _is_unresponsive(self, server: fleet.Server) -> bool:
         """Probe one engine and return whether it left both probes unanswered.
@@ -448,7 +467,7 @@
         """
         probed_at = self._clock.now()
         first_probe = asyncio.ensure_future(
-            self._servers.ask_report(server, LOSS_PROBE_TIMEOUT_MS)
+            self._servers.probe(server, LOSS_PROBE_TIMEOUT_MS)
         )
         await asyncio.wait(
             {first_probe}, timeout=SECOND_PROBE_DELAY_MS / _MS_PER_S
@@ -458,37 +477,39 @@
         refused = first_probe.done() and elapsed_ms < SECOND_PROBE_DELAY_MS
         if report is None and not refused:
             remaining_ms = LOSS_PROBE_TIMEOUT_MS - SECOND_PROBE_DELAY_MS
-            report = await self._servers.ask_report(server, remaining_ms)
+            report = await self._servers.probe(server, remaining_ms)
             report = report or await first_probe
         if report is not None:
             self._apply_report(server, report)
         elif refused:
-            self._beliefs.note_silence(
+            self._routing_state.record_unanswered_probe(
                 server.id, probed_at, self._clock.now(), LOSS_PROBE_TIMEOUT_MS
             )
             self._announce_losses()
         return report is None and not refused
 
     def _apply_report(
-        self, server: fleet.Server, report: ports.Report
+        self, server: fleet.Server, report: ports.EngineReport
     ) -> None:
         now = self._clock.now()
-        self._record_slowdown(server, report.slowness, now)
+        self._record_slowdown(server, report.slowdown_factor, now)
         for stalled in report.stalled:
-            suspected = self._beliefs.find_by_address(stalled.address)
+            suspected = self._routing_state.find_by_address(stalled.address)
             if suspected is not None:
-                self._beliefs.suspect(suspected.id, 'stalls_others', now)
+                self._routing_state.suspect(suspected.id, 'stalls_others', now)
 
     def _record_slowdown(
         self, server: fleet.Server, factor: float, now: int
     ) -> None:
         if factor <= 0:
             return
-        before = self._beliefs.paces.get(server.id, now)
-        self._beliefs.paces.note(server.id, factor, now)
-        if before < paces.SLOW <= factor:
+        before = self._routing_state.slowdowns.get(server.id, now)
+        self._routing_state.slowdowns.record_probe(server.id, factor, now)
+        if before < slowdowns_module.SLOW_FACTOR <= factor:
             self._begin_sweep(server.service, now)
-        if (before >= paces.SLOW) is not (factor >= paces.SLOW):
+        if (before >= slowdowns_module.SLOW_FACTOR) is not (
+            factor >= slowdowns_module.SLOW_FACTOR
+        ):
             logger.info(
                 'pace_changed',
                 server=server.id,
--- a/src/thornspool/application/routing/blame.py
+++ b/src/thornspool/application/routing/fault_attribution.py
@@ -6,11 +6,13 @@
 
 import structlog
 
-from thornspool.application.routing import beliefs as beliefs_module
+from thornspool.application.routing import (
+    routing_state as routing_state_module,
+)
 
 if typing.TYPE_CHECKING:
     from thornspool import clock as clock_module
-    from thornspool.application.routing import flights
+    from thornspool.application.routing import in_flight as in_flight_module
     from thornspool.application.routing import ports
     from thornspool.domain.fleet import messages as fleet
 
@@ -31,15 +33,17 @@
     ----------
     clock : clock_module.Clock
         Source of time.
-    beliefs : beliefs_module.Beliefs
+    routing_state : routing_state_module.RoutingState
         Routing state in which failures are recorded.
     """
 
     def __init__(
-        self, clock: clock_module.Clock, beliefs: beliefs_module.Beliefs
+        self,
+        clock: clock_module.Clock,
+        routing_state: routing_state_module.RoutingState,
     ) -> None:
         self._clock = clock
-        self._beliefs = beliefs
+        self._routing_state = routing_state
 
     def record_unreachable(self, server: fleet.Server | None) -> None:
         """Suspect an engine to which no connection could be opened.
@@ -50,53 +54,66 @@
             The engine; None when the run had no path.
         """
         if server is not None:
-            self._beliefs.suspect(
-                server.id, beliefs_module.NOT_REACHED, self._clock.now()
+            self._routing_state.suspect(
+                server.id, routing_state_module.NOT_REACHED, self._clock.now()
             )
 
-    def record_refusal(self, flight: flights.Flight, head: ports.Head) -> None:
+    def record_refusal(
+        self,
+        in_flight: in_flight_module.InFlightRequest,
+        head: ports.ResponseHead,
+    ) -> None:
         """Exclude the engine that reports that it has not run a request.
 
         Parameters
         ----------
-        flight : flights.Flight
+        in_flight : in_flight_module.InFlightRequest
             The refused request.
-        head : ports.Head
+        head : ports.ResponseHead
             Head of the answer, which names the refusing engine.
         """
-        refusing = flight.find_server(head.fault_address)
+        refusing = in_flight.find_server(head.fault_address)
         if refusing is None:
             return
         now = self._clock.now()
-        flight.exchange.avoid([refusing.id], now)
-        if self._has_usual_size(flight) and self._beliefs.refusals.note(
-            refusing.id, now
-        ):
-            self._beliefs.probe_candidates.add(refusing.id)
+        in_flight.exchange.exclude([refusing.id], now)
+        if self._has_usual_size(
+            in_flight
+        ) and self._routing_state.refusals.record(refusing.id, now):
+            self._routing_state.probe_candidates.add(refusing.id)
         if head.status == _MISDIRECTED_STATUS:
             # The server list is outdated: the address belongs to another
             # engine, or the engine has changed.
-            self._beliefs.suspect(refusing.id, beliefs_module.MISDIRECTED, now)
+            self._routing_state.suspect(
+                refusing.id, routing_state_module.MISDIRECTED, now
+            )
         logger.info(
             'run_refused',
-            id=flight.exchange.inquiry.id,
+            id=in_flight.exchange.request.id,
             status=head.status,
             server=refusing.id,
         )
 
-    def _has_usual_size(self, flight: flights.Flight) -> bool:
+    def _has_usual_size(
+        self, in_flight: in_flight_module.InFlightRequest
+    ) -> bool:
         """Return whether a request is of at most about the usual size.
 
         An engine that refuses such a request has no free capacity at all. A
         large request may not fit where all others do.
         """
-        model = self._beliefs.find_model(flight.exchange.service)
+        model = self._routing_state.find_model(in_flight.exchange.service)
         if model is None:
             return False
         usual_tokens = model.usual_prompt + model.usual_answer
-        return flight.need.tokens <= MAX_USUAL_SIZE_RATIO * usual_tokens
+        return (
+            in_flight.request_size.tokens
+            <= MAX_USUAL_SIZE_RATIO * usual_tokens
+        )
 
-    def record_broken_run(self, flight: flights.Flight) -> None:
+    def record_broken_run(
+        self, in_flight: in_flight_module.InFlightRequest
+    ) -> None:
         """Exclude the first engine of a broken run for this request.
 
         An engine that breaks runs before it answers at all may be excluded for
@@ -104,13 +121,13 @@
 
         Parameters
         ----------
-        flight : flights.Flight
+        in_flight : in_flight_module.InFlightRequest
             The request whose run broke.
         """
-        first_server = flight.first_server
+        first_server = in_flight.first_server
         if first_server is None:
             return
         now = self._clock.now()
-        flight.exchange.avoid([first_server.id], now)
-        if flight.head is None:
-            self._beliefs.note_broken_run(first_server.id, now)
+        in_flight.exchange.exclude([first_server.id], now)
+        if in_flight.head is None:
+            self._routing_state.record_broken_run(first_server.id, now)
--- a/src/thornspool/application/routing/flights.py
+++ b/src/thornspool/application/routing/in_flight.py
@@ -7,7 +7,7 @@
 import attrs
 
 from thornspool.domain.fleet import events
-from thornspool.domain.paths import silence
+from thornspool.domain.paths import stalls
 
 if typing.TYPE_CHECKING:
     from collections.abc import Callable
@@ -21,14 +21,14 @@
 
 
 @attrs.define(eq=False)
-class Flight:
+class InFlightRequest:
     """A model request that waits for a path or runs on one.
 
     Attributes
     ----------
     exchange : exchanges.Exchange
         The request and its outcome.
-    need : choice.Need
+    request_size : choice.RequestSize
         Tokens for which it needs memory.
     hops : tuple of search.Hop
         Path on which it runs; empty while it waits.
@@ -38,7 +38,7 @@
         Splits the answer into complete events.
     active_at : int
         Time in milliseconds of its last event, or of its last send.
-    event_interval : silence.UsualPause
+    event_interval : stalls.EventInterval
         Average interval between its events.
     probed_at : int
         Time in milliseconds when its first engine was last probed for it.
@@ -46,7 +46,7 @@
         Whether its path is being changed now.
     generation : int
         Changes with each run, so that output of earlier runs is dropped.
-    head : ports.Head or None
+    head : ports.ResponseHead or None
         Head of the engine's answer; None before it arrives.
     body : bytearray
         Body of an answer that is not a stream of events.
@@ -63,18 +63,18 @@
     """
 
     exchange: exchanges.Exchange
-    need: choice.Need
+    request_size: choice.RequestSize
     hops: tuple[search.Hop, ...] = ()
     stop: Callable[[], None] | None = None
     events: events.EventBuffer = attrs.field(factory=events.EventBuffer)
     active_at: int = 0
-    event_interval: silence.UsualPause = attrs.field(
-        factory=lambda: silence.UsualPause(silence.STREAM_WEIGHT)
+    event_interval: stalls.EventInterval = attrs.field(
+        factory=lambda: stalls.EventInterval(stalls.STREAM_INTERVAL_WEIGHT)
     )
     probed_at: int = 0
     rerouting: bool = False
     generation: int = 0
-    head: ports.Head | None = None
+    head: ports.ResponseHead | None = None
     body: bytearray = attrs.field(factory=bytearray)
     lost_runs: int = 0
     prefill_tokens: float = 0.0
--- a/src/thornspool/application/routing/intake.py
+++ b/src/thornspool/application/routing/intake.py
@@ -12,7 +12,7 @@
 
 from thornspool.application.routing import exchanges
 from thornspool.application.routing import streams as streams_module
-from thornspool.domain.freshness import proofs
+from thornspool.domain.freshness import confirmations
 from thornspool.domain.routing import messages as routing
 
 if typing.TYPE_CHECKING:
@@ -21,9 +21,11 @@
 
     from thornspool import clock as clock_module
     from thornspool import metrics as metrics_module
-    from thornspool.application.routing import beliefs as beliefs_module
     from thornspool.application.routing import calls
     from thornspool.application.routing import ports
+    from thornspool.application.routing import (
+        routing_state as routing_state_module,
+    )
     from thornspool.domain.fleet import timings
 
 NOT_READY_RETRY_MS = 700
@@ -40,7 +42,7 @@
     ----------
     clock : clock_module.Clock
         Source of time.
-    routing_state : beliefs_module.Beliefs
+    routing_state : routing_state_module.RoutingState
         Configuration and its freshness.
     streams : streams_module.StreamService
         Serves requests to models.
@@ -59,7 +61,7 @@
     def __init__(
         self,
         clock: clock_module.Clock,
-        routing_state: beliefs_module.Beliefs,
+        routing_state: routing_state_module.RoutingState,
         streams: streams_module.StreamService,
         calls: calls.CallService,
         metrics: metrics_module.Metrics,
@@ -73,18 +75,20 @@
         self._streams = streams
         self._calls = calls
         self._metrics = metrics
-        self.key_bound_ms = withdrawn_key_ms * proofs.KEY_AGE_SHARE
+        self.max_key_age_ms = withdrawn_key_ms * confirmations.KEY_AGE_SHARE
         self._random = random_source
         self.in_flight = 0
-        self.refuses_new = False
+        self.is_draining = False
 
-    def is_fresh(self) -> bool:
+    def is_current(self) -> bool:
         """Return whether requests with a key may be served."""
-        return self._routing_state.proof.is_within(
-            self.key_bound_ms, self._clock.now()
+        return self._routing_state.freshness.is_within(
+            self.max_key_age_ms, self._clock.now()
         )
 
-    def serve(self, request: ports.Inquiry, reply: ports.Reply) -> None:
+    def serve(
+        self, request: ports.Request, reply: ports.ResponseWriter
+    ) -> None:
         """Serve a request."""
         configuration = self._routing_state.configuration
         if configuration is None:
@@ -92,7 +96,7 @@
                 request, reply, 503, 'no_configuration', NOT_READY_RETRY_MS
             )
             return
-        if self.refuses_new:
+        if self.is_draining:
             self._refuse(
                 request,
                 reply,
@@ -109,7 +113,7 @@
         if configuration.needs_keys and not route.anonymous:
             # A withdrawn key must be rejected even when the store no longer
             # answers this host, so keys need a recent configuration.
-            if not self.is_fresh():
+            if not self.is_current():
                 self._refuse(
                     request,
                     reply,
@@ -149,8 +153,8 @@
 
     def _refuse(
         self,
-        request: ports.Inquiry,
-        reply: ports.Reply,
+        request: ports.Request,
+        reply: ports.ResponseWriter,
         status: int,
         reason: str,
         retry_after_ms: int | None = None,
@@ -168,21 +172,21 @@
             configuration=None
             if configuration is None
             else configuration.version,
-            proof_age_ms=self._routing_state.proof.compute_age(now),
+            proof_age_ms=self._routing_state.freshness.compute_age(now),
         )
         self._metrics.count_event(f'refused_{reason}')
 
     def _record_end(self, exchange: exchanges.Exchange, outcome: str) -> None:
         self.in_flight -= 1
         now = self._clock.now()
-        request = exchange.inquiry
+        request = exchange.request
         first_event_at = exchange.first_event_at
         logger.info(
             'request_ended',
             id=request.id,
             route=exchange.route.name,
             outcome=outcome,
-            reason=exchange.note,
+            reason=exchange.outcome_reason,
             workspace=exchange.workspace_name,
             service=exchange.service,
             configuration=exchange.version,
@@ -227,6 +231,6 @@
     return {
         'waited_ms': timing.waited_ms,
         'first_cause': timing.first_cause,
-        'pause_ms': timing.longest_pause_ms,
+        'pause_ms': timing.longest_interval_ms,
         'pause_cause': timing.pause_cause,
     }
--- a/src/thornspool/application/routing/listeners.py
+++ b/src/thornspool/application/routing/listeners.py
@@ -33,9 +33,9 @@
     def __init__(
         self,
         owner: RunOwner,
-        on_head: Callable[[ports.Head], None],
+        on_head: Callable[[ports.ResponseHead], None],
         on_body: Callable[[bytes], None],
-        on_end: Callable[[ports.Ending], None],
+        on_end: Callable[[ports.Completion], None],
     ) -> None:
         self._owner = owner
         self._generation = owner.generation
@@ -48,17 +48,17 @@
         """Whether the run is the latest one of its request."""
         return self._generation == self._owner.generation
 
-    def take_head(self, head: ports.Head) -> None:
+    def handle_head(self, head: ports.ResponseHead) -> None:
         """Pass on the head of the answer."""
         if self.is_current:
             self._on_head(head)
 
-    def take_body(self, chunk: bytes) -> None:
+    def handle_body(self, chunk: bytes) -> None:
         """Pass on a chunk of the body."""
         if self.is_current:
             self._on_body(chunk)
 
-    def take_end(self, ending: ports.Ending) -> None:
+    def handle_completion(self, ending: ports.Completion) -> None:
         """Pass on the end of the answer."""
         if self.is_current:
             self._on_end(ending)
--- a/src/thornspool/application/routing/membership.py
+++ b/src/thornspool/application/routing/membership.py
@@ -16,8 +16,10 @@
     from collections.abc import Iterable
 
     from thornspool import clock as clock_module
-    from thornspool.application.routing import beliefs as beliefs_module
-    from thornspool.application.routing import repeats
+    from thornspool.application.routing import retry_pools
+    from thornspool.application.routing import (
+        routing_state as routing_state_module,
+    )
     from thornspool.domain.paths import reservations as reservations_module
 
 GROUP_INTERVAL_TICKS = 2
@@ -83,11 +85,11 @@
         Source of time.
     view : view_module.View
         The other entries.
-    routing_state : beliefs_module.Beliefs
+    routing_state : routing_state_module.RoutingState
         Suspected servers and the freshness of the local copy.
     reservations : reservations_module.Reservations
         Memory that requests reserve on engines.
-    retry_budget : repeats.Repeats
+    retry_budget : retry_pools.RetryPools
         Counts requests and retries.
     send : callable
         Sends a state update to ``ip:port``.
@@ -101,10 +103,10 @@
         self,
         clock: clock_module.Clock,
         view: view_module.View,
-        routing_state: beliefs_module.Beliefs,
+        routing_state: routing_state_module.RoutingState,
         reservations: reservations_module.Reservations,
-        retry_budget: repeats.Repeats,
-        send: Callable[[str, messages.News], None],
+        retry_budget: retry_pools.RetryPools,
+        send: Callable[[str, messages.StateUpdate], None],
         read_revision: Callable[[], int],
         send_missed: Callable[[str, int], None] = lambda address, since: None,
     ) -> None:
@@ -121,14 +123,14 @@
         self._request_totals = totals_module.Totals()
         self._collector_hosts: dict[str, tuple[str, int]] = {}
         self._alive: dict[str, bool] = {}
-        self._feed_update: messages.News | None = None
+        self._feed_update: messages.StateUpdate | None = None
         self._feed_received_at = 0
         self._lagging_since: int | None = None
         self._tick_count = 0
         self._last_current_at = clock.now()
         self.state = messages.State.STARTING
 
-    def work(self) -> None:
+    def tick(self) -> None:
         """Send the periodic state updates; called every 200 ms."""
         self._view.choose_collector(self._clock.now())
         self._log_peer_changes()
@@ -140,7 +142,7 @@
             self._send_to_group()
         self._apply_peer_totals()
 
-    def tell_failures(self) -> None:
+    def broadcast_failures(self) -> None:
         """Broadcast new server failures, refusals and layer changes at once.
 
         Entries that have not received them keep sending requests to these
@@ -148,25 +150,25 @@
         layer changes go to the local failure domain, which uses the same
         engines, and to the collectors of the other domains.
         """
-        if self._routing_state.fresh_suspects:
+        if self._routing_state.unreported_suspects:
             self._broadcast(self._view.peers.values())
         elif (
-            self._routing_state.refusals.has_news
-            or self._routing_state.outliers.has_news
-            or self._routing_state.moves.has_news
+            self._routing_state.refusals.has_unsent
+            or self._routing_state.outliers.has_unsent
+            or self._routing_state.retained_ranges.has_unsent
         ):
             self._broadcast(self._list_affected_peers())
-        self._routing_state.fresh_suspects.clear()
-        self._routing_state.refusals.has_news = False
-        self._routing_state.outliers.has_news = False
-        self._routing_state.moves.has_news = False
+        self._routing_state.unreported_suspects.clear()
+        self._routing_state.refusals.has_unsent = False
+        self._routing_state.outliers.has_unsent = False
+        self._routing_state.retained_ranges.has_unsent = False
 
     def _list_affected_peers(self) -> list[view_module.Peer]:
         if self._view.is_mesh:
             return list(self._view.peers.values())
-        affected = self._view.list_near()
+        affected = self._view.list_domain_peers()
         for domain in self._view.list_domains():
-            if domain != self._view.own.failure_domain:
+            if domain != self._view.local.failure_domain:
                 affected += self._find_collectors(domain)
         return affected
 
@@ -197,9 +199,9 @@
         if self.state is messages.State.LEAVING:
             return
         now = self._clock.now()
-        if self._routing_state.proof.is_within(
+        if self._routing_state.freshness.is_within(
             bound_ms, now
-        ) or not self._view.is_anyone_current(bound_ms, now):
+        ) or not self._view.has_current_peer(bound_ms, now):
             self._last_current_at = now
         ready = (
             has_configuration
@@ -209,46 +211,56 @@
             messages.State.SERVING if ready else messages.State.STARTING
         )
 
-    def take_news(self, update: messages.News) -> None:
+    def apply_update(self, update: messages.StateUpdate) -> None:
         """Apply a state update of a peer."""
         now = self._clock.now()
-        peer = self._view.take_news(update, now)
+        peer = self._view.apply_update(update, now)
         if peer is None:
             return
         domain = peer.record.failure_domain
-        self._reservation_totals.note(update, domain, update.taken, now)
-        self._request_totals.note(update, domain, update.work, now)
+        self._reservation_totals.record(update, domain, update.reserved, now)
+        self._request_totals.record(update, domain, update.request_counts, now)
         if update.scope is messages.Scope.DOMAIN:
             self._collector_hosts[domain] = (update.host, now)
         if update.scope is not messages.Scope.ENTRY:
-            self._view.note_absent(peer.record, update, now)
+            self._view.record_absences(peer.record, update, now)
         direct = self._is_from_follower(update, domain)
         if direct and 0 < update.revision < self._reported_revision:
             # The peer missed a change that was sent one tick ago or earlier.
             self._send_missed(peer.record.peers, update.revision)
-        self._routing_state.paces.note_told(update.slow, now, direct)
-        self._routing_state.moves.note_told(update.moving, now)
-        self._routing_state.take_breaks(update.host, update.breaking, now)
-        self._routing_state.take_refusals(update.refusing, now, direct)
+        self._routing_state.slowdowns.record_reported(
+            update.slowdowns, now, direct
+        )
+        self._routing_state.retained_ranges.record_reported(
+            update.retained_ranges, now
+        )
+        self._routing_state.apply_reported_breaks(
+            update.host, update.failing, now
+        )
+        self._routing_state.apply_reported_refusals(
+            update.refusing, now, direct
+        )
         for server_id in update.suspects:
             self._routing_state.suspect(
-                server_id, f'told_by_{update.host}', now, told=True
+                server_id, f'told_by_{update.host}', now, reported=True
             )
-        if update.proof_age_ms >= 0 and update.heard_stamp > 0:
+        if update.proof_age_ms >= 0 and update.echoed_stamp > 0:
             self._apply_freshness(update, now)
-        if update.host == self._view.choice.current:
+        if update.host == self._view.collector_choice.current:
             self._apply_feed_update(update, now)
 
-    def _is_from_follower(self, update: messages.News, domain: str) -> bool:
+    def _is_from_follower(
+        self, update: messages.StateUpdate, domain: str
+    ) -> bool:
         """Return whether this entry forwards the peer's own observations."""
-        if self._view.is_mesh or not self._view.collects:
+        if self._view.is_mesh or not self._view.is_collector:
             return False
         return (
             update.scope is messages.Scope.ENTRY
-            and domain == self._view.own.failure_domain
+            and domain == self._view.local.failure_domain
         )
 
-    def _apply_freshness(self, update: messages.News, now: int) -> None:
+    def _apply_freshness(self, update: messages.StateUpdate, now: int) -> None:
         """Apply the freshness of a peer whose copy has the same revision.
 
         A datagram may have been in transit for any time. The peer sent it
@@ -257,13 +269,15 @@
         """
         if update.revision != self._read_revision():
             return
-        if update.heard_stamp > now:
+        if update.echoed_stamp > now:
             return
-        self._routing_state.proof.renew(
-            update.heard_stamp - update.proof_age_ms
+        self._routing_state.freshness.confirm(
+            update.echoed_stamp - update.proof_age_ms
         )
 
-    def _apply_feed_update(self, update: messages.News, now: int) -> None:
+    def _apply_feed_update(
+        self, update: messages.StateUpdate, now: int
+    ) -> None:
         """Record the collector's update and since when this copy lags."""
         self._feed_update = update
         self._feed_received_at = now
@@ -277,7 +291,7 @@
             self._lagging_since = now
 
     def _is_copy_fresh(self, now: int) -> bool:
-        age = self._routing_state.proof.compute_age(now)
+        age = self._routing_state.freshness.compute_age(now)
         return age is not None and age <= MAX_COPY_AGE_MS
 
     def _is_feed_fresh(self) -> bool:
@@ -287,12 +301,12 @@
 
     def _receives_feed(self, now: int) -> bool:
         return (
-            self.has_collector()
+            self.is_follower()
             and self._feed_update is not None
             and now - self._feed_received_at <= FEED_TIMEOUT_MS
         )
 
-    def may_catch_up(self) -> bool:
+    def awaits_change_feed(self) -> bool:
         """Return whether the collector will send the changes missing here.
 
         After an outage of the store the collector is current first. All of
@@ -307,11 +321,11 @@
             and now - since <= MAX_LAG_MS
         )
 
-    def has_collector(self) -> bool:
+    def is_follower(self) -> bool:
         """Return whether another entry collects for this one."""
-        return not self._view.is_mesh and not self._view.collects
+        return not self._view.is_mesh and not self._view.is_collector
 
-    def is_fed(self) -> bool:
+    def is_feed_current(self) -> bool:
         """Return whether the collector keeps the local copy current.
 
         Each call to the store has a cost, so only collectors follow it. Their
@@ -326,7 +340,7 @@
             and self._is_copy_fresh(now)
         )
 
-    def shares_outage(self) -> bool:
+    def is_collector_cut_off(self) -> bool:
         """Return whether the collector is alive but can't reach the store.
 
         An entry that the store has answered in the meantime does not wait
@@ -342,7 +356,7 @@
     def _is_ahead_of_feed(self, now: int) -> bool:
         """Return whether the local copy is fresher than the collector's."""
         assert self._feed_update is not None
-        age = self._routing_state.proof.compute_age(now)
+        age = self._routing_state.freshness.compute_age(now)
         if age is None:
             return False
         reported_age_ms = self._feed_update.proof_age_ms
@@ -363,37 +377,43 @@
             return False
         return now - since > MAX_LAG_MS
 
-    def hand_over(self) -> None:
+    def hand_over_collecting(self) -> None:
         """Hand collecting over, since the store rejects this entry.
 
         The entries of the domain are informed at once, so that they follow
         another collector before their copies are too old.
         """
-        local_peers = self._view.list_near()
-        if self._view.is_mesh or not self._view.collects or not local_peers:
+        local_peers = self._view.list_domain_peers()
+        if (
+            self._view.is_mesh
+            or not self._view.is_collector
+            or not local_peers
+        ):
             return
         now = self._clock.now()
-        own = self._view.own.host
-        self._view.choice.note_shut_out(own, now + collectors.SHUT_OUT_MS)
+        own = self._view.local.host
+        self._view.collector_choice.record_rejection(
+            own, now + collectors.REJECTION_MS
+        )
         logger.warning(
             'collecting_handed_over',
-            shut_out=self._view.choice.count_shut_out(now),
+            shut_out=self._view.collector_choice.count_rejected(now),
         )
         self._broadcast(local_peers)
         self._view.choose_collector(now)
 
-    def list_fed(self) -> list[str]:
+    def list_follower_addresses(self) -> list[str]:
         """List the addresses of the entries that follow this collector."""
-        if self._view.is_mesh or not self._view.collects:
+        if self._view.is_mesh or not self._view.is_collector:
             return []
-        return [peer.record.peers for peer in self._view.list_near()]
+        return [peer.record.peers for peer in self._view.list_domain_peers()]
 
     def list_addresses(self, domain: str) -> tuple[str, ...]:
         """List the entry addresses for a caller in a failure domain."""
         now = self._clock.now()
         serving = self._view.list_serving(now)
         if self.state is messages.State.SERVING:
-            serving.append(self._view.own)
+            serving.append(self._view.local)
         return view_module.choose_addresses(serving, domain, MAX_ADDRESSES)
 
     def _log_peer_changes(self) -> None:
@@ -417,8 +437,8 @@
 
     def _apply_peer_totals(self) -> None:
         """Store the sums of reservations and requests of all other entries."""
-        self._reserved.others = self._sum_others(self._reservation_totals)
-        self._retry_budget.take_others(self._sum_others(self._request_totals))
+        self._reserved.remote = self._sum_others(self._reservation_totals)
+        self._retry_budget.apply_others(self._sum_others(self._request_totals))
 
     def _sum_others(
         self, totals: totals_module.Totals
@@ -426,12 +446,12 @@
         now = self._clock.now()
         if self._view.is_mesh:
             return totals.sum_entries(self._view.peers, now)
-        if not self._view.collects:
-            return totals.read_rest(now)
-        return totals_module.add_up(
+        if not self._view.is_collector:
+            return totals.get_rest(now)
+        return totals_module.sum_amounts(
             (
                 self._sum_domain(totals),
-                totals.sum_domains(self._view.own.failure_domain, now),
+                totals.sum_domains(self._view.local.failure_domain, now),
             )
         )
 
@@ -439,7 +459,7 @@
         self, totals: totals_module.Totals
     ) -> totals_module.Amounts:
         return totals.sum_entries(
-            (peer.record.host for peer in self._view.list_near()),
+            (peer.record.host for peer in self._view.list_domain_peers()),
             self._clock.now(),
         )
 
@@ -449,11 +469,11 @@
         A collector sends sums to its followers and to the other collectors.
         Any other entry sends its state to its collector and the backup.
         """
-        if self._view.collects:
+        if self._view.is_collector:
             self._send_to_followers()
             self._send_to_collectors()
             return
-        choice = self._view.choice
+        choice = self._view.collector_choice
         self._broadcast(
             self._view.peers[host]
             for host in (choice.current, choice.backup)
@@ -463,20 +483,20 @@
     def _send_to_followers(self) -> None:
         """Send each follower the sums over all entries except itself."""
         now = self._clock.now()
-        reserved = totals_module.add_up(
+        reserved = totals_module.sum_amounts(
             (
                 self._sum_others(self._reservation_totals),
-                self._reserved.list_marked(),
+                self._reserved.list_by_hash(),
             )
         )
-        requests = totals_module.add_up(
+        requests = totals_module.sum_amounts(
             (
                 self._sum_others(self._request_totals),
-                self._retry_budget.list_marked(),
+                self._retry_budget.list_by_hash(),
             )
         )
         absent = self._list_absent(self._view.peers.values())
-        for peer in self._view.list_near():
+        for peer in self._view.list_domain_peers():
             own = [peer.record.host]
             self._send_update(
                 peer,
@@ -492,20 +512,20 @@
 
     def _send_to_collectors(self) -> None:
         """Send this domain's sums to the collectors of the other domains."""
-        own_domain = self._view.own.failure_domain
-        reserved = totals_module.add_up(
+        own_domain = self._view.local.failure_domain
+        reserved = totals_module.sum_amounts(
             (
                 self._sum_domain(self._reservation_totals),
-                self._reserved.list_marked(),
+                self._reserved.list_by_hash(),
             )
         )
-        requests = totals_module.add_up(
+        requests = totals_module.sum_amounts(
             (
                 self._sum_domain(self._request_totals),
-                self._retry_budget.list_marked(),
+                self._retry_budget.list_by_hash(),
             )
         )
-        absent = self._list_absent(self._view.list_near())
+        absent = self._list_absent(self._view.list_domain_peers())
         for domain in self._view.list_domains():
             if domain == own_domain:
                 continue
@@ -520,7 +540,7 @@
         collector = self._view.peers.get(host)
         if (
             collector is not None
-            and now - received_at <= self._view.silence_ms
+            and now - received_at <= self._view.update_timeout_ms
         ):
             return [collector]
         domain_peers = self._view.list_domain(domain)
@@ -541,8 +561,8 @@
         )
 
     def _broadcast(self, peers: Iterable[view_module.Peer]) -> None:
-        reserved = self._reserved.list_marked()
-        requests = self._retry_budget.list_marked()
+        reserved = self._reserved.list_by_hash()
+        requests = self._retry_budget.list_by_hash()
         for peer in list(peers):
             self._send_update(peer, reserved, requests)
 
@@ -555,26 +575,34 @@
         absent: tuple[str, ...] = (),
     ) -> None:
         now = self._clock.now()
-        age = self._routing_state.proof.compute_age(now)
-        own = self._view.own
+        age = self._routing_state.freshness.compute_age(now)
+        own = self._view.local
         direct_only = scope is not messages.Scope.REST
-        update = messages.News(
+        update = messages.StateUpdate(
             host=own.host,
             incarnation=own.incarnation,
             state=self.state,
             stamp=now,
-            heard_stamp=peer.heard_stamp,
+            echoed_stamp=peer.last_stamp,
             revision=self._read_revision(),
             proof_age_ms=-1 if age is None else age,
-            taken=reserved,
-            suspects=tuple(self._routing_state.fresh_suspects),
+            reserved=reserved,
+            suspects=tuple(self._routing_state.unreported_suspects),
             scope=scope,
-            absent=absent,
-            slow=self._routing_state.paces.list_slow(now, direct_only),
-            refusing=self._routing_state.refusals.list_fresh(now, direct_only),
-            work=requests,
-            breaking=self._routing_state.outliers.list_fresh(now),
-            moving=self._routing_state.moves.list_known(direct_only),
-            shut_out_ms=self._view.choice.compute_shut_out(own.host, now),
+            absent_hosts=absent,
+            slowdowns=self._routing_state.slowdowns.list_slow(
+                now, direct_only
+            ),
+            refusing=self._routing_state.refusals.list_announced(
+                now, direct_only
+            ),
+            request_counts=requests,
+            failing=self._routing_state.outliers.list_announced(now),
+            retained_ranges=self._routing_state.retained_ranges.list_known(
+                direct_only
+            ),
+            rejection_ms=self._view.collector_choice.compute_rejection_ms(
+                own.host, now
+            ),
         )
         self._send(peer.record.peers, update)
--- a/src/thornspool/application/routing/finding.py
+++ b/src/thornspool/application/routing/path_finding.py
@@ -14,9 +14,11 @@
     import random
 
     from thornspool import clock as clock_module
-    from thornspool.application.routing import beliefs as beliefs_module
-    from thornspool.application.routing import flights
-    from thornspool.application.routing import repeats
+    from thornspool.application.routing import in_flight as in_flight_module
+    from thornspool.application.routing import retry_pools
+    from thornspool.application.routing import (
+        routing_state as routing_state_module,
+    )
     from thornspool.domain.fleet import messages as fleet
     from thornspool.domain.paths import reservations
     from thornspool.domain.paths import search
@@ -29,11 +31,11 @@
     ----------
     clock : clock_module.Clock
         Source of time.
-    beliefs : beliefs_module.Beliefs
+    routing_state : routing_state_module.RoutingState
         Routing state with the engines and their exclusions.
     reserved : reservations.Reservations
         Engine memory that requests reserve.
-    budget : repeats.Repeats
+    budget : retry_pools.RetryPools
         Retry budget, which estimates the request rate.
     failure_domain : str
         Failure domain of this entry.
@@ -44,14 +46,14 @@
     def __init__(
         self,
         clock: clock_module.Clock,
-        beliefs: beliefs_module.Beliefs,
+        routing_state: routing_state_module.RoutingState,
         reserved: reservations.Reservations,
-        budget: repeats.Repeats,
+        budget: retry_pools.RetryPools,
         failure_domain: str,
         random_source: random.Random,
     ) -> None:
         self._clock = clock
-        self._beliefs = beliefs
+        self._routing_state = routing_state
         self._reservations = reserved
         self._budget = budget
         self._failure_domain = failure_domain
@@ -60,7 +62,7 @@
 
     def describe(
         self, service: str, excluded: set[str]
-    ) -> choice.Situation | None:
+    ) -> choice.FleetSnapshot | None:
         """Collect what the choice of a path depends on.
 
         Parameters
@@ -72,27 +74,29 @@
 
         Returns
         -------
-        choice.Situation or None
+        choice.FleetSnapshot or None
             None when the service has no model or is not in the configuration.
         """
-        model = self._beliefs.find_model(service)
+        model = self._routing_state.find_model(service)
         if model is None:
             return None
         now = self._clock.now()
-        engines = self._beliefs.list_servers(service, now)
-        return choice.Situation(
+        engines = self._routing_state.list_servers(service, now)
+        return choice.FleetSnapshot(
             model,
             tuple(
-                self._beliefs.moves.narrow(engine)
+                self._routing_state.retained_ranges.narrow(engine)
                 for engine in engines
                 if engine.id not in excluded
             ),
-            frozenset(self._beliefs.leaving),
+            frozenset(self._routing_state.leaving),
             self._reservations,
-            self._beliefs.paces.select((engine.id for engine in engines), now),
+            self._routing_state.slowdowns.select(
+                (engine.id for engine in engines), now
+            ),
             self._failure_domain,
             self._random.random,
-            may_cross=False,
+            allow_crossing=False,
             bounds=self._find_bounds(service, model),
         )
 
@@ -100,24 +104,26 @@
         self, service: str, model: fleet.Model
     ) -> dict[str, bounds.Bound]:
         """Return the bounds of a service, recomputed after a change."""
-        revision = self._beliefs.revision
+        revision = self._routing_state.revision
         cached = self._bounds.get(service)
         if cached is None or cached[0] != revision:
             engines = [
                 server
-                for server in self._beliefs.servers.values()
+                for server in self._routing_state.servers.values()
                 if server.service == service
             ]
             cached = (revision, bounds.compute_bounds(model, engines))
             self._bounds[service] = cached
         return cached[1]
 
-    def list_avoided(self, flight: flights.Flight) -> set[str]:
+    def list_avoided(
+        self, in_flight: in_flight_module.InFlightRequest
+    ) -> set[str]:
         """List the engines that a request should not use now.
 
         Parameters
         ----------
-        flight : flights.Flight
+        in_flight : in_flight_module.InFlightRequest
             The request.
 
         Returns
@@ -126,66 +132,74 @@
             Ids of the engines that are excluded for this or for all requests.
         """
         now = self._clock.now()
-        excluded = self._beliefs.refusals.select(self._beliefs.servers, now)
-        return flight.exchange.list_avoided(now) | excluded
+        excluded = self._routing_state.refusals.select(
+            self._routing_state.servers, now
+        )
+        return in_flight.exchange.list_excluded(now) | excluded
 
-    def find(self, flight: flights.Flight) -> search.Path | choice.Lack | None:
+    def find(
+        self, in_flight: in_flight_module.InFlightRequest
+    ) -> search.Path | choice.NoPathReason | None:
         """Find a path for a request.
 
         Parameters
         ----------
-        flight : flights.Flight
+        in_flight : in_flight_module.InFlightRequest
             The request.
 
         Returns
         -------
-        search.Path, choice.Lack or None
+        search.Path, choice.NoPathReason or None
             The path, or the reason why none exists; None when the service is
             no longer in the configuration.
         """
-        excluded = self.list_avoided(flight)
-        situation = self.describe(flight.exchange.service, excluded)
-        if situation is None:
+        excluded = self.list_avoided(in_flight)
+        fleet_snapshot = self.describe(in_flight.exchange.service, excluded)
+        if fleet_snapshot is None:
             return None
-        found = choice.choose_path(situation, flight.need)
-        if isinstance(found, choice.Lack) and self._may_cross(
-            flight, situation
+        found = choice.choose_path(fleet_snapshot, in_flight.request_size)
+        if isinstance(found, choice.NoPathReason) and self._may_cross(
+            in_flight, fleet_snapshot
         ):
-            situation = attrs.evolve(situation, may_cross=True)
-            found = choice.choose_path(situation, flight.need)
-        if found is choice.Lack.NOT_COVERED and excluded:
-            return self._find_reason_with_excluded(flight, found)
+            fleet_snapshot = attrs.evolve(fleet_snapshot, allow_crossing=True)
+            found = choice.choose_path(fleet_snapshot, in_flight.request_size)
+        if found is choice.NoPathReason.NOT_COVERED and excluded:
+            return self._find_reason_with_excluded(in_flight, found)
         return found
 
     def _may_cross(
-        self, flight: flights.Flight, situation: choice.Situation
+        self,
+        in_flight: in_flight_module.InFlightRequest,
+        fleet_snapshot: choice.FleetSnapshot,
     ) -> bool:
         """Decide whether a path may use engines of several failure domains.
 
         This is drawn once for each request. A stream that has started always
         may, as a longer wait would end it.
         """
-        if flight.exchange.begun:
+        if in_flight.exchange.response_started:
             return True
-        if flight.may_cross is None:
-            rate = self._budget.estimate_rate(flight.exchange.service)
-            share = crossings.compute_share(situation.model, rate)
-            flight.may_cross = self._random.random() < share
-        return flight.may_cross
+        if in_flight.may_cross is None:
+            rate = self._budget.estimate_rate(in_flight.exchange.service)
+            share = crossings.compute_share(fleet_snapshot.model, rate)
+            in_flight.may_cross = self._random.random() < share
+        return in_flight.may_cross
 
     def _find_reason_with_excluded(
-        self, flight: flights.Flight, no_path_reason: choice.Lack
-    ) -> choice.Lack:
+        self,
+        in_flight: in_flight_module.InFlightRequest,
+        no_path_reason: choice.NoPathReason,
+    ) -> choice.NoPathReason:
         """Return the reason why no path exists when engines are excluded.
 
         Where a path exists with the excluded engines, the request only has to
         wait for one of them.
         """
-        situation = self.describe(flight.exchange.service, set())
-        assert situation is not None
-        found = choice.choose_path(situation, flight.need)
+        fleet_snapshot = self.describe(in_flight.exchange.service, set())
+        assert fleet_snapshot is not None
+        found = choice.choose_path(fleet_snapshot, in_flight.request_size)
         return (
             no_path_reason
-            if isinstance(found, choice.Lack)
-            else choice.Lack.NO_ROOM
+            if isinstance(found, choice.NoPathReason)
+            else choice.NoPathReason.NO_CAPACITY
         )
--- a/src/thornspool/application/routing/placement.py
+++ b/src/thornspool/application/routing/placement.py
@@ -16,7 +16,9 @@
     from collections.abc import Callable
 
     from thornspool import clock as clock_module
-    from thornspool.application.routing import beliefs as beliefs_module
+    from thornspool.application.routing import (
+        routing_state as routing_state_module,
+    )
     from thornspool.domain.fleet import messages as fleet
 
 EMPTY_FLEET_SETTLE_MS = 900
@@ -68,7 +70,7 @@
     ----------
     layers : fleet.LayerRange
         Layers that the engine is to hold.
-    born : int or None
+    started_at : int or None
         Start of the engine's process, in Unix milliseconds.
     expires_at : int
         Time after which the order counts as lost, in milliseconds of the
@@ -76,7 +78,7 @@
     """
 
     layers: fleet.LayerRange
-    born: int | None
+    started_at: int | None
     expires_at: int
 
 
@@ -87,9 +89,9 @@
     ----------
     clock : clock_module.Clock
         Source of time.
-    routing_state : beliefs_module.Beliefs
+    routing_state : routing_state_module.RoutingState
         Engines and their layers.
-    servers : ports.Servers
+    servers : ports.ServerClient
         Client for the engines.
     is_leader : callable
         Returns whether this entry certainly holds the leadership.
@@ -98,8 +100,8 @@
     def __init__(
         self,
         clock: clock_module.Clock,
-        routing_state: beliefs_module.Beliefs,
-        servers: ports.Servers,
+        routing_state: routing_state_module.RoutingState,
+        servers: ports.ServerClient,
         is_leader: Callable[[], bool],
     ) -> None:
         self._clock = clock
@@ -113,18 +115,18 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._settled_situations: dict[str, object] = {}
         self._coverage_gaps: dict[tuple[str, str], list[fleet.LayerRange]] = {}
-        self.given = 0
+        self.order_count = 0
 
-    def work(self) -> None:
+    def tick(self) -> None:
         """Plan and give orders; called about every 100 ms."""
         if not self._is_leader():
             self._pending_orders.clear()
             self._order_counts.clear()
             self._backoff_until.clear()
-            self._routing_state.moves.own.clear()
+            self._routing_state.retained_ranges.local.clear()
             return
         now = self._clock.now()
-        if self._routing_state.is_outdated(now):
+        if self._routing_state.is_stale(now):
             # The lease may be renewed shortly before the local copy is.
             # Orders planned from a copy that was 8 s old made a whole domain
             # reload layers that its engines had loaded in the meantime.
@@ -140,7 +142,7 @@
     def _update_pending_orders(self, now: int) -> None:
         for server_id, pending in list(self._pending_orders.items()):
             server = self._routing_state.servers.get(server_id)
-            if server is None or server.born != pending.born:
+            if server is None or server.started_at != pending.started_at:
                 self._drop_pending_order(server_id)
                 self._order_counts.pop(server_id, None)
             elif server.layers == pending.layers:
@@ -152,7 +154,7 @@
 
     def _drop_pending_order(self, server_id: str) -> None:
         self._pending_orders.pop(server_id, None)
-        self._routing_state.moves.end(server_id)
+        self._routing_state.retained_ranges.end(server_id)
 
     def _place_service(
         self, service: str, model: fleet.Model, now: int
@@ -162,20 +164,20 @@
             for server in self._routing_state.servers.values()
             if server.service == service
             and server.id not in self._routing_state.leaving
-            and server.id not in self._routing_state.suspects
+            and server.id not in self._routing_state.suspicions
         ]
         if self._is_fleet_starting(engines, now):
             return
         holdings = [self._build_holding(engine) for engine in engines]
         self._log_coverage_change(service, engines, model)
         steady_domains = self._find_steady_domains(engines, now)
-        is_list_recent = self._routing_state.is_list_young(now)
-        situation = (model, tuple(holdings), steady_domains)
-        if self._settled_situations.get(service) == situation:
+        is_list_recent = self._routing_state.is_list_incomplete(now)
+        fleet_snapshot = (model, tuple(holdings), steady_domains)
+        if self._settled_situations.get(service) == fleet_snapshot:
             return
         orders = planning.plan_orders(holdings, model, steady_domains)
         if not orders:
-            self._settled_situations[service] = situation
+            self._settled_situations[service] = fleet_snapshot
         for order in orders:
             if is_list_recent and order.server.layers is not None:
                 # Engines that seem to be missing may not be listed yet.
@@ -196,7 +198,7 @@
         for engine in engines:
             domains.setdefault(engine.failure_domain, set()).add(engine.id)
         steady_domains = set()
-        if self._routing_state.paces.select(
+        if self._routing_state.slowdowns.select(
             (engine.id for engine in engines), now
         ):
             self._domain_members.clear()
@@ -205,7 +207,7 @@
             previous = self._domain_members.get(domain)
             if previous is None or previous[0] != members:
                 self._domain_members[domain] = (members, now)
-            elif now - previous[1] >= planning.STEADY_MS:
+            elif now - previous[1] >= planning.STABLE_PERIOD_MS:
                 steady_domains.add(domain)
         return frozenset(steady_domains)
 
@@ -219,7 +221,7 @@
             if engine.layers is not None:
                 held.append(engine.layers)
         for domain, held in domains.items():
-            gaps = orders_module.find_holes(held, model.layers)
+            gaps = orders_module.find_coverage_gaps(held, model.layers)
             if self._coverage_gaps.get((service, domain)) != gaps:
                 self._coverage_gaps[(service, domain)] = gaps
                 logger.info(
@@ -263,14 +265,14 @@
         expires_at = (
             now + round(load_ms * LOAD_TIMEOUT_FACTOR) + LOAD_TIMEOUT_SLACK_MS
         )
-        retained = orders_module.Holding(order.server, order.layers).sure
-        if self._routing_state.moves.begin(order.server, retained):
+        retained = orders_module.Holding(order.server, order.layers).retained
+        if self._routing_state.retained_ranges.begin(order.server, retained):
             expires_at += DRAIN_SLACK_MS
             sending = self._announce_and_send_order(order)
         else:
             sending = self._send_order(order)
         self._pending_orders[order.server.id] = PendingOrder(
-            order.layers, order.server.born, expires_at
+            order.layers, order.server.started_at, expires_at
         )
         task = asyncio.get_running_loop().create_task(sending)
         self._tasks.add(task)
@@ -303,8 +305,8 @@
             return
         if not self._is_leader():
             return
-        self.given += 1
-        result = await self._servers.place(server, order.layers, count)
+        self.order_count += 1
+        result = await self._servers.assign_layers(server, order.layers, count)
         logger.info(
             'order_given',
             server=server.id,
@@ -327,21 +329,21 @@
     async def _probe_order_count(self, server: fleet.Server) -> int | None:
         """Probe an engine for its number of begun orders, and store it."""
         probed_at = self._clock.now()
-        report = await self._servers.ask_report(server)
+        report = await self._servers.probe(server)
         if report is None:
-            self._routing_state.note_silence(
+            self._routing_state.record_unanswered_probe(
                 server.id, probed_at, self._clock.now()
             )
             return None
-        if None not in {server.born, report.born} and (
-            server.born != report.born
+        if None not in {server.started_at, report.started_at} and (
+            server.started_at != report.started_at
         ):
             logger.info(
                 'engine_restarted',
                 server=server.id,
-                listed=server.born,
-                reported=report.born,
+                listed=server.started_at,
+                reported=report.started_at,
             )
             return None
-        self._order_counts[server.id] = report.orders
-        return report.orders
+        self._order_counts[server.id] = report.order_count
+        return report.order_count
--- a/src/thornspool/application/routing/ports.py
+++ b/src/thornspool/application/routing/ports.py
@@ -17,7 +17,7 @@
 
 
 @attrs.frozen
-class Inquiry:
+class Request:
     """A request as it arrived from a caller.
 
     Attributes
@@ -34,12 +34,12 @@
         Complete body.
     key : str or None
         API key of the request; None if it has none.
-    patience_ms : int
+    timeout_ms : int
         Time that the caller waits for the complete response, in
         milliseconds.
     arrived_at : int
         Time of arrival, in milliseconds of the clock.
-    prompt_tokens, answer_tokens : float
+    prompt_tokens, output_tokens : float
         Prompt tokens and expected output tokens of a model request; 0 if
         the caller did not state them.
     resume_after : str
@@ -54,10 +54,10 @@
     headers: Headers
     body: bytes
     key: str | None
-    patience_ms: int
+    timeout_ms: int
     arrived_at: int
     prompt_tokens: float = 0.0
-    answer_tokens: float = 0.0
+    output_tokens: float = 0.0
     resume_after: str = ''
 
     @property
@@ -66,10 +66,10 @@
         return self.target.partition('?')[0]
 
 
-class Reply(typing.Protocol):
+class ResponseWriter(typing.Protocol):
     """Response to a caller; closed when complete or the caller disconnects."""
 
-    def set_on_close(self, call: Callable[[], None]) -> None:
+    def set_disconnect_callback(self, call: Callable[[], None]) -> None:
         """Set a function to call when the caller disconnects."""
 
     def refuse(
@@ -89,7 +89,7 @@
     def abort(self) -> None:
         """Close the connection so that the response is seen as incomplete."""
 
-    def answer(self, status: int, headers: Headers, body: bytes) -> None:
+    def send(self, status: int, headers: Headers, body: bytes) -> None:
         """Send a complete response."""
 
 
@@ -99,14 +99,14 @@
 
     Attributes
     ----------
-    inquiry : Inquiry
+    request : Request
         Request to send.
     server : fleet.Server
         Server that receives the request.
     hops : tuple of search.Hop
         Path of a model request, starting at this server; empty for other
         requests.
-    left_ms : int
+    remaining_ms : int
         Time until the deadline, in milliseconds.
     workspace : str
         Workspace of the request; empty for an anonymous one.
@@ -116,10 +116,10 @@
         Priority at the server from 0 (highest) to 9.
     """
 
-    inquiry: Inquiry
+    request: Request
     server: fleet.Server
     hops: tuple[search.Hop, ...]
-    left_ms: int
+    remaining_ms: int
     workspace: str
     resume_after: str
     priority: int
@@ -143,7 +143,7 @@
 
 
 @attrs.frozen
-class Head:
+class ResponseHead:
     """Status and headers of a server's response.
 
     Attributes
@@ -152,52 +152,52 @@
         HTTP status.
     headers : tuple of pairs of str
         Headers that are forwarded to the caller.
-    ran : bool
+    executed : bool
         False if the server states that it did not execute the request.
     fault_address : str
         Address of the server on the path that the response names as the
         cause of the failure; empty for none.
     load : Load or None
         Reported load; None if the server does not report it.
-    genuine : bool
+    is_authentic : bool
         Whether the response has a server's signature and the identifier of
         the request.
     """
 
     status: int
     headers: Headers
-    ran: bool
+    executed: bool
     fault_address: str
     load: Load | None
-    genuine: bool
+    is_authentic: bool
 
 
-class Ending(enum.Enum):
+class Completion(enum.Enum):
     """How an attempt ended.
 
     Only ``NOT_SENT`` guarantees that the server has not read the request.
     """
 
-    WHOLE = 'whole'
+    COMPLETE = 'whole'
     NOT_SENT = 'not_sent'
     BROKEN = 'broken'
 
 
-class Listener(typing.Protocol):
+class ResponseListener(typing.Protocol):
     """Receives the response of an attempt, up to its end or cancellation."""
 
-    def take_head(self, head: Head) -> None:
+    def handle_head(self, head: ResponseHead) -> None:
         """Handle status and headers."""
 
-    def take_body(self, chunk: bytes) -> None:
+    def handle_body(self, chunk: bytes) -> None:
         """Handle a chunk of the body."""
 
-    def take_end(self, ending: Ending) -> None:
+    def handle_completion(self, ending: Completion) -> None:
         """Handle the end of the attempt; called last."""
 
 
 @attrs.frozen
-class Stalled:
+class StalledRequest:
     """A request that is stalled by a server on its path.
 
     Attributes
@@ -217,28 +217,28 @@
 
 
 @attrs.frozen
-class Report:
+class EngineReport:
     """State that an engine reports when probed.
 
     Attributes
     ----------
-    orders : int
+    order_count : int
         Number of orders that the engine has begun since its start.
     busy : bool
         Whether an order is in progress.
-    slowness : float
+    slowdown_factor : float
         Slowdown factor; over 1 for a slow engine.
-    born : int or None
+    started_at : int or None
         Start of the engine's process, in Unix milliseconds.
-    stalled : tuple of Stalled
+    stalled : tuple of StalledRequest
         Requests that entered at this engine and wait for another one.
     """
 
-    orders: int
+    order_count: int
     busy: bool
-    slowness: float
-    born: int | None
-    stalled: tuple[Stalled, ...]
+    slowdown_factor: float
+    started_at: int | None
+    stalled: tuple[StalledRequest, ...]
 
 
 class OrderResult(enum.Enum):
@@ -251,21 +251,21 @@
     UNKNOWN = 'unknown'
 
 
-class Servers(typing.Protocol):
+class ServerClient(typing.Protocol):
     """Client for engines and plain servers."""
 
-    def send(self, run: Run, listener: Listener) -> Callable[[], None]:
+    def send(self, run: Run, listener: ResponseListener) -> Callable[[], None]:
         """Send a request; returns a function that cancels the attempt.
 
         Cancelling closes the connection to the server.
         """
 
-    async def ask_report(
+    async def probe(
         self, server: fleet.Server, wait_ms: int = REPORT_MS
-    ) -> Report | None:
+    ) -> EngineReport | None:
         """Probe an engine for its state; None if it does not respond."""
 
-    async def place(
+    async def assign_layers(
         self, server: fleet.Server, layers: fleet.LayerRange, orders: int
     ) -> OrderResult:
         """Order an engine to hold a range of layers.
@@ -281,7 +281,7 @@
             order otherwise.
         """
 
-    async def repath(
+    async def reroute(
         self, request: str, hops: tuple[search.Hop, ...]
     ) -> OrderResult:
         """Order the first engine of a running request to use another path."""
--- a/src/thornspool/application/routing/questions.py
+++ b/src/thornspool/application/routing/probe_budget.py
@@ -30,7 +30,7 @@
 _MS_PER_S = 1000.0
 
 
-class Questions:
+class ProbeBudget:
     """Token bucket for the probes of an entry.
 
     Parameters
--- a/src/thornspool/application/routing/registration.py
+++ b/src/thornspool/application/routing/registration.py
@@ -16,7 +16,7 @@
     from thornspool import clock as clock_module
     from thornspool.domain.entries import view as view_module
 
-RETRY_MS = 500
+INITIAL_BACKOFF_MS = 500
 """Pause after the first failed call. It doubles with each further failure,
 since the store counts the calls that it rejects too."""
 
@@ -39,7 +39,7 @@
     async def register(self, record: messages.Record, lease: int) -> None:
         """Write the registration of this entry."""
 
-    async def claim_lead(
+    async def claim_leadership(
         self, record: messages.Record, lease: int, revision: int
     ) -> int:
         """Write the leader key if it still has a revision.
@@ -59,7 +59,7 @@
             New revision of the key.
         """
 
-    async def release_lead(self, revision: int) -> None:
+    async def release_leadership(self, revision: int) -> None:
         """Delete the leader key if it still has a revision."""
 
 
@@ -93,19 +93,19 @@
         self._view = view
         self._leadership = leadership
         self._registry = registry
-        self._find_old_lease = find_old_lease
+        self._find_previous_lease = find_old_lease
         self._tried_old_lease = False
         self._lease: int | None = None
         self._renewed_at = 0
-        self._lead_lease: int | None = None
+        self._leadership_lease: int | None = None
         self._lead_lease_renewed_at = 0
         self._registered = False
         self._leaving = False
         self._reachable = True
         self._retry_at = 0
-        self._backoff_ms = RETRY_MS
+        self._backoff_ms = INITIAL_BACKOFF_MS
 
-    async def work(self) -> None:
+    async def tick(self) -> None:
         """Renew leases that are due; called several times per second."""
         if self._clock.now() < self._retry_at:
             return
@@ -123,7 +123,7 @@
             self._retry_at = self._clock.now() + self._advance_backoff()
             self._record_reachable(False, str(error))
 
-    async def step_down(self) -> None:
+    async def release_leadership(self) -> None:
         """Release the leadership and do not claim it again.
 
         The registration stays until the process ends. Its in-flight requests
@@ -134,15 +134,15 @@
         holder = self._leadership.holder
         if holder is None or not self._leadership.may_act(self._clock.now()):
             return
-        self._leadership.take_holder(None, self._clock.now())
+        self._leadership.apply_holder(None, self._clock.now())
         try:
-            await self._registry.release_lead(holder.revision)
+            await self._registry.release_leadership(holder.revision)
         except exceptions.RoutingError as error:
             # Another entry takes the leadership over when it receives no more
             # updates from this one.
             logger.warning('lead_not_released', reason=str(error))
 
-    def leave(self) -> None:
+    def stop_renewing(self) -> None:
         """Stop renewing leases.
 
         The registration expires by itself unless the next process of this
@@ -151,23 +151,26 @@
         """
         self._leaving = True
         self._lease = None
-        self._lead_lease = None
+        self._leadership_lease = None
         self._leadership.renewed_at = None
 
     async def _renew_leadership(self) -> None:
         """Renew the lease of the leadership if this entry is the leader."""
-        lease = self._lead_lease
-        if lease is None or not self._leadership.is_own:
+        lease = self._leadership_lease
+        if lease is None or not self._leadership.is_local:
             return
         now = self._clock.now()
-        if now - self._lead_lease_renewed_at < leadership_module.LEAD_RENEW_MS:
+        if (
+            now - self._lead_lease_renewed_at
+            < leadership_module.LEADER_RENEW_MS
+        ):
             return
         try:
             await self._registry.renew_lease(lease)
         except exceptions.LeaseLost:
             logger.warning('lead_lost', lease=lease)
-            self._lead_lease = None
-            self._leadership.take_holder(None, now)
+            self._leadership_lease = None
+            self._leadership.apply_holder(None, now)
             return
         self._lead_lease_renewed_at = now
         self._leadership.renewed_at = now
@@ -177,7 +180,7 @@
             return
         now = self._clock.now()
         if self._lease is None:
-            old_lease = self._find_old_lease()
+            old_lease = self._find_previous_lease()
             if old_lease is None:
                 return
             self._lease = await self._open_lease(old_lease)
@@ -188,12 +191,12 @@
         # The time of sending is used, since the lease runs from the arrival at
         # the store, which is later.
         self._renewed_at = now
-        if not self._leadership.is_own:
+        if not self._leadership.is_local:
             self._leadership.renewed_at = now
-        self._backoff_ms = RETRY_MS
+        self._backoff_ms = INITIAL_BACKOFF_MS
         self._record_reachable(True, '')
         if not self._registered:
-            await self._registry.register(self._view.own, self._lease)
+            await self._registry.register(self._view.local, self._lease)
             self._registered = True
 
     async def _open_lease(self, old_lease: int) -> int:
@@ -218,8 +221,8 @@
         The leader and an entry that is not registered yet retry after the
         shortest pause. The others can wait, since their leases still run.
         """
-        if self._leadership.is_own or not self._registered:
-            return RETRY_MS
+        if self._leadership.is_local or not self._registered:
+            return INITIAL_BACKOFF_MS
         backoff_ms = self._backoff_ms
         self._backoff_ms = min(MAX_BACKOFF_MS, 2 * backoff_ms)
         return backoff_ms
@@ -236,8 +239,8 @@
             return
         revision_written = await self._write_claim(revision, now)
         self._leadership.renewed_at = now
-        own = self._view.own
-        self._leadership.take_holder(
+        own = self._view.local
+        self._leadership.apply_holder(
             leadership_module.Holder(
                 own.host, own.incarnation, revision_written
             ),
@@ -248,15 +251,15 @@
     async def _write_claim(self, revision: int, now: int) -> int:
         """Write the leader key under a new lease; returns its revision."""
         lease = await self._registry.open_lease(
-            leadership_module.LEAD_LEASE_MS
+            leadership_module.LEADER_LEASE_MS
         )
         # Stored before the claim, which may succeed even when its response is
         # lost.
-        self._lead_lease = lease
+        self._leadership_lease = lease
         self._lead_lease_renewed_at = now
         try:
-            return await self._registry.claim_lead(
-                self._view.own, lease, revision
+            return await self._registry.claim_leadership(
+                self._view.local, lease, revision
             )
         except exceptions.LeaseLost as error:
             raise exceptions.RegistryConflict(str(error)) from error
@@ -273,11 +276,11 @@
         list of str
             The candidates; empty if this entry may not claim it.
         """
-        own = self._view.own.host
+        own = self._view.local.host
         serving = [record.host for record in self._view.list_serving(now)]
         if self._view.is_mesh:
             return [*serving, own]
-        if not self._view.collects:
+        if not self._view.is_collector:
             return []
         return [*self._list_other_collectors(serving), own]
 
@@ -291,7 +294,7 @@
             peers = self._view.list_domain(domain)
             hosts = [peer.record.host for peer in peers]
             first = next((host for host in hosts if host in serving), None)
-            if first and domain != self._view.own.failure_domain:
+            if first and domain != self._view.local.failure_domain:
                 collectors.append(first)
         return collectors
 
--- a/src/thornspool/application/routing/repairs.py
+++ b/src/thornspool/application/routing/rerouting.py
@@ -20,7 +20,7 @@
     from collections.abc import Coroutine
 
     from thornspool import clock as clock_module
-    from thornspool.application.routing import flights
+    from thornspool.application.routing import in_flight as in_flight_module
     from thornspool.application.routing import streams
     from thornspool.domain.paths import search
 
@@ -36,7 +36,7 @@
         Source of time.
     service : streams.StreamService
         Service whose streams are rerouted.
-    servers : ports.Servers
+    servers : ports.ServerClient
         Client for calls to engines.
     start : callable
         Runs a coroutine as a background task.
@@ -46,7 +46,7 @@
         self,
         clock: clock_module.Clock,
         service: streams.StreamService,
-        servers: ports.Servers,
+        servers: ports.ServerClient,
         start_task: Callable[[Coroutine[typing.Any, typing.Any, None]], None],
     ) -> None:
         self._clock = clock
@@ -54,40 +54,46 @@
         self._servers = servers
         self._start_task = start_task
 
-    def reroute(self, flight: flights.Flight, suspected: list[str]) -> None:
+    def reroute(
+        self, in_flight: in_flight_module.InFlightRequest, suspected: list[str]
+    ) -> None:
         """Reroute a stream around suspected engines.
 
         Parameters
         ----------
-        flight : flights.Flight
+        in_flight : in_flight_module.InFlightRequest
             In-flight request to reroute.
         suspected : list of str
             Ids of the engines to exclude.
         """
-        flight.exchange.avoid(suspected, self._clock.now())
-        may_retry = self._service.may_retry(flight)
+        in_flight.exchange.exclude(suspected, self._clock.now())
+        may_retry = self._service.may_retry(in_flight)
         hops = None
-        if flight.head is not None or not may_retry:
+        if in_flight.head is not None or not may_retry:
             # A new run costs little before the engine has answered.
-            hops = self._choose_path(flight, suspected)
+            hops = self._choose_path(in_flight, suspected)
         if hops is not None:
-            flight.rerouting = True
-            self._start_task(self._change_path(flight, hops))
+            in_flight.rerouting = True
+            self._start_task(self._change_path(in_flight, hops))
         elif may_retry:
-            self._service.mend(flight, 'engine_lost')
+            self._service.fail_over(in_flight, 'engine_lost')
 
     async def _change_path(
-        self, flight: flights.Flight, hops: tuple[search.Hop, ...]
+        self,
+        in_flight: in_flight_module.InFlightRequest,
+        hops: tuple[search.Hop, ...],
     ) -> None:
         try:
-            changed = await self._order_path_change(flight, hops)
+            changed = await self._order_path_change(in_flight, hops)
         finally:
-            flight.rerouting = False
-        if not changed and self._service.may_retry(flight):
-            self._service.mend(flight, 'engine_lost')
+            in_flight.rerouting = False
+        if not changed and self._service.may_retry(in_flight):
+            self._service.fail_over(in_flight, 'engine_lost')
 
     async def _order_path_change(
-        self, flight: flights.Flight, hops: tuple[search.Hop, ...]
+        self,
+        in_flight: in_flight_module.InFlightRequest,
+        hops: tuple[search.Hop, ...],
     ) -> bool:
         """Order the first engine of a stream to use another path.
 
@@ -96,23 +102,25 @@
         bool
             False when the stream has to resume in a new run instead.
         """
-        generation = flight.generation
-        result = await self._servers.repath(flight.exchange.inquiry.id, hops)
-        if flight.exchange.ended or flight.generation != generation:
+        generation = in_flight.generation
+        result = await self._servers.reroute(
+            in_flight.exchange.request.id, hops
+        )
+        if in_flight.exchange.ended or in_flight.generation != generation:
             return True
         logger.info(
             'path_mended',
-            id=flight.exchange.inquiry.id,
+            id=in_flight.exchange.request.id,
             result=result.value,
-            after=flight.events.last_id,
+            after=in_flight.events.last_id,
         )
         if result not in {ports.OrderResult.BEGUN, ports.OrderResult.DONE}:
             return False
-        self._service.apply_path_change(flight, hops)
+        self._service.apply_path_change(in_flight, hops)
         return True
 
     def _choose_path(
-        self, flight: flights.Flight, suspected: list[str]
+        self, in_flight: in_flight_module.InFlightRequest, suspected: list[str]
     ) -> tuple[search.Hop, ...] | None:
         """Choose a path on which a stalled run can continue.
 
@@ -121,18 +129,25 @@
         tuple of search.Hop or None
             None when the run can't keep its first engine or no path exists.
         """
-        exchange = flight.exchange
-        excluded = self._service.paths.list_avoided(flight)
-        first_hop = flight.hops[0]
+        exchange = in_flight.exchange
+        excluded = self._service.paths.list_avoided(in_flight)
+        first_hop = in_flight.hops[0]
         if first_hop.server.id in excluded:
             return None
-        situation = self._service.paths.describe(exchange.service, excluded)
-        if situation is None:
+        fleet_snapshot = self._service.paths.describe(
+            exchange.service, excluded
+        )
+        if fleet_snapshot is None:
             return None
         hops = choice.choose_repair(
-            situation, flight.need, flight.hops, frozenset(suspected)
+            fleet_snapshot,
+            in_flight.request_size,
+            in_flight.hops,
+            frozenset(suspected),
         )
-        if hops is not None or self._service.may_retry(flight):
+        if hops is not None or self._service.may_retry(in_flight):
             return hops
-        tail = choice.choose_rest(situation, flight.need, first_hop)
+        tail = choice.choose_remainder(
+            fleet_snapshot, in_flight.request_size, first_hop
+        )
         return None if tail is None else (first_hop, *tail.hops)
--- a/src/thornspool/application/routing/repeats.py
+++ b/src/thornspool/application/routing/retry_pools.py
@@ -4,7 +4,7 @@
 
 import typing
 
-from thornspool.domain.fleet import marks
+from thornspool.domain.fleet import server_hashes
 from thornspool.domain.retries import pools
 
 if typing.TYPE_CHECKING:
@@ -29,7 +29,7 @@
 _MS_PER_S = 1000.0
 
 
-class Repeats:
+class RetryPools:
     """Limits the retries of all services.
 
     Parameters
@@ -63,14 +63,14 @@
         self._window_ms = window_ms
         self._count_entries = count_entries
         self._seed = seed
-        self._pools: dict[str, pools.RepeatPool] = {}
-        self.refused = 0
+        self._pools: dict[str, pools.RetryPool] = {}
+        self.refused_count = 0
 
     def record_request(self, service: str) -> None:
         """Record the first send of a request."""
         self._get_pool(service).record_request(self._clock.now())
 
-    def take(self, service: str, urgent: bool = False) -> bool:
+    def acquire(self, service: str, urgent: bool = False) -> bool:
         """Acquire one retry.
 
         Parameters
@@ -86,45 +86,45 @@
             False when this entry's share of the budget is used up.
         """
         share = _choose_share(urgent)
-        if self._get_pool(service).take_repeat(self._clock.now(), share):
+        if self._get_pool(service).acquire(self._clock.now(), share):
             return True
-        self.refused += 1
+        self.refused_count += 1
         return False
 
-    def has_room(self, service: str, urgent: bool) -> bool:
+    def can_acquire(self, service: str, urgent: bool) -> bool:
         """Return whether a retry can be acquired now."""
         share = _choose_share(urgent)
-        return self._get_pool(service).has_room(self._clock.now(), share)
+        return self._get_pool(service).allows_retry(self._clock.now(), share)
 
     def estimate_rate(self, service: str) -> float:
         """Estimate the requests per second of all entries to a service."""
         requests = self._get_pool(service).count_requests(self._clock.now())
         return requests * _MS_PER_S / self._window_ms
 
-    def list_marked(self) -> dict[int, float]:
+    def list_by_hash(self) -> dict[int, float]:
         """List this entry's requests and retries by hash, for updates."""
         now = self._clock.now()
         listed = {}
         for service, pool in self._pools.items():
-            work = pool.count(now)
-            listed[_hash_requests(service)] = work.requests
-            listed[_hash_retries(service)] = work.repeats
+            counts = pool.count(now)
+            listed[_hash_requests(service)] = counts.requests
+            listed[_hash_retries(service)] = counts.retries
         return listed
 
-    def take_others(self, reported: dict[int, float]) -> None:
+    def apply_others(self, reported: dict[int, float]) -> None:
         """Apply the sums of requests and retries of all other entries."""
         now = self._clock.now()
         for service, pool in self._pools.items():
-            work = pools.Work(
+            counts = pools.RequestCounts(
                 reported.get(_hash_requests(service), 0.0),
                 reported.get(_hash_retries(service), 0.0),
             )
-            pool.take_others(work, now)
+            pool.apply_others(counts, now)
 
-    def _get_pool(self, service: str) -> pools.RepeatPool:
+    def _get_pool(self, service: str) -> pools.RetryPool:
         pool = self._pools.get(service)
         if pool is None:
-            pool = pools.RepeatPool(
+            pool = pools.RetryPool(
                 self._ratio,
                 self._slack * USABLE_SLACK_SHARE,
                 self._window_ms,
@@ -140,8 +140,8 @@
 
 
 def _hash_requests(service: str) -> int:
-    return marks.compute_mark(f'requests of {service}')
+    return server_hashes.compute_server_hash(f'requests of {service}')
 
 
 def _hash_retries(service: str) -> int:
-    return marks.compute_mark(f'repeats of {service}')
+    return server_hashes.compute_server_hash(f'repeats of {service}')
--- a/src/thornspool/application/routing/beliefs.py
+++ b/src/thornspool/application/routing/routing_state.py
@@ -8,12 +8,12 @@
 import structlog
 
 from thornspool.application.routing import ports
-from thornspool.domain.fleet import marks
-from thornspool.domain.fleet import moves as moves_module
 from thornspool.domain.fleet import outliers as outliers_module
-from thornspool.domain.fleet import paces as paces_module
 from thornspool.domain.fleet import refusals as refusals_module
-from thornspool.domain.freshness import proofs
+from thornspool.domain.fleet import retained_ranges as retained_ranges_module
+from thornspool.domain.fleet import server_hashes
+from thornspool.domain.fleet import slowdowns as slowdowns_module
+from thornspool.domain.freshness import confirmations
 
 if typing.TYPE_CHECKING:
     from thornspool.domain.fleet import messages as fleet
@@ -28,14 +28,14 @@
 see the change within some 200 ms of it.
 """
 
-OUTAGE_MS = 3_000
+STORE_OUTAGE_AGE_MS = 3_000
 """Age of the copy from which the store counts as having been unavailable.
 
 Records expire 3.6 s after the last heartbeat. The store confirms a current
 copy again every 0.4 to 2.8 s.
 """
 
-RETURN_MS = 2_200
+SETTLING_MS = 2_200
 """Time after the store's return for which removed records are ignored.
 
 Servers that are alive register again within some 2 s.
@@ -100,17 +100,17 @@
         Time in milliseconds at which it expires.
     reason : str
         What was observed.
-    born : int or None
+    started_at : int or None
         Start of the suspected process; a restarted server is not suspected.
     """
 
     until: int
     reason: str
-    born: int | None
+    started_at: int | None
 
 
 @attrs.define
-class Beliefs:
+class RoutingState:
     """Local copy of the store, and what was observed since.
 
     Attributes
@@ -123,19 +123,19 @@
         Time in milliseconds since when a server is leaving.
     unlisted : dict of str to int
         Time in milliseconds since when a server has no record.
-    lapsed : set of str
+    unlisted_while_settling : set of str
         Servers whose records were removed right after the store's return.
-    suspects : dict of str to Suspicion
+    suspicions : dict of str to Suspicion
         Servers that are excluded after a failure.
-    paces : paces_module.Paces
+    slowdowns : slowdowns_module.Slowdowns
         Slowdown factors of engines.
     refusals : refusals_module.Refusals
         Servers that are in backoff or ejected.
     outliers : outliers_module.Outliers
         Runs that engines broke.
-    moves : moves_module.Moves
+    retained_ranges : retained_ranges_module.RetainedRanges
         Engines that change their layers.
-    proof : proofs.Proof
+    freshness : confirmations.Freshness
         Freshness of the copy.
     servers_changed_at : int
         Time in milliseconds of the last change of the servers.
@@ -145,7 +145,7 @@
         Time in milliseconds of the first answer of the store.
     store_returned_at : int or None
         Time in milliseconds at which the store was last available again.
-    fresh_suspects : list of str
+    unreported_suspects : list of str
         Suspected servers that are not yet reported to peers.
     probe_candidates : set of str
         Engines that have refused or broken runs and are to be probed.
@@ -155,26 +155,34 @@
     servers: dict[str, fleet.Server] = attrs.field(factory=dict)
     leaving: dict[str, int] = attrs.field(factory=dict)
     unlisted: dict[str, int] = attrs.field(factory=dict)
-    lapsed: set[str] = attrs.field(factory=set)
-    suspects: dict[str, Suspicion] = attrs.field(factory=dict)
-    paces: paces_module.Paces = attrs.field(factory=paces_module.Paces)
+    unlisted_while_settling: set[str] = attrs.field(factory=set)
+    suspicions: dict[str, Suspicion] = attrs.field(factory=dict)
+    slowdowns: slowdowns_module.Slowdowns = attrs.field(
+        factory=slowdowns_module.Slowdowns
+    )
     refusals: refusals_module.Refusals = attrs.field(
         factory=refusals_module.Refusals
     )
     outliers: outliers_module.Outliers = attrs.field(
         factory=outliers_module.Outliers
     )
-    moves: moves_module.Moves = attrs.field(factory=moves_module.Moves)
-    proof: proofs.Proof = attrs.field(factory=proofs.Proof)
+    retained_ranges: retained_ranges_module.RetainedRanges = attrs.field(
+        factory=retained_ranges_module.RetainedRanges
+    )
+    freshness: confirmations.Freshness = attrs.field(
+        factory=confirmations.Freshness
+    )
     servers_changed_at: int = 0
     revision: int = 0
     first_contact_at: int | None = None
     store_returned_at: int | None = None
-    fresh_suspects: list[str] = attrs.field(factory=list)
+    unreported_suspects: list[str] = attrs.field(factory=list)
     probe_candidates: set[str] = attrs.field(factory=set)
     _id_by_address: dict[str, str] = attrs.field(factory=dict, init=False)
 
-    def take_configuration(self, configuration: routing.Configuration) -> None:
+    def apply_configuration(
+        self, configuration: routing.Configuration
+    ) -> None:
         """Put a configuration into force unless it is outdated.
 
         Parameters
@@ -201,7 +209,7 @@
             keys=len(configuration.workspaces),
         )
 
-    def note_contact(self, now: int) -> None:
+    def record_store_contact(self, now: int) -> None:
         """Record an answer of the store, before its content is applied.
 
         Parameters
@@ -209,12 +217,12 @@
         now : int
             Current time in milliseconds.
         """
-        if self.proof.current_at is None:
+        if self.freshness.confirmed_at is None:
             self.first_contact_at = now
-        elif self.is_outdated(now):
+        elif self.is_stale(now):
             self.store_returned_at = now
 
-    def is_outdated(self, now: int) -> bool:
+    def is_stale(self, now: int) -> bool:
         """Return whether the copy is older than with an available store.
 
         Parameters
@@ -222,8 +230,8 @@
         now : int
             Current time in milliseconds.
         """
-        age = self.proof.compute_age(now)
-        return age is None or age > OUTAGE_MS
+        age = self.freshness.compute_age(now)
+        return age is None or age > STORE_OUTAGE_AGE_MS
 
     def is_settling(self, now: int) -> bool:
         """Return whether live servers may still be missing from the list.
@@ -240,7 +248,7 @@
         """
         return _is_recent(self.store_returned_at, now)
 
-    def is_list_young(self, now: int) -> bool:
+    def is_list_incomplete(self, now: int) -> bool:
         """Return whether missing servers allow no conclusion yet.
 
         An entry that has just started can't tell whether the store was
@@ -253,7 +261,7 @@
         """
         return self.is_settling(now) or _is_recent(self.first_contact_at, now)
 
-    def take_server(self, server: fleet.Server, now: int) -> None:
+    def apply_server(self, server: fleet.Server, now: int) -> None:
         """Apply the latest record of a server.
 
         Parameters
@@ -264,7 +272,7 @@
             Current time in milliseconds.
         """
         current = self.servers.get(server.id)
-        self.lapsed.discard(server.id)
+        self.unlisted_while_settling.discard(server.id)
         if current == server and server.id not in self.unlisted:
             return
         self.unlisted.pop(server.id, None)
@@ -276,16 +284,16 @@
             self.leaving.setdefault(server.id, now)
         else:
             self.leaving.pop(server.id, None)
-        suspicion = self.suspects.get(server.id)
-        if suspicion is not None and suspicion.born != server.born:
-            del self.suspects[server.id]
+        suspicion = self.suspicions.get(server.id)
+        if suspicion is not None and suspicion.started_at != server.started_at:
+            del self.suspicions[server.id]
         logger.info(
             'server_listed',
             server=server.id,
             address=server.address,
             draining=server.draining,
             layers=_format_layers(server),
-            born=server.born,
+            born=server.started_at,
         )
 
     def remove_server(self, server_id: str, now: int) -> None:
@@ -305,10 +313,10 @@
         if server_id not in self.servers:
             return
         if self.is_settling(now):
-            self.lapsed.add(server_id)
+            self.unlisted_while_settling.add(server_id)
             logger.info('server_lapsed', server=server_id)
             return
-        if server_id in self.suspects:
+        if server_id in self.suspicions:
             # It failed before its record was removed, so it no longer serves.
             self._drop(server_id, now)
             return
@@ -317,7 +325,7 @@
         self.unlisted.setdefault(server_id, now)
         logger.info('server_unlisted', server=server_id)
 
-    def forget_left(self, now: int) -> None:
+    def purge_expired(self, now: int) -> None:
         """Drop expired servers, suspicions and measurements.
 
         Parameters
@@ -325,21 +333,24 @@
         now : int
             Current time in milliseconds.
         """
-        if self.lapsed and not self.is_settling(now):
+        if self.unlisted_while_settling and not self.is_settling(now):
             # They have not registered again in time, and refuse every run.
-            lapsed, self.lapsed = self.lapsed, set()
-            for server_id in lapsed:
+            unlisted_while_settling, self.unlisted_while_settling = (
+                self.unlisted_while_settling,
+                set(),
+            )
+            for server_id in unlisted_while_settling:
                 self._drop(server_id, now)
         for server_id, since in list(self.unlisted.items()):
             if now - since > LEAVING_USE_MS:
                 self._drop(server_id, now)
-        for server_id, suspicion in list(self.suspects.items()):
+        for server_id, suspicion in list(self.suspicions.items()):
             if now >= suspicion.until:
-                del self.suspects[server_id]
-        self.paces.forget_old(now)
+                del self.suspicions[server_id]
+        self.slowdowns.forget_old(now)
         self.refusals.forget_old(now)
         self.outliers.forget_old(now)
-        self.moves.forget_old(now)
+        self.retained_ranges.forget_old(now)
 
     def _drop_predecessor(self, server: fleet.Server, now: int) -> None:
         """Drop the server that a newer one at its address has replaced."""
@@ -348,7 +359,7 @@
         )
         if predecessor is None or predecessor.id == server.id:
             self._id_by_address[server.address] = server.id
-        elif (predecessor.born or 0) < (server.born or 0):
+        elif (predecessor.started_at or 0) < (server.started_at or 0):
             self._id_by_address[server.address] = server.id
             self._drop(predecessor.id, now)
 
@@ -365,7 +376,7 @@
             logger.info('server_dropped', server=server_id)
 
     def suspect(
-        self, server_id: str, reason: str, now: int, told: bool = False
+        self, server_id: str, reason: str, now: int, reported: bool = False
     ) -> None:
         """Exclude a server for a limited time after a failure.
 
@@ -377,27 +388,27 @@
             What was observed.
         now : int
             Current time in milliseconds.
-        told : bool, optional
+        reported : bool, optional
             Whether a peer reported it. It is then not reported to other peers.
         """
         server = self.servers.get(server_id)
         if server is None:
             return
-        if server_id not in self.suspects and not self._may_suspect():
+        if server_id not in self.suspicions and not self._may_suspect():
             logger.warning(
                 'suspicion_dropped', server=server_id, reason=reason
             )
             return
-        if server_id not in self.suspects:
+        if server_id not in self.suspicions:
             logger.warning('server_suspected', server=server_id, reason=reason)
-            if not told:
-                self.fresh_suspects.append(server_id)
+            if not reported:
+                self.unreported_suspects.append(server_id)
         duration_ms = MISDIRECTED_MS if reason == MISDIRECTED else SUSPICION_MS
-        self.suspects[server_id] = Suspicion(
-            now + duration_ms, reason, server.born
+        self.suspicions[server_id] = Suspicion(
+            now + duration_ms, reason, server.started_at
         )
 
-    def note_silence(
+    def record_unanswered_probe(
         self,
         server_id: str,
         probed_at: int,
@@ -431,7 +442,7 @@
             return
         self.suspect(server_id, reason, now)
 
-    def note_broken_run(self, server_id: str, now: int) -> None:
+    def record_broken_run(self, server_id: str, now: int) -> None:
         """Record that an engine closed a connection before any answer.
 
         Its health checks may pass all the while. The engine is probed, and
@@ -445,15 +456,15 @@
             Current time in milliseconds.
         """
         self.probe_candidates.add(server_id)
-        if not self.outliers.note_break(server_id, now):
+        if not self.outliers.record_break(server_id, now):
             logger.info('break_doubted', server=server_id)
             return
-        if self._may_eject(server_id, now) and self.refusals.note(
-            server_id, now, refusals_module.MAX_EJECTED_MS
+        if self._may_eject(server_id, now) and self.refusals.record(
+            server_id, now, refusals_module.MAX_EJECTION_MS
         ):
             logger.warning('server_ejected', server=server_id)
 
-    def take_breaks(
+    def apply_reported_breaks(
         self, host: str, reported: typing.Iterable[int], now: int
     ) -> None:
         """Apply a peer's report of engines that break runs.
@@ -467,32 +478,32 @@
         now : int
             Current time in milliseconds.
         """
-        new = self.outliers.note_told(host, reported, now)
+        new = self.outliers.record_reported(host, reported, now)
         if not new:
             return
         for server_id in self.servers:
-            if marks.compute_mark(server_id) in new and self._may_eject(
-                server_id, now
-            ):
-                self.take_refusals(
-                    (marks.compute_mark(server_id),), now, False
+            if server_hashes.compute_server_hash(
+                server_id
+            ) in new and self._may_eject(server_id, now):
+                self.apply_reported_refusals(
+                    (server_hashes.compute_server_hash(server_id),), now, False
                 )
 
     def _may_eject(self, server_id: str, now: int) -> bool:
         """Return whether an engine is an outlier and enough others remain."""
-        mark = marks.compute_mark(server_id)
-        if not self.outliers.is_outlier(mark, now) and not (
-            self.outliers.has_broken(mark)
-            and self.refusals.is_on_trial(server_id, now)
+        server_hash = server_hashes.compute_server_hash(server_id)
+        if not self.outliers.is_outlier(server_hash, now) and not (
+            self.outliers.has_broken(server_hash)
+            and self.refusals.is_half_open(server_id, now)
         ):
             return False
         max_ejected = outliers_module.MAX_EJECTED_SHARE * len(self.servers)
-        if self.refusals.count_left_out(now) < max_ejected:
+        if self.refusals.count_excluded(now) < max_ejected:
             return True
         logger.warning('ejection_dropped', server=server_id)
         return False
 
-    def take_refusals(
+    def apply_reported_refusals(
         self, reported: typing.Iterable[int], now: int, direct: bool
     ) -> None:
         """Apply a peer's report of excluded engines.
@@ -506,11 +517,13 @@
         direct : bool
             Whether the peer observed the refusals itself.
         """
-        for mark in reported:
-            max_backoff_ms = refusals_module.MAX_MS
-            if self.outliers.has_broken(mark):
-                max_backoff_ms = refusals_module.MAX_EJECTED_MS
-            self.refusals.note_told((mark,), now, direct, max_backoff_ms)
+        for server_hash in reported:
+            max_backoff_ms = refusals_module.MAX_BACKOFF_MS
+            if self.outliers.has_broken(server_hash):
+                max_backoff_ms = refusals_module.MAX_EJECTION_MS
+            self.refusals.record_reported(
+                (server_hash,), now, direct, max_backoff_ms
+            )
 
     def is_lost(self, server_id: str) -> bool:
         """Return whether this entry itself observed that a server is gone.
@@ -523,7 +536,7 @@
         server_id : str
             Id of the server.
         """
-        suspicion = self.suspects.get(server_id)
+        suspicion = self.suspicions.get(server_id)
         return suspicion is not None and suspicion.reason in {
             NO_REPORT,
             NOT_REACHED,
@@ -531,7 +544,7 @@
 
     def _may_suspect(self) -> bool:
         max_suspects = max(MIN_SUSPECTS, MAX_SUSPECT_SHARE * len(self.servers))
-        return len(self.suspects) < max_suspects
+        return len(self.suspicions) < max_suspects
 
     def is_usable(self, server: fleet.Server, now: int) -> bool:
         """Return whether a server may get requests now.
@@ -543,7 +556,7 @@
         now : int
             Current time in milliseconds.
         """
-        if server.id in self.suspects:
+        if server.id in self.suspicions:
             return False
         if server.draining and server.kind:
             # Draining engines refuse new requests at once.
@@ -582,7 +595,7 @@
         ]
         if not found:
             return None
-        return max(found, key=lambda server: server.born or 0)
+        return max(found, key=lambda server: server.started_at or 0)
 
     def find_model(self, service: str) -> fleet.Model | None:
         """Find the model of a service.
@@ -604,7 +617,7 @@
 
 
 def _is_recent(at: int | None, now: int) -> bool:
-    return at is not None and now - at < RETURN_MS
+    return at is not None and now - at < SETTLING_MS
 
 
 def _format_layers(server: fleet.Server) -> str:
--- a/src/thornspool/application/routing/streams.py
+++ b/src/thornspool/application/routing/streams.py
@@ -7,28 +7,30 @@
 
 import structlog
 
-from thornspool.application.routing import blame
-from thornspool.application.routing import finding
-from thornspool.application.routing import flights
+from thornspool.application.routing import fault_attribution
+from thornspool.application.routing import in_flight as in_flight_module
 from thornspool.application.routing import listeners
+from thornspool.application.routing import path_finding
 from thornspool.application.routing import ports
 from thornspool.domain.paths import choice
 from thornspool.domain.paths import search
-from thornspool.domain.paths import silence
+from thornspool.domain.paths import stalls
 
 if typing.TYPE_CHECKING:
     import random
 
     from thornspool import clock as clock_module
-    from thornspool.application.routing import beliefs as beliefs_module
     from thornspool.application.routing import exchanges
-    from thornspool.application.routing import repeats
+    from thornspool.application.routing import retry_pools
+    from thornspool.application.routing import (
+        routing_state as routing_state_module,
+    )
     from thornspool.domain.paths import reservations
 
 MAX_SENDS = 6
 """Most times that one request is sent, refused sends included."""
 
-QUEUE_MS = 1_500
+MAX_QUEUE_MS = 1_500
 """Longest wait for free capacity.
 
 A stream releases its memory after 2 to 4 s, so that some capacity becomes free
@@ -36,10 +38,10 @@
 more requests than the engines can serve.
 """
 
-MIN_LEFT_MS = 300
+MIN_REMAINING_MS = 300
 """Remaining time below which a run can't even deliver its first event."""
 
-COMES_BACK_MS = (400, 900)
+RETRY_AFTER_MS = (400, 900)
 """Range of Retry-After where no path exists.
 
 A lost engine is detected within 0.5 s, and its neighbours load its layers
@@ -61,13 +63,13 @@
     ----------
     clock : clock_module.Clock
         Source of time.
-    beliefs : beliefs_module.Beliefs
+    routing_state : routing_state_module.RoutingState
         Routing state with the configuration and the engines.
     reserved : reservations.Reservations
         Engine memory that requests reserve.
-    servers : ports.Servers
+    servers : ports.ServerClient
         Client for calls to engines.
-    budget : repeats.Repeats
+    budget : retry_pools.RetryPools
         Retry budget.
     failure_domain : str
         Failure domain of this entry.
@@ -78,26 +80,33 @@
     def __init__(
         self,
         clock: clock_module.Clock,
-        beliefs: beliefs_module.Beliefs,
+        routing_state: routing_state_module.RoutingState,
         reserved: reservations.Reservations,
-        servers: ports.Servers,
-        budget: repeats.Repeats,
+        servers: ports.ServerClient,
+        budget: retry_pools.RetryPools,
         failure_domain: str,
         random_source: random.Random,
     ) -> None:
         self._clock = clock
-        self._beliefs = beliefs
+        self._routing_state = routing_state
         self._reservations = reserved
         self._servers = servers
         self._budget = budget
         self._random = random_source
-        self.paths = finding.PathFinder(
-            clock, beliefs, reserved, budget, failure_domain, random_source
+        self.paths = path_finding.PathFinder(
+            clock,
+            routing_state,
+            reserved,
+            budget,
+            failure_domain,
+            random_source,
         )
-        self._fault_attribution = blame.FaultAttribution(clock, beliefs)
-        self.flights: set[flights.Flight] = set()
-        self.event_interval = silence.UsualPause()
-        self._waiting: list[flights.Flight] = []
+        self._fault_attribution = fault_attribution.FaultAttribution(
+            clock, routing_state
+        )
+        self.in_flight_requests: set[in_flight_module.InFlightRequest] = set()
+        self.event_interval = stalls.EventInterval()
+        self._waiting: list[in_flight_module.InFlightRequest] = []
         self._shutdown_at: int | None = None
 
     def serve(self, exchange: exchanges.Exchange) -> None:
@@ -110,101 +119,115 @@
         exchange : exchanges.Exchange
             The request with its route.
         """
-        inquiry = exchange.inquiry
-        model = self._beliefs.find_model(exchange.service)
+        request = exchange.request
+        model = self._routing_state.find_model(exchange.service)
         assert model is not None
-        need = choice.Need(
-            inquiry.prompt_tokens or model.usual_prompt,
-            inquiry.answer_tokens or model.usual_answer,
+        request_size = choice.RequestSize(
+            request.prompt_tokens or model.usual_prompt,
+            request.output_tokens or model.usual_answer,
+        )
+        in_flight = in_flight_module.InFlightRequest(exchange, request_size)
+        exchange.reply.set_disconnect_callback(
+            lambda: self._abandon(in_flight)
         )
-        flight = flights.Flight(exchange, need)
-        exchange.reply.set_on_close(lambda: self._abandon(flight))
-        self.flights.add(flight)
+        self.in_flight_requests.add(in_flight)
         self._budget.record_request(exchange.service)
-        self._start(flight)
+        self._start(in_flight)
 
-    def work(self) -> None:
+    def tick(self) -> None:
         """Start waiting requests and end expired ones; called every few ms."""
         now = self._clock.now()
-        for flight in list(self.flights):
-            if flight.exchange.compute_left(now) <= 0:
-                self._expire(flight)
+        for in_flight in list(self.in_flight_requests):
+            if in_flight.exchange.compute_remaining_ms(now) <= 0:
+                self._expire(in_flight)
         self._retry_waiting()
 
     def _retry_waiting(self) -> None:
         waiting, self._waiting = self._waiting, []
         waiting.sort(
-            key=lambda flight: (
-                flight.exchange.priority,
-                flight.exchange.inquiry.arrived_at,
+            key=lambda in_flight: (
+                in_flight.exchange.priority,
+                in_flight.exchange.request.arrived_at,
             )
         )
-        for flight in waiting:
-            if not flight.exchange.ended:
-                self._start(flight)
+        for in_flight in waiting:
+            if not in_flight.exchange.ended:
+                self._start(in_flight)
 
     def _start(
-        self, flight: flights.Flight, path: search.Path | None = None
+        self,
+        in_flight: in_flight_module.InFlightRequest,
+        path: search.Path | None = None,
     ) -> None:
         """Send a request on a path, queue it or refuse it.
 
         Parameters
         ----------
-        flight : flights.Flight
+        in_flight : in_flight_module.InFlightRequest
             The request.
         path : search.Path, optional
             Path that the caller has just found; None to find one.
         """
         now = self._clock.now()
-        found = path or self.paths.find(flight)
+        found = path or self.paths.find(in_flight)
         if found is None:
-            self._fail(flight, 'service_unknown', 1_000)
-        elif isinstance(found, choice.Lack):
-            self._wait_or_refuse(flight, found)
-        elif self._would_be_cut(flight, found, now):
-            self._fail(flight, 'draining', DRAINING_RETRY_MS)
-        elif flight.needs_retry and not self._acquire_retry(flight):
-            self._wait_for_retry(flight)
+            self._fail(in_flight, 'service_unknown', 1_000)
+        elif isinstance(found, choice.NoPathReason):
+            self._wait_or_refuse(in_flight, found)
+        elif self._would_be_cut(in_flight, found, now):
+            self._fail(in_flight, 'draining', DRAINING_RETRY_MS)
+        elif in_flight.needs_retry and not self._acquire_retry(in_flight):
+            self._wait_for_retry(in_flight)
         else:
-            self._send(flight, found.hops)
+            self._send(in_flight, found.hops)
 
     def _wait_or_refuse(
-        self, flight: flights.Flight, no_path_reason: choice.Lack
+        self,
+        in_flight: in_flight_module.InFlightRequest,
+        no_path_reason: choice.NoPathReason,
     ) -> None:
-        waited_ms = self._clock.now() - flight.exchange.inquiry.arrived_at
-        if self._may_wait(flight, no_path_reason, waited_ms):
-            self._enqueue(flight)
+        waited_ms = self._clock.now() - in_flight.exchange.request.arrived_at
+        if self._may_wait(in_flight, no_path_reason, waited_ms):
+            self._enqueue(in_flight)
             return
         self._fail(
-            flight, no_path_reason.value, self._random.randint(*COMES_BACK_MS)
+            in_flight,
+            no_path_reason.value,
+            self._random.randint(*RETRY_AFTER_MS),
         )
 
-    def _enqueue(self, flight: flights.Flight) -> None:
-        flight.exchange.timing.note_wait(self._clock.now())
-        self._waiting.append(flight)
+    def _enqueue(self, in_flight: in_flight_module.InFlightRequest) -> None:
+        in_flight.exchange.timing.record_wait(self._clock.now())
+        self._waiting.append(in_flight)
 
-    def _acquire_retry(self, flight: flights.Flight) -> bool:
-        exchange = flight.exchange
-        return self._budget.take(exchange.service, exchange.begun)
+    def _acquire_retry(
+        self, in_flight: in_flight_module.InFlightRequest
+    ) -> bool:
+        exchange = in_flight.exchange
+        return self._budget.acquire(
+            exchange.service, exchange.response_started
+        )
 
-    def _wait_for_retry(self, flight: flights.Flight) -> None:
+    def _wait_for_retry(
+        self, in_flight: in_flight_module.InFlightRequest
+    ) -> None:
         """Queue a started stream until a retry is available; refuse others.
 
         The time window of the retry budget moves on, so that retries become
         available. A cut stream is lost to its caller, while a refused request
         can be sent again.
         """
-        exchange = flight.exchange
-        if exchange.begun and self._may_wait_for_event(flight):
-            self._enqueue(flight)
+        exchange = in_flight.exchange
+        if exchange.response_started and self._may_wait_for_event(in_flight):
+            self._enqueue(in_flight)
             return
         self._fail(
-            flight,
-            f'{exchange.note}_no_repeats',
-            self._random.randint(*COMES_BACK_MS),
+            in_flight,
+            f'{exchange.outcome_reason}_no_repeats',
+            self._random.randint(*RETRY_AFTER_MS),
         )
 
-    def set_end(self, at: int) -> None:
+    def set_shutdown_time(self, at: int) -> None:
         """Set the time at which this draining entry ends.
 
         Parameters
@@ -215,7 +238,10 @@
         self._shutdown_at = at
 
     def _would_be_cut(
-        self, flight: flights.Flight, path: search.Path, now: int
+        self,
+        in_flight: in_flight_module.InFlightRequest,
+        path: search.Path,
+        now: int,
     ) -> bool:
         """Return whether a stream would be cut by the end of this entry.
 
@@ -223,246 +249,278 @@
         Those accepted in its first seconds were cut at its end, and their
         callers had to request the rest from another entry.
         """
-        if self._shutdown_at is None or flight.exchange.begun:
+        if self._shutdown_at is None or in_flight.exchange.response_started:
             return False
         return now + path.cost_ms > self._shutdown_at
 
     def _may_wait(
         self,
-        flight: flights.Flight,
-        no_path_reason: choice.Lack,
+        in_flight: in_flight_module.InFlightRequest,
+        no_path_reason: choice.NoPathReason,
         waited_ms: int,
     ) -> bool:
-        if flight.exchange.begun:
-            return self._may_wait_for_event(flight)
-        if no_path_reason is choice.Lack.NO_ROOM:
-            return waited_ms < QUEUE_MS
+        if in_flight.exchange.response_started:
+            return self._may_wait_for_event(in_flight)
+        if no_path_reason is choice.NoPathReason.NO_CAPACITY:
+            return waited_ms < MAX_QUEUE_MS
         return False
 
-    def _may_wait_for_event(self, flight: flights.Flight) -> bool:
+    def _may_wait_for_event(
+        self, in_flight: in_flight_module.InFlightRequest
+    ) -> bool:
         """Return whether a started stream may wait for its next event.
 
         Its caller has received a part of the answer, and an attempt to resume
         by the caller would not be faster than this one.
         """
-        return self._clock.now() - flight.active_at < QUEUE_MS
+        return self._clock.now() - in_flight.active_at < MAX_QUEUE_MS
 
     def _send(
-        self, flight: flights.Flight, hops: tuple[search.Hop, ...]
+        self,
+        in_flight: in_flight_module.InFlightRequest,
+        hops: tuple[search.Hop, ...],
     ) -> None:
-        exchange = flight.exchange
+        exchange = in_flight.exchange
         now = self._clock.now()
         exchange.sends += 1
         exchange.runs += 1
-        exchange.timing.note_send(now)
-        flight.needs_retry = False
-        flight.hops = hops
-        flight.active_at = now
-        flight.probed_at = now
-        flight.generation += 1
-        flight.head = None
-        flight.body.clear()
-        flight.events.drop_pending()
-        self._reservations.take(hops, flight.need.tokens)
-        flight.prefill_tokens = flight.need.prompt_tokens
-        self._reservations.begin_reading(hops, flight.prefill_tokens)
+        exchange.timing.record_send(now)
+        in_flight.needs_retry = False
+        in_flight.hops = hops
+        in_flight.active_at = now
+        in_flight.probed_at = now
+        in_flight.generation += 1
+        in_flight.head = None
+        in_flight.body.clear()
+        in_flight.events.drop_pending()
+        self._reservations.reserve(hops, in_flight.request_size.tokens)
+        in_flight.prefill_tokens = in_flight.request_size.prompt_tokens
+        self._reservations.begin_prefill(hops, in_flight.prefill_tokens)
         run = ports.Run(
-            exchange.inquiry,
+            exchange.request,
             hops[0].server,
             hops,
-            exchange.compute_left(now),
+            exchange.compute_remaining_ms(now),
             exchange.workspace_name,
-            flight.events.last_id or exchange.inquiry.resume_after,
+            in_flight.events.last_id or exchange.request.resume_after,
             exchange.priority,
         )
         exchange.path = search.describe_path(hops)
         listener = listeners.RunListener(
-            flight,
-            functools.partial(self.handle_head, flight),
-            functools.partial(self.handle_body, flight),
-            functools.partial(self.handle_end, flight),
+            in_flight,
+            functools.partial(self.handle_head, in_flight),
+            functools.partial(self.handle_body, in_flight),
+            functools.partial(self.handle_end, in_flight),
         )
-        flight.stop = self._servers.send(run, listener)
+        in_flight.stop = self._servers.send(run, listener)
 
-    def handle_head(self, flight: flights.Flight, head: ports.Head) -> None:
+    def handle_head(
+        self,
+        in_flight: in_flight_module.InFlightRequest,
+        head: ports.ResponseHead,
+    ) -> None:
         """Handle the head of an engine's answer.
 
         Parameters
         ----------
-        flight : flights.Flight
+        in_flight : in_flight_module.InFlightRequest
             The request.
-        head : ports.Head
+        head : ports.ResponseHead
             The head.
         """
-        exchange = flight.exchange
-        flight.head = head
-        first_server = flight.first_server
+        exchange = in_flight.exchange
+        in_flight.head = head
+        first_server = in_flight.first_server
         if first_server is not None:
-            self._beliefs.outliers.note_success(
+            self._routing_state.outliers.record_success(
                 first_server.id, self._clock.now()
             )
-        if not head.ran:
+        if not head.executed:
             return
-        if head.status == _OK and head.genuine and not exchange.begun:
-            flight.active_at = self._clock.now()
-            exchange.begun = True
+        if (
+            head.status == _OK
+            and head.is_authentic
+            and not exchange.response_started
+        ):
+            in_flight.active_at = self._clock.now()
+            exchange.response_started = True
             exchange.reply.begin(head.status, head.headers)
 
-    def handle_body(self, flight: flights.Flight, chunk: bytes) -> None:
+    def handle_body(
+        self, in_flight: in_flight_module.InFlightRequest, chunk: bytes
+    ) -> None:
         """Handle a chunk of an engine's answer.
 
         Parameters
         ----------
-        flight : flights.Flight
+        in_flight : in_flight_module.InFlightRequest
             The request.
         chunk : bytes
             The chunk.
         """
-        head = flight.head
-        exchange = flight.exchange
-        if head is None or head.status != _OK or not head.genuine:
-            flight.body.extend(chunk)
+        head = in_flight.head
+        exchange = in_flight.exchange
+        if head is None or head.status != _OK or not head.is_authentic:
+            in_flight.body.extend(chunk)
             return
         now = self._clock.now()
-        complete = flight.events.take(chunk)
+        complete = in_flight.events.take(chunk)
         if complete:
-            if flight.events.count > 1:
-                self.event_interval.note(now - flight.active_at)
-                flight.event_interval.note(now - flight.active_at)
-            flight.active_at = now
-            self._end_prefill(flight)
-            exchange.timing.note_event(now)
+            if in_flight.events.count > 1:
+                self.event_interval.record(now - in_flight.active_at)
+                in_flight.event_interval.record(now - in_flight.active_at)
+            in_flight.active_at = now
+            self._end_prefill(in_flight)
+            exchange.timing.record_event(now)
             if exchange.first_event_at is None:
                 exchange.first_event_at = now
             exchange.reply.write(complete)
 
-    def handle_end(self, flight: flights.Flight, ending: ports.Ending) -> None:
+    def handle_end(
+        self,
+        in_flight: in_flight_module.InFlightRequest,
+        ending: ports.Completion,
+    ) -> None:
         """Handle the end of a run.
 
         Parameters
         ----------
-        flight : flights.Flight
+        in_flight : in_flight_module.InFlightRequest
             The request.
-        ending : ports.Ending
+        ending : ports.Completion
             How the run ended.
         """
-        head = flight.head
-        exchange = flight.exchange
-        flight.stop = None
-        first_server = flight.first_server
-        if ending is ports.Ending.NOT_SENT:
+        head = in_flight.head
+        exchange = in_flight.exchange
+        in_flight.stop = None
+        first_server = in_flight.first_server
+        if ending is ports.Completion.NOT_SENT:
             exchange.runs -= 1
             self._fault_attribution.record_unreachable(first_server)
-            self._retry_or_fail(flight, 'not_reached')
-        elif head is not None and not head.ran:
+            self._retry_or_fail(in_flight, 'not_reached')
+        elif head is not None and not head.executed:
             exchange.runs -= 1
-            self._handle_refusal(flight, head)
-        elif ending is ports.Ending.BROKEN or head is None:
-            self._fault_attribution.record_broken_run(flight)
-            self._retry_or_fail(flight, 'broken')
-        elif head.status == _OK and head.genuine:
-            if flight.events.pending:
-                self._retry_or_fail(flight, 'broken')
+            self._handle_refusal(in_flight, head)
+        elif ending is ports.Completion.BROKEN or head is None:
+            self._fault_attribution.record_broken_run(in_flight)
+            self._retry_or_fail(in_flight, 'broken')
+        elif head.status == _OK and head.is_authentic:
+            if in_flight.events.pending:
+                self._retry_or_fail(in_flight, 'broken')
                 return
-            self._release(flight)
+            self._release(in_flight)
             exchange.reply.finish()
-            self._end(flight, 'served')
-        elif head.genuine and not exchange.begun:
-            self._handle_failure(flight, head)
+            self._end(in_flight, 'served')
+        elif head.is_authentic and not exchange.response_started:
+            self._handle_failure(in_flight, head)
         else:
-            self._retry_or_fail(flight, 'malformed')
+            self._retry_or_fail(in_flight, 'malformed')
 
     def _handle_refusal(
-        self, flight: flights.Flight, head: ports.Head
+        self,
+        in_flight: in_flight_module.InFlightRequest,
+        head: ports.ResponseHead,
     ) -> None:
         """Retry a request that an engine reports not to have run."""
-        self._fault_attribution.record_refusal(flight, head)
-        self._retry_or_fail(flight, f'refused_by_engine_{head.status}')
+        self._fault_attribution.record_refusal(in_flight, head)
+        self._retry_or_fail(in_flight, f'refused_by_engine_{head.status}')
 
     def _handle_failure(
-        self, flight: flights.Flight, head: ports.Head
+        self,
+        in_flight: in_flight_module.InFlightRequest,
+        head: ports.ResponseHead,
     ) -> None:
         """Retry a request that failed at its engine, or pass on its answer."""
-        exchange = flight.exchange
-        if self.may_retry(flight) and self._budget.take(exchange.service):
-            first_server = flight.first_server
+        exchange = in_flight.exchange
+        if self.may_retry(in_flight) and self._budget.acquire(
+            exchange.service
+        ):
+            first_server = in_flight.first_server
             if first_server is not None:
-                exchange.avoid([first_server.id], self._clock.now())
-            self._release(flight)
-            self._start(flight)
+                exchange.exclude([first_server.id], self._clock.now())
+            self._release(in_flight)
+            self._start(in_flight)
             return
-        self._release(flight)
-        exchange.reply.answer(head.status, head.headers, bytes(flight.body))
-        self._end(flight, f'engine_{head.status}')
+        self._release(in_flight)
+        exchange.reply.send(head.status, head.headers, bytes(in_flight.body))
+        self._end(in_flight, f'engine_{head.status}')
 
-    def may_retry(self, flight: flights.Flight) -> bool:
+    def may_retry(self, in_flight: in_flight_module.InFlightRequest) -> bool:
         """Return whether a request that may have run may run again.
 
         Parameters
         ----------
-        flight : flights.Flight
+        in_flight : in_flight_module.InFlightRequest
             The request.
         """
-        exchange = flight.exchange
-        lost = flight.lost_runs + int(self._has_lost_engine(flight))
+        exchange = in_flight.exchange
+        lost = in_flight.lost_runs + int(self._has_lost_engine(in_flight))
         return (
-            exchange.route.repeatable
+            exchange.route.retryable
             and exchange.runs < exchange.route.attempts + lost
             and exchange.sends < MAX_SENDS
-            and exchange.compute_left(self._clock.now()) > MIN_LEFT_MS
+            and exchange.compute_remaining_ms(self._clock.now())
+            > MIN_REMAINING_MS
         )
 
-    def _has_lost_engine(self, flight: flights.Flight) -> bool:
+    def _has_lost_engine(
+        self, in_flight: in_flight_module.InFlightRequest
+    ) -> bool:
         """Return whether the first engine of a run is lost.
 
         Such a run does not count towards the attempts that the route allows. A
         run whose first engine only waits for another engine does.
         """
-        first_server = flight.first_server
-        return first_server is not None and self._beliefs.is_lost(
+        first_server = in_flight.first_server
+        return first_server is not None and self._routing_state.is_lost(
             first_server.id
         )
 
-    def _may_resend(self, flight: flights.Flight) -> bool:
+    def _may_resend(self, in_flight: in_flight_module.InFlightRequest) -> bool:
         """Return whether a request that did not run may be sent again."""
-        exchange = flight.exchange
+        exchange = in_flight.exchange
         return (
             exchange.sends < MAX_SENDS
-            and exchange.compute_left(self._clock.now()) > MIN_LEFT_MS
+            and exchange.compute_remaining_ms(self._clock.now())
+            > MIN_REMAINING_MS
         )
 
     def _retry_or_fail(
         self,
-        flight: flights.Flight,
+        in_flight: in_flight_module.InFlightRequest,
         reason: str,
         path: search.Path | None = None,
     ) -> None:
         """Send a request once more if this is allowed, or end it."""
-        exchange = flight.exchange
+        exchange = in_flight.exchange
         ran = exchange.runs > 0
-        self._release(flight)
-        allowed = self.may_retry(flight) if ran else self._may_resend(flight)
-        exchange.note = reason
-        exchange.timing.note_disturbance(reason)
+        self._release(in_flight)
+        allowed = (
+            self.may_retry(in_flight) if ran else self._may_resend(in_flight)
+        )
+        exchange.outcome_reason = reason
+        exchange.timing.record_disruption(reason)
         if allowed:
             logger.info(
                 'run_repeated',
-                id=exchange.inquiry.id,
+                id=exchange.request.id,
                 reason=reason,
                 sends=exchange.sends,
-                after=flight.events.last_id,
+                after=in_flight.events.last_id,
             )
-            flight.needs_retry = True
-            self._start(flight, path)
+            in_flight.needs_retry = True
+            self._start(in_flight, path)
             return
-        self._fail(flight, reason, self._random.randint(*COMES_BACK_MS))
+        self._fail(in_flight, reason, self._random.randint(*RETRY_AFTER_MS))
 
-    def compute_event_interval(self, flight: flights.Flight) -> float:
+    def compute_event_interval(
+        self, in_flight: in_flight_module.InFlightRequest
+    ) -> float:
         """Return the usual interval between two events of a stream.
 
         Parameters
         ----------
-        flight : flights.Flight
+        in_flight : in_flight_module.InFlightRequest
             The request.
 
         Returns
@@ -472,24 +530,30 @@
             of its own.
         """
         return (
-            flight.event_interval.mean_ms
+            in_flight.event_interval.mean_ms
             or self.event_interval.mean_ms
-            or silence.UNKNOWN_MS
+            or stalls.DEFAULT_EVENT_INTERVAL_MS
         )
 
-    def count_idle_intervals(self, flight: flights.Flight, now: int) -> float:
+    def count_idle_intervals(
+        self, in_flight: in_flight_module.InFlightRequest, now: int
+    ) -> float:
         """Return the idle time of a stream in units of its event interval.
 
         Parameters
         ----------
-        flight : flights.Flight
+        in_flight : in_flight_module.InFlightRequest
             The request.
         now : int
             Current time in milliseconds.
         """
-        return (now - flight.active_at) / self.compute_event_interval(flight)
+        return (now - in_flight.active_at) / self.compute_event_interval(
+            in_flight
+        )
 
-    def mend(self, flight: flights.Flight, reason: str) -> None:
+    def fail_over(
+        self, in_flight: in_flight_module.InFlightRequest, reason: str
+    ) -> None:
         """Fail a stalled request over to another path.
 
         A stream that has no other path, or no retry left, stays on its path.
@@ -498,117 +562,136 @@
 
         Parameters
         ----------
-        flight : flights.Flight
+        in_flight : in_flight_module.InFlightRequest
             The request.
         reason : str
             Reason for the log.
         """
-        if flight.exchange.ended or not flight.hops:
+        if in_flight.exchange.ended or not in_flight.hops:
             return
-        path = self._find_retry_path(flight)
+        path = self._find_retry_path(in_flight)
         if path is None:
             return
-        if flight.stop is not None:
-            flight.stop()
-            flight.stop = None
-        flight.generation += 1
-        flight.lost_runs += int(self._has_lost_engine(flight))
-        self._retry_or_fail(flight, reason, path)
-
-    def _find_retry_path(self, flight: flights.Flight) -> search.Path | None:
+        if in_flight.stop is not None:
+            in_flight.stop()
+            in_flight.stop = None
+        in_flight.generation += 1
+        in_flight.lost_runs += int(self._has_lost_engine(in_flight))
+        self._retry_or_fail(in_flight, reason, path)
+
+    def _find_retry_path(
+        self, in_flight: in_flight_module.InFlightRequest
+    ) -> search.Path | None:
         """Find another path on which a request may be retried now."""
-        exchange = flight.exchange
-        if not self.may_retry(flight):
+        exchange = in_flight.exchange
+        if not self.may_retry(in_flight):
             return None
-        if not self._budget.has_room(exchange.service, exchange.begun):
+        if not self._budget.can_acquire(
+            exchange.service, exchange.response_started
+        ):
             return None
-        found = self.paths.find(flight)
+        found = self.paths.find(in_flight)
         return found if isinstance(found, search.Path) else None
 
     def apply_path_change(
-        self, flight: flights.Flight, hops: tuple[search.Hop, ...]
+        self,
+        in_flight: in_flight_module.InFlightRequest,
+        hops: tuple[search.Hop, ...],
     ) -> None:
         """Record that a running request continues on another path.
 
         Parameters
         ----------
-        flight : flights.Flight
+        in_flight : in_flight_module.InFlightRequest
             The request.
         hops : tuple of search.Hop
             The new path.
         """
-        flight.exchange.timing.note_disturbance('path_changed')
-        self._end_prefill(flight)
-        self._reservations.free(flight.hops, flight.need.tokens)
-        flight.hops = hops
-        flight.exchange.path = search.describe_path(hops)
-        self._reservations.take(hops, flight.need.tokens)
+        in_flight.exchange.timing.record_disruption('path_changed')
+        self._end_prefill(in_flight)
+        self._reservations.release(
+            in_flight.hops, in_flight.request_size.tokens
+        )
+        in_flight.hops = hops
+        in_flight.exchange.path = search.describe_path(hops)
+        self._reservations.reserve(hops, in_flight.request_size.tokens)
 
     def _fail(
-        self, flight: flights.Flight, reason: str, retry_after_ms: int
+        self,
+        in_flight: in_flight_module.InFlightRequest,
+        reason: str,
+        retry_after_ms: int,
     ) -> None:
         """End a request that can't be served now."""
-        exchange = flight.exchange
-        self._release(flight)
-        if exchange.begun:
-            exchange.note = reason
+        exchange = in_flight.exchange
+        self._release(in_flight)
+        if exchange.response_started:
+            exchange.outcome_reason = reason
             exchange.reply.abort()
-            self._end(flight, 'cut')
-        elif exchange.runs > 0 and not exchange.route.repeatable:
-            self._finish_refused(flight, 502, f'outcome_unknown_{reason}')
+            self._end(in_flight, 'cut')
+        elif exchange.runs > 0 and not exchange.route.retryable:
+            self._finish_refused(in_flight, 502, f'outcome_unknown_{reason}')
         elif exchange.runs > 0:
-            self._finish_refused(flight, 502, reason)
+            self._finish_refused(in_flight, 502, reason)
         else:
-            self._finish_refused(flight, 503, reason, retry_after_ms)
+            self._finish_refused(in_flight, 503, reason, retry_after_ms)
 
     def _finish_refused(
         self,
-        flight: flights.Flight,
+        in_flight: in_flight_module.InFlightRequest,
         status: int,
         reason: str,
         retry_after_ms: int | None = None,
     ) -> None:
-        self.flights.discard(flight)
-        flight.exchange.refuse(status, reason, retry_after_ms)
-
-    def _expire(self, flight: flights.Flight) -> None:
-        exchange = flight.exchange
-        if flight.stop is not None:
-            flight.stop()
-            flight.stop = None
-        flight.generation += 1
-        self._release(flight)
-        if exchange.begun:
-            exchange.note = 'deadline'
+        self.in_flight_requests.discard(in_flight)
+        in_flight.exchange.refuse(status, reason, retry_after_ms)
+
+    def _expire(self, in_flight: in_flight_module.InFlightRequest) -> None:
+        exchange = in_flight.exchange
+        if in_flight.stop is not None:
+            in_flight.stop()
+            in_flight.stop = None
+        in_flight.generation += 1
+        self._release(in_flight)
+        if exchange.response_started:
+            exchange.outcome_reason = 'deadline'
             exchange.reply.abort()
-            self._end(flight, 'cut')
+            self._end(in_flight, 'cut')
         elif exchange.runs > 0:
-            self._finish_refused(flight, 504, 'deadline')
+            self._finish_refused(in_flight, 504, 'deadline')
         else:
-            self._finish_refused(flight, 503, 'deadline', 500)
+            self._finish_refused(in_flight, 503, 'deadline', 500)
 
-    def _abandon(self, flight: flights.Flight) -> None:
+    def _abandon(self, in_flight: in_flight_module.InFlightRequest) -> None:
         """End the run of a caller that has closed the connection."""
-        if flight.exchange.ended:
+        if in_flight.exchange.ended:
             return
-        if flight.stop is not None:
-            flight.stop()
-            flight.stop = None
-        flight.generation += 1
-        self._release(flight)
-        self._end(flight, 'caller_left')
-
-    def _end_prefill(self, flight: flights.Flight) -> None:
-        if flight.prefill_tokens:
-            self._reservations.end_reading(flight.hops, flight.prefill_tokens)
-            flight.prefill_tokens = 0.0
-
-    def _release(self, flight: flights.Flight) -> None:
-        self._end_prefill(flight)
-        if flight.hops:
-            self._reservations.free(flight.hops, flight.need.tokens)
-            flight.hops = ()
-
-    def _end(self, flight: flights.Flight, outcome: str) -> None:
-        self.flights.discard(flight)
-        flight.exchange.end(outcome)
+        if in_flight.stop is not None:
+            in_flight.stop()
+            in_flight.stop = None
+        in_flight.generation += 1
+        self._release(in_flight)
+        self._end(in_flight, 'caller_left')
+
+    def _end_prefill(
+        self, in_flight: in_flight_module.InFlightRequest
+    ) -> None:
+        if in_flight.prefill_tokens:
+            self._reservations.end_prefill(
+                in_flight.hops, in_flight.prefill_tokens
+            )
+            in_flight.prefill_tokens = 0.0
+
+    def _release(self, in_flight: in_flight_module.InFlightRequest) -> None:
+        self._end_prefill(in_flight)
+        if in_flight.hops:
+            self._reservations.release(
+                in_flight.hops, in_flight.request_size.tokens
+            )
+            in_flight.hops = ()
+
+    def _end(
+        self, in_flight: in_flight_module.InFlightRequest, outcome: str
+    ) -> None:
+        self.in_flight_requests.discard(in_flight)
+        in_flight.exchange.end(outcome)
--- a/src/thornspool/domain/entries/collectors.py
+++ b/src/thornspool/domain/entries/collectors.py
@@ -24,7 +24,7 @@
     from collections.abc import Sequence
 
 
-SHUT_OUT_MS = 10_000
+REJECTION_MS = 10_000
 """Time for which an entry that the store rejects does not collect.
 
 The store rejects single hosts for several seconds at a time. Each return to
@@ -33,7 +33,7 @@
 
 
 @attrs.define
-class Choice:
+class CollectorChoice:
     """The collector of this entry's failure domain.
 
     Attributes
@@ -52,15 +52,15 @@
     _unresponsive: dict[str, int] = attrs.field(factory=dict)
     _rejected: dict[str, int] = attrs.field(factory=dict)
 
-    def note_shut_out(self, host: str, until: int) -> None:
+    def record_rejection(self, host: str, until: int) -> None:
         """Record until when an entry counts as rejected by the store."""
         self._rejected[host] = until
 
-    def compute_shut_out(self, host: str, now: int) -> int:
+    def compute_rejection_ms(self, host: str, now: int) -> int:
         """Return for how many more milliseconds an entry does not collect."""
         return max(0, self._rejected.get(host, now) - now)
 
-    def count_shut_out(self, now: int) -> int:
+    def count_rejected(self, now: int) -> int:
         """Count the entries that the store rejects."""
         return sum(until > now for until in self._rejected.values())
 
--- a/src/thornspool/domain/entries/leadership.py
+++ b/src/thornspool/domain/entries/leadership.py
@@ -30,7 +30,7 @@
 RENEW_MS = 6_000
 """Interval at which each entry renews its lease; the store counts renewals."""
 
-LEAD_LEASE_MS = 4_000
+LEADER_LEASE_MS = 4_000
 """Length of the leader's separate lease.
 
 An entry that receives no updates can't distinguish a dead leader from a
@@ -38,10 +38,10 @@
 expired.
 """
 
-LEAD_RENEW_MS = 1_300
+LEADER_RENEW_MS = 1_300
 """Interval at which the leader renews its lease; two renewals may be lost."""
 
-ACT_MS = 2_000
+ACTION_WINDOW_MS = 2_000
 """Time after the last renewal for which the leader may act.
 
 An entry takes over from an unresponsive leader 1.2 s after the leader's last
@@ -94,14 +94,14 @@
     vacant_since: int = 0
     renewed_at: int | None = None
 
-    def take_holder(self, holder: Holder | None, now: int) -> None:
+    def apply_holder(self, holder: Holder | None, now: int) -> None:
         """Apply the key as read from the store."""
         if holder is None and self.holder is not None:
             self.vacant_since = now
         self.holder = holder
 
     @property
-    def is_own(self) -> bool:
+    def is_local(self) -> bool:
         """Whether the local copy shows this entry as the leader."""
         return (
             self.holder is not None
@@ -110,9 +110,9 @@
 
     def may_act(self, now: int) -> bool:
         """Tell whether this entry is the leader and its lease is valid."""
-        if not self.is_own or self.renewed_at is None:
+        if not self.is_local or self.renewed_at is None:
             return False
-        return now - self.renewed_at < ACT_MS
+        return now - self.renewed_at < ACTION_WINDOW_MS
 
     def find_claim(
         self, view: view_module.View, candidates: Sequence[str], now: int
@@ -136,12 +136,12 @@
         """
         if self.renewed_at is None or now - self.renewed_at > LEASE_MS:
             return None
-        delay = sorted(candidates).index(view.own.host) * CLAIM_STAGGER_MS
+        delay = sorted(candidates).index(view.local.host) * CLAIM_STAGGER_MS
         if self.holder is None:
             return 0 if now - self.vacant_since >= delay else None
-        if self.is_own:
+        if self.is_local:
             return None
-        if self.holder.host == view.own.host:
+        if self.holder.host == view.local.host:
             # An earlier process of this host, which has ended.
             return self.holder.revision
         peer = view.peers.get(self.holder.host)
--- a/src/thornspool/domain/entries/messages.py
+++ b/src/thornspool/domain/entries/messages.py
@@ -54,7 +54,7 @@
 
 
 @attrs.frozen
-class News:
+class StateUpdate:
     """State update that an entry sends to a peer several times a second.
 
     Attributes
@@ -65,7 +65,7 @@
         Sender's state towards callers.
     stamp : int
         Sender's clock at the time of sending, in milliseconds.
-    heard_stamp : int
+    echoed_stamp : int
         Last stamp that the sender had received from the receiver; 0 for
         none.
     revision : int
@@ -73,26 +73,26 @@
     proof_age_ms : int
         Age of the sender's copy of the store, in milliseconds; negative while
         the copy is unconfirmed.
-    taken : dict of int to float
+    reserved : dict of int to float
         Token-layers that requests reserve, by server hash of the engine.
-    work : dict of int to float
+    request_counts : dict of int to float
         Requests and retries of services in the last window, by hash.
     suspects : tuple of str
         Servers that the sender has just seen fail.
     scope : Scope
-        Entries whose requests ``taken`` and ``work`` count.
-    absent : tuple of str
+        Entries whose requests ``reserved`` and ``request_counts`` count.
+    absent_hosts : tuple of str
         Hosts in the scope that are registered and do not serve.
-    slow : dict of int to float
+    slowdowns : dict of int to float
         Slowdown factors of slow engines, by server hash.
     refusing : tuple of int
         Hashes of engines that have just refused a request.
-    breaking : tuple of int
+    failing : tuple of int
         Hashes of engines that have just broken a run of the sender.
-    moving : dict of int to tuple of int
+    retained_ranges : dict of int to tuple of int
         Retained ranges (first layer and end) of engines that release layers,
         by server hash.
-    shut_out_ms : int
+    rejection_ms : int
         Milliseconds for which the sender should not collect, as the store
         rejects it; 0 for an entry that may collect.
     """
@@ -101,16 +101,16 @@
     incarnation: str
     state: State
     stamp: int
-    heard_stamp: int
+    echoed_stamp: int
     revision: int
     proof_age_ms: int
-    taken: dict[int, float]
+    reserved: dict[int, float]
     suspects: tuple[str, ...]
     scope: Scope = Scope.ENTRY
-    absent: tuple[str, ...] = ()
-    slow: dict[int, float] = attrs.field(factory=dict)
+    absent_hosts: tuple[str, ...] = ()
+    slowdowns: dict[int, float] = attrs.field(factory=dict)
     refusing: tuple[int, ...] = ()
-    work: dict[int, float] = attrs.field(factory=dict)
-    breaking: tuple[int, ...] = ()
-    moving: dict[int, tuple[int, int]] = attrs.field(factory=dict)
-    shut_out_ms: int = 0
+    request_counts: dict[int, float] = attrs.field(factory=dict)
+    failing: tuple[int, ...] = ()
+    retained_ranges: dict[int, tuple[int, int]] = attrs.field(factory=dict)
+    rejection_ms: int = 0
--- a/src/thornspool/domain/entries/totals.py
+++ b/src/thornspool/domain/entries/totals.py
@@ -19,14 +19,14 @@
 
 
 @attrs.frozen
-class Report:
+class ReportedAmounts:
     """Reported amounts, and the time at which they were received."""
 
     received_at: int
     amounts: Amounts
 
 
-def add_up(parts: Iterable[Amounts]) -> Amounts:
+def sum_amounts(parts: Iterable[Amounts]) -> Amounts:
     """Sum amounts by hash."""
     sums: Amounts = {}
     for amounts in parts:
@@ -53,22 +53,22 @@
 
     Attributes
     ----------
-    entries : dict of str to Report
+    entries : dict of str to ReportedAmounts
         Amounts of single entries, by host.
-    domains : dict of str to Report
+    domains : dict of str to ReportedAmounts
         Amounts of whole failure domains, as their collectors reported them.
-    rest : Report or None
+    rest : ReportedAmounts or None
         Amounts of all entries except this one, as its collector reported
         them.
     """
 
-    entries: dict[str, Report] = attrs.field(factory=dict)
-    domains: dict[str, Report] = attrs.field(factory=dict)
-    rest: Report | None = None
+    entries: dict[str, ReportedAmounts] = attrs.field(factory=dict)
+    domains: dict[str, ReportedAmounts] = attrs.field(factory=dict)
+    rest: ReportedAmounts | None = None
 
-    def note(
+    def record(
         self,
-        update: messages.News,
+        update: messages.StateUpdate,
         domain: str,
         amounts: Amounts,
         now: int,
@@ -77,7 +77,7 @@
 
         Parameters
         ----------
-        update : messages.News
+        update : messages.StateUpdate
             The state update.
         domain : str
             Failure domain of its sender.
@@ -86,7 +86,7 @@
         now : int
             Milliseconds of the clock.
         """
-        report = Report(now, amounts)
+        report = ReportedAmounts(now, amounts)
         if update.scope is messages.Scope.ENTRY:
             self.entries[update.host] = report
         elif update.scope is messages.Scope.DOMAIN:
@@ -101,7 +101,7 @@
     def sum_entries(self, hosts: Iterable[str], now: int) -> Amounts:
         """Sum the amounts of some entries."""
         reports = (self.entries.get(host) for host in hosts)
-        return add_up(
+        return sum_amounts(
             one.amounts
             for one in reports
             if one is not None and now - one.received_at <= REPORT_VALID_MS
@@ -109,14 +109,14 @@
 
     def sum_domains(self, local_domain: str, now: int) -> Amounts:
         """Sum the amounts of the other failure domains."""
-        return add_up(
+        return sum_amounts(
             report.amounts
             for domain, report in self.domains.items()
             if domain != local_domain
             and now - report.received_at <= REPORT_VALID_MS
         )
 
-    def read_rest(self, now: int) -> Amounts:
+    def get_rest(self, now: int) -> Amounts:
         """Return the collector's last report; empty when it is outdated."""
         if self.rest is None or now - self.rest.received_at > REPORT_VALID_MS:
             return {}
--- a/src/thornspool/domain/entries/view.py
+++ b/src/thornspool/domain/entries/view.py
@@ -60,9 +60,9 @@
         Its registration.
     listed_at : int
         When the registration was first seen in the store's list.
-    heard_at : int or None
+    last_update_at : int or None
         When its last update was received.
-    heard_stamp : int
+    last_stamp : int
         Latest stamp of its clock in an update.
     confirmed_at : int or None
         When its copy of the store was last confirmed to be current.
@@ -72,8 +72,8 @@
 
     record: messages.Record
     listed_at: int
-    heard_at: int | None = None
-    heard_stamp: int = 0
+    last_update_at: int | None = None
+    last_stamp: int = 0
     confirmed_at: int | None = None
     state: messages.State = messages.State.SERVING
 
@@ -92,28 +92,30 @@
 
     Attributes
     ----------
-    own : messages.Record
+    local : messages.Record
         Registration of this entry.
     peers : dict of str to Peer
         The other entries.
-    choice : collectors.Choice
+    collector_choice : collectors.CollectorChoice
         The collector of the local failure domain.
     absent : dict of str to Absence
         Entries that a collector reports as unresponsive or not serving.
-    heard_at : int
+    last_update_at : int
         When the last update of any peer was received.
     """
 
-    own: messages.Record
+    local: messages.Record
     peers: dict[str, Peer] = attrs.field(factory=dict)
-    choice: collectors.Choice = attrs.field(factory=collectors.Choice)
+    collector_choice: collectors.CollectorChoice = attrs.field(
+        factory=collectors.CollectorChoice
+    )
     absent: dict[str, Absence] = attrs.field(factory=dict)
-    heard_at: int = 0
+    last_update_at: int = 0
     _domain_updates: dict[str, int] = attrs.field(factory=dict)
 
-    def take_record(self, record: messages.Record, now: int) -> None:
+    def apply_record(self, record: messages.Record, now: int) -> None:
         """Apply a registration of the store's list."""
-        if record.host == self.own.host:
+        if record.host == self.local.host:
             return
         known = self.peers.get(record.host)
         if known is None or known.record != record:
@@ -130,29 +132,29 @@
         return len(self.peers) < MESH_LIMIT
 
     @property
-    def collects(self) -> bool:
+    def is_collector(self) -> bool:
         """Whether this entry is the collector of its failure domain."""
-        return self.choice.current == self.own.host
+        return self.collector_choice.current == self.local.host
 
     @property
-    def silence_ms(self) -> int:
+    def update_timeout_ms(self) -> int:
         """Time in milliseconds after which a peer counts as unresponsive."""
         return MESH_TIMEOUT_MS if self.is_mesh else COLLECTOR_TIMEOUT_MS
 
     def choose_collector(self, now: int) -> None:
         """Choose the collector of the local failure domain."""
-        peers = [one.record.host for one in self.list_near()]
-        self.choice.choose(
-            [*peers, self.own.host],
-            self.own.host,
-            lambda host: self.peers[host].heard_at,
+        peers = [one.record.host for one in self.list_domain_peers()]
+        self.collector_choice.choose(
+            [*peers, self.local.host],
+            self.local.host,
+            lambda host: self.peers[host].last_update_at,
             now,
-            self.silence_ms,
+            self.update_timeout_ms,
         )
 
-    def list_near(self) -> list[Peer]:
+    def list_domain_peers(self) -> list[Peer]:
         """List the other entries of the local failure domain."""
-        return self.list_domain(self.own.failure_domain)
+        return self.list_domain(self.local.failure_domain)
 
     def list_domain(self, domain: str) -> list[Peer]:
         """List the other entries of a failure domain, by name."""
@@ -171,8 +173,11 @@
             {one.record.failure_domain for one in self.peers.values()}
         )
 
-    def note_absent(
-        self, collector: messages.Record, update: messages.News, now: int
+    def record_absences(
+        self,
+        collector: messages.Record,
+        update: messages.StateUpdate,
+        now: int,
     ) -> None:
         """Record which entries a collector reports as absent.
 
@@ -183,13 +188,13 @@
         ----------
         collector : messages.Record
             The collector.
-        update : messages.News
+        update : messages.StateUpdate
             Its state update.
         now : int
             Milliseconds of the clock.
         """
         self._domain_updates[collector.failure_domain] = now
-        reported = set(update.absent)
+        reported = set(update.absent_hosts)
         for host in reported:
             known = self.absent.get(host)
             since = now if known is None or known.until < now else known.since
@@ -206,7 +211,10 @@
             self._mark_present(peer, collector, update)
 
     def _mark_present(
-        self, peer: Peer, collector: messages.Record, update: messages.News
+        self,
+        peer: Peer,
+        collector: messages.Record,
+        update: messages.StateUpdate,
     ) -> None:
         """Mark a starting entry as serving where a collector confirms it.
 
@@ -215,7 +223,7 @@
         """
         inside = (
             peer.record.host != collector.host
-            and peer.record.host not in update.absent
+            and peer.record.host not in update.absent_hosts
             and (
                 update.scope is messages.Scope.REST
                 or peer.record.failure_domain == collector.failure_domain
@@ -224,7 +232,9 @@
         if inside and peer.state is messages.State.STARTING:
             peer.state = messages.State.SERVING
 
-    def take_news(self, update: messages.News, now: int) -> Peer | None:
+    def apply_update(
+        self, update: messages.StateUpdate, now: int
+    ) -> Peer | None:
         """Apply a state update; return None for a sender that isn't listed."""
         peer = self.peers.get(update.host)
         if peer is None or peer.record.incarnation != update.incarnation:
@@ -232,12 +242,14 @@
         if self._lacks_updates(now):
             # This entry was isolated; the missing updates are no sign that
             # its collector failed.
-            self.choice.chosen_at = now
-        self.heard_at = now
-        peer.heard_at = now
-        if update.shut_out_ms > 0:
-            self.choice.note_shut_out(update.host, now + update.shut_out_ms)
-        peer.heard_stamp = max(peer.heard_stamp, update.stamp)
+            self.collector_choice.chosen_at = now
+        self.last_update_at = now
+        peer.last_update_at = now
+        if update.rejection_ms > 0:
+            self.collector_choice.record_rejection(
+                update.host, now + update.rejection_ms
+            )
+        peer.last_stamp = max(peer.last_stamp, update.stamp)
         peer.state = update.state
         peer.confirmed_at = None
         if update.proof_age_ms >= 0:
@@ -261,13 +273,13 @@
         to the entries of their own domains.
         """
         domain = peer.record.failure_domain
-        if not self.collects or domain == self.own.failure_domain:
+        if not self.is_collector or domain == self.local.failure_domain:
             return False
         if self._is_detection_paused(now):
             return False
         last = max(
             self._domain_updates.get(domain, 0),
-            self.choice.chosen_at,
+            self.collector_choice.chosen_at,
             peer.listed_at,
         )
         return now - last > DOMAIN_TIMEOUT_MS
@@ -276,16 +288,19 @@
         """Tell whether a live peer sends its updates to this entry."""
         if self.is_mesh:
             return True
-        if peer.record.failure_domain != self.own.failure_domain:
+        if peer.record.failure_domain != self.local.failure_domain:
             return False
-        return self.collects or peer.record.host == self.choice.current
+        return (
+            self.is_collector
+            or peer.record.host == self.collector_choice.current
+        )
 
     def _is_responsive(self, peer: Peer, now: int) -> bool:
         if not self.is_mesh and self._is_detection_paused(now):
             return True
-        if peer.heard_at is None:
+        if peer.last_update_at is None:
             return now - peer.listed_at <= JOIN_GRACE_MS
-        return now - peer.heard_at <= self.silence_ms
+        return now - peer.last_update_at <= self.update_timeout_ms
 
     def _is_detection_paused(self, now: int) -> bool:
         """Tell whether a missing update is not yet a sign of a failure.
@@ -296,21 +311,25 @@
         its failure domain were absent.
         """
         return (
-            now - self.choice.chosen_at <= JOIN_GRACE_MS
+            now - self.collector_choice.chosen_at <= JOIN_GRACE_MS
             or self._lacks_updates(now)
         )
 
     def _lacks_updates(self, now: int) -> bool:
-        return now - self.heard_at > self.silence_ms
+        return now - self.last_update_at > self.update_timeout_ms
 
     def compute_update_age(self, peer: Peer, now: int) -> int | None:
         """Return the time since a peer's last update; None for unknown."""
         if self._is_direct_sender(peer):
-            return None if peer.heard_at is None else now - peer.heard_at
+            return (
+                None
+                if peer.last_update_at is None
+                else now - peer.last_update_at
+            )
         absence = self.absent.get(peer.record.host)
         if absence is None or absence.until < now:
             return 0
-        return now - absence.since + self.silence_ms
+        return now - absence.since + self.update_timeout_ms
 
     def is_isolated(self, now: int) -> bool:
         """Tell whether there are peers, and none of them counts as alive."""
@@ -318,7 +337,7 @@
             self.is_alive(one, now) for one in self.peers.values()
         )
 
-    def is_anyone_current(self, bound_ms: float, now: int) -> bool:
+    def has_current_peer(self, bound_ms: float, now: int) -> bool:
         """Tell whether another entry's copy of the store may be current.
 
         Parameters
@@ -337,8 +356,8 @@
         responsive = [
             one
             for one in self.peers.values()
-            if one.heard_at is not None
-            and now - one.heard_at <= self.silence_ms
+            if one.last_update_at is not None
+            and now - one.last_update_at <= self.update_timeout_ms
         ]
         if not responsive:
             return bool(self.peers)
--- a/src/thornspool/domain/fleet/messages.py
+++ b/src/thornspool/domain/fleet/messages.py
@@ -50,7 +50,7 @@
         Maximum number of concurrent requests.
     draining : bool
         Whether the instance has announced that it will stop.
-    born : int or None
+    started_at : int or None
         Unix milliseconds of its start, which distinguish two starts under
         one id.
     kind : str
@@ -65,7 +65,7 @@
     failure_domain: str
     slots: int
     draining: bool
-    born: int | None = None
+    started_at: int | None = None
     kind: str = ''
     layers: LayerRange | None = None
 
@@ -138,7 +138,7 @@
         """Megabytes of cache per token and layer."""
         return self.token_bytes / self.layers / BYTES_PER_MB
 
-    def compute_room(self, kind: str, held: int) -> float:
+    def compute_free_capacity(self, kind: str, held: int) -> float:
         """Compute the memory that loaded layers leave for requests.
 
         Parameters
--- a/src/thornspool/domain/fleet/outliers.py
+++ b/src/thornspool/domain/fleet/outliers.py
@@ -15,7 +15,7 @@
 
 import attrs
 
-from thornspool.domain.fleet import marks
+from thornspool.domain.fleet import server_hashes
 
 if typing.TYPE_CHECKING:
     from collections.abc import Iterable
@@ -77,28 +77,28 @@
 
     Attributes
     ----------
-    has_news : bool
+    has_unsent : bool
         Whether there are breaks that were not announced to peers yet.
     """
 
-    has_news: bool = False
+    has_unsent: bool = False
     _break_times: dict[int, collections.deque[int]] = attrs.field(factory=dict)
     _local: dict[int, int] = attrs.field(factory=dict)
     _reported: dict[tuple[str, int], int] = attrs.field(factory=dict)
     _consecutive: set[int] = attrs.field(factory=set)
     _runs: dict[int, Runs] = attrs.field(factory=dict)
 
-    def note_success(self, name: str, now: int) -> None:
+    def record_success(self, name: str, now: int) -> None:
         """Record that an engine has answered a request of this entry."""
         self._consecutive.clear()
-        self._record_run(marks.compute_mark(name), False, now)
+        self._record_run(server_hashes.compute_server_hash(name), False, now)
 
     def _record_run(self, server_hash: int, broken: bool, now: int) -> None:
         self._runs.setdefault(server_hash, Runs(updated_at=now)).record(
             broken, now
         )
 
-    def note_break(self, name: str, now: int) -> bool:
+    def record_break(self, name: str, now: int) -> bool:
         """Record that an engine has broken a run of this entry.
 
         Parameters
@@ -115,7 +115,7 @@
             entry's network link may have failed, or when the engine has
             served most recent runs of this entry.
         """
-        server_hash = marks.compute_mark(name)
+        server_hash = server_hashes.compute_server_hash(name)
         self._consecutive.add(server_hash)
         self._record_run(server_hash, True, now)
         if len(self._consecutive) >= LOCAL_FAULT_ENGINES:
@@ -124,10 +124,10 @@
             return False
         self._record_break(server_hash, now)
         self._local[server_hash] = now
-        self.has_news = True
+        self.has_unsent = True
         return True
 
-    def note_told(
+    def record_reported(
         self, host: str, reported: Iterable[int], now: int
     ) -> set[int]:
         """Record breaks that a peer reports, each of them only once.
@@ -175,7 +175,7 @@
         """Tell whether an engine has broken a run in the retention time."""
         return server_hash in self._break_times
 
-    def list_fresh(self, now: int) -> tuple[int, ...]:
+    def list_announced(self, now: int) -> tuple[int, ...]:
         """List the hashes of the engines whose breaks are announced."""
         return tuple(
             server_hash
--- a/src/thornspool/domain/fleet/refusals.py
+++ b/src/thornspool/domain/fleet/refusals.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-from thornspool.domain.fleet import marks
+from thornspool.domain.fleet import server_hashes
 
 if typing.TYPE_CHECKING:
     from collections.abc import Iterable
@@ -22,10 +22,10 @@
 """Length of the first exclusion; an engine completes a stream, which frees
 memory, every 100 ms or so."""
 
-MAX_MS = 1_500
+MAX_BACKOFF_MS = 1_500
 """Maximum length of an exclusion, reached by three refusals in a row."""
 
-MAX_EJECTED_MS = 5_000
+MAX_EJECTION_MS = 5_000
 """Maximum length of an exclusion of an engine that breaks runs.
 
 Unlike an engine without free memory, it does not recover when it gets no
@@ -45,7 +45,7 @@
 It is a little longer than the interval of state updates.
 """
 
-MOST_PATIENCE = 1.5
+MAX_JITTER_FACTOR = 1.5
 """Maximum jitter factor of the lengths of exclusions between entries.
 
 It spreads the first exclusion of 300 ms by 150 ms, in which a refusal is
@@ -80,20 +80,22 @@
 
     Attributes
     ----------
-    patience : float
+    jitter_factor : float
         Jitter factor from 1 to ``MOST_PATIENCE`` for the lengths of this
         entry's exclusions. It differs between entries, so that the first one
         to send a request to the engine announces a further refusal before
         the others send theirs.
-    has_news : bool
+    has_unsent : bool
         Whether there are refusals that were not announced to peers yet.
     """
 
-    patience: float = 1.0
-    has_news: bool = False
+    jitter_factor: float = 1.0
+    has_unsent: bool = False
     _exclusions: dict[int, Exclusion] = attrs.field(factory=dict)
 
-    def note(self, name: str, now: int, max_ms: int = MAX_MS) -> bool:
+    def record(
+        self, name: str, now: int, max_ms: int = MAX_BACKOFF_MS
+    ) -> bool:
         """Record a refusal.
 
         Parameters
@@ -110,21 +112,23 @@
         bool
             Whether the engine was not excluded before.
         """
-        server_hash = marks.compute_mark(name)
+        server_hash = server_hashes.compute_server_hash(name)
         exclusion = self._exclusions.get(server_hash)
         if exclusion is not None and now < exclusion.until:
             # The request was sent before the first refusal arrived.
             return False
         self._exclude(server_hash, now, True, max_ms)
-        self.has_news = True
+        self.has_unsent = True
         return True
 
-    def is_on_trial(self, name: str, now: int) -> bool:
+    def is_half_open(self, name: str, now: int) -> bool:
         """Tell whether an engine's exclusion has just ended."""
-        exclusion = self._exclusions.get(marks.compute_mark(name))
+        exclusion = self._exclusions.get(
+            server_hashes.compute_server_hash(name)
+        )
         return exclusion is not None and _is_half_open(exclusion, now)
 
-    def count_left_out(self, now: int) -> int:
+    def count_excluded(self, now: int) -> int:
         """Count the excluded engines."""
         return sum(
             now < exclusion.until for exclusion in self._exclusions.values()
@@ -138,18 +142,18 @@
         length = INITIAL_BACKOFF_MS
         if exclusion is not None and _is_half_open(exclusion, now):
             length = min(max_ms, 2 * exclusion.length_ms)
-        jitter = self.patience
-        if max_ms > MAX_MS:
+        jitter = self.jitter_factor
+        if max_ms > MAX_BACKOFF_MS:
             jitter = 1.0 + EJECTED_JITTER_FACTOR * (jitter - 1.0)
         until = now + round(length * jitter)
         self._exclusions[server_hash] = Exclusion(now, until, length, direct)
 
-    def note_told(
+    def record_reported(
         self,
         reported: Iterable[int],
         now: int,
         direct: bool,
-        max_ms: int = MAX_MS,
+        max_ms: int = MAX_BACKOFF_MS,
     ) -> None:
         """Record refusals that a peer reports.
 
@@ -178,7 +182,9 @@
 
     def is_refusing(self, name: str, now: int) -> bool:
         """Tell whether an engine is excluded."""
-        exclusion = self._exclusions.get(marks.compute_mark(name))
+        exclusion = self._exclusions.get(
+            server_hashes.compute_server_hash(name)
+        )
         return exclusion is not None and now < exclusion.until
 
     def select(self, names: Iterable[str], now: int) -> set[str]:
@@ -187,7 +193,7 @@
             return set()
         return {name for name in names if self.is_refusing(name, now)}
 
-    def list_fresh(self, now: int, direct_only: bool) -> tuple[int, ...]:
+    def list_announced(self, now: int, direct_only: bool) -> tuple[int, ...]:
         """List the hashes of the engines whose refusals are announced."""
         return tuple(
             server_hash
@@ -199,7 +205,9 @@
     def forget_old(self, now: int) -> None:
         """Remove exclusions whose backoff has been reset."""
         for server_hash, exclusion in list(self._exclusions.items()):
-            if now - exclusion.until > max(MAX_MS, exclusion.length_ms):
+            if now - exclusion.until > max(
+                MAX_BACKOFF_MS, exclusion.length_ms
+            ):
                 del self._exclusions[server_hash]
 
 
