--- a/src/thornspool/domain/fleet/moves.py
+++ b/src/thornspool/domain/fleet/retained_ranges.py
@@ -13,8 +13,8 @@
 
 import attrs
 
-from thornspool.domain.fleet import marks
 from thornspool.domain.fleet import messages
+from thornspool.domain.fleet import server_hashes
 
 if typing.TYPE_CHECKING:
     from collections.abc import Mapping
@@ -27,19 +27,19 @@
 
 
 @attrs.define
-class Moves:
+class RetainedRanges:
     """Retained ranges of the engines that release layers, by server hash.
 
     Attributes
     ----------
-    own : dict of int to tuple of int
+    local : dict of int to tuple of int
         Ranges of the engines to which this entry has sent orders.
-    has_news : bool
+    has_unsent : bool
         Whether there are ranges that were not announced to peers yet.
     """
 
-    own: dict[int, RetainedRange] = attrs.field(factory=dict)
-    has_news: bool = False
+    local: dict[int, RetainedRange] = attrs.field(factory=dict)
+    has_unsent: bool = False
     _reported: dict[int, tuple[RetainedRange, int]] = attrs.field(factory=dict)
 
     def begin(
@@ -63,17 +63,17 @@
         """
         if retained == server.layers:
             return False
-        self.own[marks.compute_mark(server.id)] = (
+        self.local[server_hashes.compute_server_hash(server.id)] = (
             (0, 0) if retained is None else (retained.first, retained.end)
         )
-        self.has_news = True
+        self.has_unsent = True
         return True
 
     def end(self, name: str) -> None:
         """Remove an order that is complete or lost."""
-        self.own.pop(marks.compute_mark(name), None)
+        self.local.pop(server_hashes.compute_server_hash(name), None)
 
-    def note_told(
+    def record_reported(
         self, reported: Mapping[int, RetainedRange], now: int
     ) -> None:
         """Record the ranges that a peer reports."""
@@ -94,19 +94,19 @@
             Retained ranges by server hash.
         """
         if local_only:
-            return dict(self.own)
+            return dict(self.local)
         reported = {
             server_hash: retained
             for server_hash, (retained, _) in self._reported.items()
         }
-        return {**reported, **self.own}
+        return {**reported, **self.local}
 
     def narrow(self, server: messages.Server) -> messages.Server:
         """Return an engine with the layers for which it accepts requests."""
-        if not self.own and not self._reported:
+        if not self.local and not self._reported:
             return server
-        server_hash = marks.compute_mark(server.id)
-        retained = self.own.get(server_hash)
+        server_hash = server_hashes.compute_server_hash(server.id)
+        retained = self.local.get(server_hash)
         if retained is None and server_hash in self._reported:
             retained = self._reported[server_hash][0]
         if retained is None or server.layers is None:
--- a/src/thornspool/domain/fleet/marks.py
+++ b/src/thornspool/domain/fleet/server_hashes.py
@@ -18,7 +18,7 @@
 
 
 @functools.lru_cache(CACHED_HASHES)
-def compute_mark(name: str) -> int:
+def compute_server_hash(name: str) -> int:
     """Compute the hash that identifies a name in state updates.
 
     Full names would account for most of the bytes of all state updates.
--- a/src/thornspool/domain/fleet/standing.py
+++ b/src/thornspool/domain/fleet/server_scores.py
@@ -47,12 +47,12 @@
 BROKEN_WEIGHT = 1.0
 """Weight of a lost or corrupt response."""
 
-SILENT_WEIGHT = 1.0
+TIMEOUT_WEIGHT = 1.0
 """Weight of a call that timed out."""
 
 
 @attrs.define
-class Standing:
+class ServerScore:
     """Load and recent failures of a server."""
 
     in_flight: int = 0
@@ -63,10 +63,10 @@
 
 
 @attrs.define
-class Standings:
+class ServerScores:
     """Load and recent failures of all servers, by id."""
 
-    servers: dict[str, Standing] = attrs.field(factory=dict)
+    servers: dict[str, ServerScore] = attrs.field(factory=dict)
 
     def begin(self, name: str) -> None:
         """Record the start of a call."""
@@ -77,13 +77,13 @@
         score = self._get_or_add(name)
         score.in_flight = max(0, score.in_flight - 1)
 
-    def note_failure(self, name: str, weight: float, now: int) -> None:
+    def record_failure(self, name: str, weight: float, now: int) -> None:
         """Record a failure with its weight."""
         score = self._get_or_add(name)
         score.failures = _decay_failures(score, now) + weight
         score.failures_at = now
 
-    def note_load(
+    def record_load(
         self, name: str, load: ReportedLoad | None, now: int
     ) -> None:
         """Record the load that a server reports; None is ignored."""
@@ -140,13 +140,13 @@
             cost += REMOTE_WEIGHT
         return cost
 
-    def _get_or_add(self, name: str) -> Standing:
+    def _get_or_add(self, name: str) -> ServerScore:
         score = self.servers.get(name)
         if score is None:
-            score = self.servers[name] = Standing()
+            score = self.servers[name] = ServerScore()
         return score
 
 
-def _decay_failures(score: Standing, now: int) -> float:
+def _decay_failures(score: ServerScore, now: int) -> float:
     age = max(0, now - score.failures_at)
     return score.failures * float(0.5 ** (age / FAILURE_HALF_LIFE_MS))
--- a/src/thornspool/domain/fleet/paces.py
+++ b/src/thornspool/domain/fleet/slowdowns.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-from thornspool.domain.fleet import marks
+from thornspool.domain.fleet import server_hashes
 
 if typing.TYPE_CHECKING:
     from collections.abc import Iterable
@@ -28,7 +28,7 @@
 FRESH_MS = 1_000
 """Time for which an engine is not probed again; its report lags 200 ms."""
 
-SLOW = 1.5
+SLOW_FACTOR = 1.5
 """Slowdown factor from which an engine is slow; normal variation is 10 %."""
 
 
@@ -53,16 +53,18 @@
 
 
 @attrs.define
-class Paces:
+class Slowdowns:
     """Slowdown factors of engines, by server hash."""
 
     _slowdowns: dict[int, Slowdown] = attrs.field(factory=dict)
 
-    def note(self, name: str, factor: float, now: int) -> None:
+    def record_probe(self, name: str, factor: float, now: int) -> None:
         """Record the factor that an engine returned to a probe."""
-        self._slowdowns[marks.compute_mark(name)] = Slowdown(factor, now, True)
+        self._slowdowns[server_hashes.compute_server_hash(name)] = Slowdown(
+            factor, now, True
+        )
 
-    def note_told(
+    def record_reported(
         self, reported: dict[int, float], now: int, direct: bool
     ) -> None:
         """Record the slowdown factors that a peer reports.
@@ -83,14 +85,14 @@
 
     def get(self, name: str, now: int) -> float:
         """Return an engine's slowdown factor; 1 without a valid report."""
-        slowdown = self._slowdowns.get(marks.compute_mark(name))
+        slowdown = self._slowdowns.get(server_hashes.compute_server_hash(name))
         if slowdown is None or now - slowdown.received_at > VALID_MS:
             return 1.0
         return max(1.0, slowdown.factor)
 
     def is_fresh(self, name: str, now: int, within_ms: int = FRESH_MS) -> bool:
         """Tell whether an engine's factor was received within a time."""
-        slowdown = self._slowdowns.get(marks.compute_mark(name))
+        slowdown = self._slowdowns.get(server_hashes.compute_server_hash(name))
         return slowdown is not None and now - slowdown.received_at <= within_ms
 
     def select(self, names: Iterable[str], now: int) -> dict[str, float]:
@@ -99,7 +101,9 @@
             return {}
         factors = {name: self.get(name, now) for name in names}
         return {
-            name: factor for name, factor in factors.items() if factor >= SLOW
+            name: factor
+            for name, factor in factors.items()
+            if factor >= SLOW_FACTOR
         }
 
     def list_slow(self, now: int, direct_only: bool) -> dict[int, float]:
@@ -107,7 +111,7 @@
         return {
             server_hash: slowdown.factor
             for server_hash, slowdown in self._slowdowns.items()
-            if slowdown.factor >= SLOW
+            if slowdown.factor >= SLOW_FACTOR
             and now - slowdown.received_at <= FRESH_MS
             and (slowdown.direct or not direct_only)
         }
--- a/src/thornspool/domain/fleet/sweeps.py
+++ b/src/thornspool/domain/fleet/sweeps.py
@@ -51,7 +51,7 @@
         self._remaining = list(names)
         source.shuffle(self._remaining)
 
-    def take_next(self) -> list[str]:
+    def pop_batch(self) -> list[str]:
         """Remove and return the engines to probe at this tick."""
         batch, self._remaining = (
             self._remaining[:BATCH_SIZE],
--- a/src/thornspool/domain/freshness/proofs.py
+++ b/src/thornspool/domain/freshness/confirmations.py
@@ -23,19 +23,19 @@
 
 
 @attrs.define
-class Proof:
+class Freshness:
     """Time at which the copy was last confirmed to be current.
 
     Attributes
     ----------
-    current_at : int or None
+    confirmed_at : int or None
         Milliseconds of the clock that counts suspended time; None before
         the first confirmation.
     """
 
-    current_at: int | None = None
+    confirmed_at: int | None = None
 
-    def renew(self, at: int) -> None:
+    def confirm(self, at: int) -> None:
         """Confirm that the copy holds everything acknowledged before a time.
 
         Parameters
@@ -43,14 +43,14 @@
         at : int
             Milliseconds of the clock; a time before the last one is ignored.
         """
-        if self.current_at is None or at > self.current_at:
-            self.current_at = at
+        if self.confirmed_at is None or at > self.confirmed_at:
+            self.confirmed_at = at
 
     def compute_age(self, now: int) -> int | None:
         """Return the age in milliseconds; None before a confirmation."""
-        if self.current_at is None:
+        if self.confirmed_at is None:
             return None
-        return max(0, now - self.current_at)
+        return max(0, now - self.confirmed_at)
 
     def is_within(self, bound_ms: float, now: int) -> bool:
         """Tell whether the age of the copy is within a bound."""
--- a/src/thornspool/domain/paths/choice.py
+++ b/src/thornspool/domain/paths/choice.py
@@ -41,34 +41,34 @@
 """
 
 
-class Lack(enum.Enum):
+class NoPathReason(enum.Enum):
     """Reason why no path exists."""
 
-    NO_ROOM = 'no_room'
+    NO_CAPACITY = 'no_room'
     NOT_COVERED = 'not_covered'
 
 
 @attrs.frozen
-class Need:
+class RequestSize:
     """Size of a request.
 
     Attributes
     ----------
-    prompt_tokens, answer_tokens : float
+    prompt_tokens, output_tokens : float
         Tokens of the prompt, and expected tokens of the answer.
     """
 
     prompt_tokens: float
-    answer_tokens: float
+    output_tokens: float
 
     @property
     def tokens(self) -> float:
         """Tokens for which memory is reserved."""
-        return self.prompt_tokens + self.answer_tokens
+        return self.prompt_tokens + self.output_tokens
 
 
 @attrs.frozen
-class Situation:
+class FleetSnapshot:
     """State of the engines of a service when a path is chosen.
 
     Attributes
@@ -88,7 +88,7 @@
         Failure domain of this entry.
     draw_random : callable
         Returns a random number of at least 0 and below 1.
-    may_cross : bool
+    allow_crossing : bool
         Whether a path may change its failure domain between two hops if no
         domain has a complete path.
     bounds : mapping of str to bounds_module.Bound
@@ -103,7 +103,7 @@
     slowdowns: Mapping[str, float]
     local_domain: str
     draw_random: Callable[[], float]
-    may_cross: bool = True
+    allow_crossing: bool = True
     bounds: Mapping[str, bounds_module.Bound] = attrs.field(factory=dict)
 
 
@@ -115,115 +115,134 @@
 """
 
 
-def choose_path(situation: Situation, need: Need) -> search.Path | Lack:
+def choose_path(
+    fleet_snapshot: FleetSnapshot, request_size: RequestSize
+) -> search.Path | NoPathReason:
     """Choose the cheapest path with enough free capacity.
 
     A path within one failure domain is preferred to one that crosses domains.
 
     Parameters
     ----------
-    situation : Situation
+    fleet_snapshot : FleetSnapshot
         State of the engines.
-    need : Need
+    request_size : RequestSize
         Size of the request.
 
     Returns
     -------
-    search.Path or Lack
+    search.Path or NoPathReason
         The path, or the reason why none exists.
     """
-    path = _find_path(situation, need)
+    path = _find_path(fleet_snapshot, request_size)
     if path is not None:
         return path
     unlimited = [
-        search.Candidate(engine, 1.0, situation.model.layers)
-        for engine in situation.engines
+        search.Candidate(engine, 1.0, fleet_snapshot.model.layers)
+        for engine in fleet_snapshot.engines
     ]
-    if search.find_path(unlimited, situation.model.layers) is None:
-        return Lack.NOT_COVERED
-    return Lack.NO_ROOM
+    if search.find_path(unlimited, fleet_snapshot.model.layers) is None:
+        return NoPathReason.NOT_COVERED
+    return NoPathReason.NO_CAPACITY
 
 
-def _find_path(situation: Situation, need: Need) -> search.Path | None:
+def _find_path(
+    fleet_snapshot: FleetSnapshot, request_size: RequestSize
+) -> search.Path | None:
     """Search the local failure domain, then the others, then across them."""
-    layers = situation.model.layers
+    layers = fleet_snapshot.model.layers
     domains: dict[str, list[fleet.Server]] = {}
-    for engine in situation.engines:
+    for engine in fleet_snapshot.engines:
         domains.setdefault(engine.failure_domain, []).append(engine)
     best: search.Path | None = None
     best_cost_ms = math.inf
     for domain in sorted(
-        domains, key=lambda name: name != situation.local_domain
+        domains, key=lambda name: name != fleet_snapshot.local_domain
     ):
         extra_ms = (
-            0.0 if domain == situation.local_domain else REMOTE_DOMAIN_COST_MS
+            0.0
+            if domain == fleet_snapshot.local_domain
+            else REMOTE_DOMAIN_COST_MS
         )
-        if _compute_bound(situation, need, domain) + extra_ms >= best_cost_ms:
+        if (
+            _compute_bound(fleet_snapshot, request_size, domain) + extra_ms
+            >= best_cost_ms
+        ):
             continue
         path = search.find_path(
-            build_candidates(situation, need, domains[domain]), layers
+            build_candidates(fleet_snapshot, request_size, domains[domain]),
+            layers,
         )
         if path is not None and path.cost_ms + extra_ms < best_cost_ms:
             best, best_cost_ms = path, path.cost_ms + extra_ms
-    if best is not None or not situation.may_cross:
+    if best is not None or not fleet_snapshot.allow_crossing:
         return best
     return search.find_path(
-        build_candidates(situation, need, situation.engines), layers
+        build_candidates(fleet_snapshot, request_size, fleet_snapshot.engines),
+        layers,
     )
 
 
-def _compute_bound(situation: Situation, need: Need, domain: str) -> float:
+def _compute_bound(
+    fleet_snapshot: FleetSnapshot, request_size: RequestSize, domain: str
+) -> float:
     """Return a lower bound for the cost of a path in a failure domain."""
-    bound = situation.bounds.get(domain)
+    bound = fleet_snapshot.bounds.get(domain)
     if bound is None:
         return 0.0
-    return bound.compute_cost(need.prompt_tokens, need.answer_tokens)
+    return bound.compute_cost(
+        request_size.prompt_tokens, request_size.output_tokens
+    )
 
 
 def build_candidates(
-    situation: Situation, need: Need, engines: Iterable[fleet.Server]
+    fleet_snapshot: FleetSnapshot,
+    request_size: RequestSize,
+    engines: Iterable[fleet.Server],
 ) -> Iterable[search.Candidate]:
     """Yield a candidate for each engine with memory for requests.
 
     Parameters
     ----------
-    situation : Situation
+    fleet_snapshot : FleetSnapshot
         State of the engines.
-    need : Need
+    request_size : RequestSize
         Size of the request.
     engines : iterable of fleet.Server
         Engines to consider; those without layers or without memory for
         requests are skipped.
     """
-    model = situation.model
+    model = fleet_snapshot.model
     for engine in engines:
         if engine.layers is None or engine.layers.end > model.layers:
             continue
-        capacity = model.compute_room(engine.kind, engine.layers.count)
+        capacity = model.compute_free_capacity(
+            engine.kind, engine.layers.count
+        )
         if capacity <= 0:
             continue
-        reserved = situation.reserved.compute_taken(engine.id)
+        reserved = fleet_snapshot.reserved.compute_reserved(engine.id)
         free = capacity * reservations.MAX_RESERVED_SHARE - reserved
-        slowdown = situation.slowdowns.get(engine.id, 1.0)
+        slowdown = fleet_snapshot.slowdowns.get(engine.id, 1.0)
         cost_ms = search.estimate_layer_cost(
             model,
             engine.kind,
-            (need.prompt_tokens, need.answer_tokens),
-            situation.reserved.request_counts.get(engine.id, 0),
+            (request_size.prompt_tokens, request_size.output_tokens),
+            fleet_snapshot.reserved.request_counts.get(engine.id, 0),
             reserved / capacity,
             slowdown,
         )
-        cost_ms *= 1.0 + COST_JITTER_SHARE * situation.draw_random()
-        if engine.id in situation.draining:
+        cost_ms *= 1.0 + COST_JITTER_SHARE * fleet_snapshot.draw_random()
+        if engine.id in fleet_snapshot.draining:
             cost_ms += DRAINING_LAYER_COST_MS
         yield search.Candidate(
             engine,
             cost_ms,
-            int(max(0.0, free) / max(1.0, need.tokens)),
+            int(max(0.0, free) / max(1.0, request_size.tokens)),
             search.estimate_wait(
                 model,
                 engine.kind,
-                situation.reserved.prefill_backlog.get(engine.id, 0.0),
+                fleet_snapshot.reserved.prefill_backlog.get(engine.id, 0.0),
                 slowdown,
             ),
         )
@@ -246,8 +265,8 @@
 
 
 def choose_repair(
-    situation: Situation,
-    need: Need,
+    fleet_snapshot: FleetSnapshot,
+    request_size: RequestSize,
     hops: Sequence[search.Hop],
     lost: Container[str],
 ) -> tuple[search.Hop, ...] | None:
@@ -258,9 +277,9 @@
 
     Parameters
     ----------
-    situation : Situation
+    fleet_snapshot : FleetSnapshot
         State of the engines that may replace the lost ones.
-    need : Need
+    request_size : RequestSize
         Size of the request.
     hops : sequence of search.Hop
         The current path, whose first engine is not lost.
@@ -276,8 +295,10 @@
     domain = hops[0].server.failure_domain
     used = {hop.server.id for hop in hops}
     candidates = [
-        _randomize_cost(candidate, situation.draw_random)
-        for candidate in build_candidates(situation, need, situation.engines)
+        _randomize_cost(candidate, fleet_snapshot.draw_random)
+        for candidate in build_candidates(
+            fleet_snapshot, request_size, fleet_snapshot.engines
+        )
         if candidate.server.failure_domain == domain
         and candidate.server.id not in used
     ]
@@ -306,16 +327,16 @@
     return tuple(repaired)
 
 
-def choose_rest(
-    situation: Situation, need: Need, kept: search.Hop
+def choose_remainder(
+    fleet_snapshot: FleetSnapshot, request_size: RequestSize, kept: search.Hop
 ) -> search.Path | None:
     """Choose the hops that follow a first hop which is retained.
 
     Parameters
     ----------
-    situation : Situation
+    fleet_snapshot : FleetSnapshot
         State of the engines.
-    need : Need
+    request_size : RequestSize
         Size of the request.
     kept : search.Hop
         The first hop, which is not part of the result.
@@ -327,12 +348,14 @@
     """
     candidates = [
         candidate
-        for candidate in build_candidates(situation, need, situation.engines)
+        for candidate in build_candidates(
+            fleet_snapshot, request_size, fleet_snapshot.engines
+        )
         if candidate.server.id != kept.server.id
     ]
     return search.find_path(
         candidates,
-        situation.model.layers,
+        fleet_snapshot.model.layers,
         kept.end,
         kept.server.failure_domain,
     )
--- a/src/thornspool/domain/paths/reservations.py
+++ b/src/thornspool/domain/paths/reservations.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-from thornspool.domain.fleet import marks
+from thornspool.domain.fleet import server_hashes
 
 if typing.TYPE_CHECKING:
     from collections.abc import Iterable
@@ -34,23 +34,23 @@
 
     Attributes
     ----------
-    own : dict of str to float
+    local : dict of str to float
         Token-layers (tokens times layers) reserved by this entry, by engine.
     request_counts : dict of str to int
         Requests of this entry, by engine.
     prefill_backlog : dict of str to float
         Token-layers that engines have not yet prefilled for requests of this
         entry, by engine.
-    others : dict of int to float
+    remote : dict of int to float
         Token-layers reserved by other entries, by server hash.
     """
 
-    own: dict[str, float] = attrs.field(factory=dict)
+    local: dict[str, float] = attrs.field(factory=dict)
     request_counts: dict[str, int] = attrs.field(factory=dict)
     prefill_backlog: dict[str, float] = attrs.field(factory=dict)
-    others: dict[int, float] = attrs.field(factory=dict)
+    remote: dict[int, float] = attrs.field(factory=dict)
 
-    def take(self, hops: Iterable[search.Hop], tokens: float) -> None:
+    def reserve(self, hops: Iterable[search.Hop], tokens: float) -> None:
         """Reserve memory on each engine of a path.
 
         Parameters
@@ -62,24 +62,24 @@
         """
         for hop in hops:
             name = hop.server.id
-            self.own[name] = self.own.get(name, 0.0) + tokens * hop.count
+            self.local[name] = self.local.get(name, 0.0) + tokens * hop.count
             self.request_counts[name] = self.request_counts.get(name, 0) + 1
 
-    def free(self, hops: Iterable[search.Hop], tokens: float) -> None:
+    def release(self, hops: Iterable[search.Hop], tokens: float) -> None:
         """Release what ``take`` reserved for the same arguments."""
         for hop in hops:
             name = hop.server.id
-            remaining = self.own.get(name, 0.0) - tokens * hop.count
+            remaining = self.local.get(name, 0.0) - tokens * hop.count
             self.request_counts[name] = max(
                 0, self.request_counts.get(name, 0) - 1
             )
             if self.request_counts[name] == 0:
                 self.request_counts.pop(name)
-                self.own.pop(name, None)
+                self.local.pop(name, None)
             else:
-                self.own[name] = max(0.0, remaining)
+                self.local[name] = max(0.0, remaining)
 
-    def begin_reading(self, hops: Iterable[search.Hop], tokens: float) -> None:
+    def begin_prefill(self, hops: Iterable[search.Hop], tokens: float) -> None:
         """Add a prompt to the prefill backlog of each engine of a path.
 
         Parameters
@@ -95,7 +95,7 @@
                 self.prefill_backlog.get(name, 0.0) + tokens * hop.count
             )
 
-    def end_reading(self, hops: Iterable[search.Hop], tokens: float) -> None:
+    def end_prefill(self, hops: Iterable[search.Hop], tokens: float) -> None:
         """Remove a prompt that is prefilled or no longer needed."""
         for hop in hops:
             name = hop.server.id
@@ -107,14 +107,14 @@
             else:
                 self.prefill_backlog.pop(name, None)
 
-    def list_marked(self) -> dict[int, float]:
+    def list_by_hash(self) -> dict[int, float]:
         """List the token-layers reserved by this entry, by server hash."""
         return {
-            marks.compute_mark(name): amount
-            for name, amount in self.own.items()
+            server_hashes.compute_server_hash(name): amount
+            for name, amount in self.local.items()
         }
 
-    def compute_taken(self, name: str) -> float:
+    def compute_reserved(self, name: str) -> float:
         """Return the token-layers reserved on an engine by all entries."""
-        others = self.others.get(marks.compute_mark(name), 0.0)
-        return self.own.get(name, 0.0) + others
+        others = self.remote.get(server_hashes.compute_server_hash(name), 0.0)
+        return self.local.get(name, 0.0) + others
--- a/src/thornspool/domain/paths/silence.py
+++ b/src/thornspool/domain/paths/stalls.py
@@ -20,7 +20,7 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Iterable
 
-LEAST_STREAMS = 3
+MIN_STALLED_STREAMS = 3
 """Minimum number of stalled streams that make an engine which they share a
 suspect."""
 
@@ -31,10 +31,10 @@
 """Maximum share of the engines probed at once that may be lost together. If
 more of them do not reply, the link of the probing host has failed."""
 
-UNUSUAL_PAUSES = 1.6
+STALL_INTERVALS = 1.6
 """Idle time, in event intervals of a stream, from which it is stalled."""
 
-OVERDUE_PAUSES = 1.25
+CONFIRMING_INTERVALS = 1.25
 """Idle time, in event intervals of a stream, that confirms a suspicion."""
 
 MIN_EVENT_INTERVAL_MS = 30.0
@@ -45,20 +45,20 @@
 """Upper limit of a recorded event interval. Without it, one stall would raise
 the mean so far that the next stall of the stream is not detected."""
 
-UNKNOWN_MS = 200.0
+DEFAULT_EVENT_INTERVAL_MS = 200.0
 """Event interval that is assumed before the first one is recorded."""
 
 ENTRY_INTERVAL_WEIGHT = 0.02
 """Weight of one event interval in the mean over all streams of an entry, which
 thus covers about fifty intervals."""
 
-STREAM_WEIGHT = 0.2
+STREAM_INTERVAL_WEIGHT = 0.2
 """Weight of one event interval in the mean of one stream, which thus covers
 about five intervals."""
 
 
 @attrs.define
-class UsualPause:
+class EventInterval:
     """Exponential moving average of the event interval.
 
     Attributes
@@ -72,7 +72,7 @@
     weight: float = ENTRY_INTERVAL_WEIGHT
     mean_ms: float | None = None
 
-    def note(self, interval_ms: float) -> None:
+    def record(self, interval_ms: float) -> None:
         """Record one event interval.
 
         Parameters
@@ -89,7 +89,7 @@
             self.mean_ms += self.weight * (interval_ms - self.mean_ms)
 
 
-def is_credible(probed: int, unanswered: int) -> bool:
+def is_loss_plausible(probed: int, unanswered: int) -> bool:
     """Return whether engines that did not reply to a probe count as lost.
 
     A host that is cut off from the network gets no reply from any engine. If
@@ -110,7 +110,7 @@
     return probed <= 1 or unanswered <= MAX_LOST_SHARE * probed
 
 
-def find_doubtful(
+def find_suspects(
     streams: Iterable[tuple[Iterable[str], float]],
 ) -> list[str]:
     """Find the engines that may have caused the stalls of streams.
@@ -134,15 +134,16 @@
     for engines, idle_intervals in streams:
         names = list(engines)
         total.update(names)
-        if idle_intervals >= UNUSUAL_PAUSES:
+        if idle_intervals >= STALL_INTERVALS:
             stalled_streams += 1
             stalled.update(names)
     shared = [
         name
         for name, count in stalled.most_common()
-        if count >= LEAST_STREAMS and count >= MIN_STALLED_SHARE * total[name]
+        if count >= MIN_STALLED_STREAMS
+        and count >= MIN_STALLED_SHARE * total[name]
     ]
-    if shared and stalled_streams >= LEAST_STREAMS:
+    if shared and stalled_streams >= MIN_STALLED_STREAMS:
         return shared
     return [
         name for name, count in stalled.most_common() if count == total[name]
--- a/src/thornspool/domain/placement/layout.py
+++ b/src/thornspool/domain/placement/layout.py
@@ -131,7 +131,9 @@
     tokens = model.usual_prompt + model.usual_answer
     capacity = [0.0] * model.layers
     for kind, held in ranges:
-        requests = model.compute_room(kind, held.count) / held.count / tokens
+        requests = (
+            model.compute_free_capacity(kind, held.count) / held.count / tokens
+        )
         for layer in range(held.first, held.end):
             capacity[layer] += requests
     return min(capacity)
--- a/src/thornspool/domain/placement/moving.py
+++ b/src/thornspool/domain/placement/moving.py
@@ -52,7 +52,7 @@
         Ranges that are furthest from their place come first.
     """
     orders: list[orders_module.Order] = []
-    retained = {holding.server.id: holding.sure for holding in holdings}
+    retained = {holding.server.id: holding.retained for holding in holdings}
     furthest_first = sorted(
         (
             holding
@@ -76,7 +76,7 @@
             orders.append(orders_module.Order(holding.server, step, 'move'))
             retained[holding.server.id] = orders_module.Holding(
                 holding.server, step
-            ).sure
+            ).retained
     return orders
 
 
--- a/src/thornspool/domain/placement/orders.py
+++ b/src/thornspool/domain/placement/orders.py
@@ -48,7 +48,7 @@
     pending: fleet.LayerRange | None = None
 
     @property
-    def sure(self) -> fleet.LayerRange | None:
+    def retained(self) -> fleet.LayerRange | None:
         """Retained range, which the engine holds before and after its order.
 
         None if the engine retains no layer.
@@ -66,7 +66,7 @@
         return self.pending or self.server.layers
 
 
-def find_holes(
+def find_coverage_gaps(
     ranges: Iterable[fleet.LayerRange], layers: int
 ) -> list[fleet.LayerRange]:
     """Find the coverage gaps, which are the layers in no range.
--- a/src/thornspool/domain/placement/planning.py
+++ b/src/thornspool/domain/placement/planning.py
@@ -45,7 +45,7 @@
 """Share of the capacity of the best layout from which the ranges of a domain
 stay where they are: a quarter more capacity is not worth the moves."""
 
-STEADY_MS = 5_000
+STABLE_PERIOD_MS = 5_000
 """Time without a change of a domain's engines after which ranges move to their
 planned place.
 
@@ -127,9 +127,9 @@
     holdings: Iterable[orders_module.Holding], model: fleet.Model
 ) -> bool:
     """Return whether engines retain every layer during their orders."""
-    retained = [holding.sure for holding in holdings]
+    retained = [holding.retained for holding in holdings]
     ranges = [held for held in retained if held is not None]
-    return not orders_module.find_holes(ranges, model.layers)
+    return not orders_module.find_coverage_gaps(ranges, model.layers)
 
 
 class _FleetCoverage:
@@ -145,7 +145,7 @@
     ) -> None:
         self._layers = model.layers
         self._retained = {
-            holding.server.id: holding.sure for holding in holdings
+            holding.server.id: holding.retained for holding in holdings
         }
 
     @property
@@ -168,7 +168,7 @@
         return {
             order.server.id: orders_module.Holding(
                 order.server, order.layers
-            ).sure
+            ).retained
             for order in orders
         }
 
@@ -176,7 +176,7 @@
         self, retained: dict[str, fleet.LayerRange | None]
     ) -> list[fleet.LayerRange]:
         ranges = [held for held in retained.values() if held is not None]
-        return orders_module.find_holes(ranges, self._layers)
+        return orders_module.find_coverage_gaps(ranges, self._layers)
 
 
 class _DomainPlan:
@@ -211,7 +211,9 @@
         ]
         gaps = [
             gap
-            for gap in orders_module.find_holes(held, self._model.layers)
+            for gap in orders_module.find_coverage_gaps(
+                held, self._model.layers
+            )
             if not _is_covered_by(gap, placed)
         ]
         if not held or not gaps:
@@ -376,7 +378,7 @@
         fleet.LayerRange(one.first - gap.first, one.end - gap.first)
         for one in clipped
     ]
-    return not orders_module.find_holes(shifted, gap.count)
+    return not orders_module.find_coverage_gaps(shifted, gap.count)
 
 
 def _extend_over(
--- a/src/thornspool/domain/retries/pools.py
+++ b/src/thornspool/domain/retries/pools.py
@@ -50,15 +50,15 @@
 
 
 @attrs.frozen
-class Work:
+class RequestCounts:
     """Numbers of requests and retries of one service in the last window."""
 
     requests: float
-    repeats: float
+    retries: float
 
 
 @attrs.define
-class RepeatPool:
+class RetryPool:
     """Requests and retries of one service.
 
     Attributes
@@ -81,7 +81,7 @@
     window_ms: int
     entries: int = 1
     seed: int = 0
-    _others: Work | None = attrs.field(default=None, init=False)
+    _others: RequestCounts | None = attrs.field(default=None, init=False)
     _reported_at: int = attrs.field(default=0, init=False)
     _others_retries: collections.deque[tuple[int, float]] = attrs.field(
         factory=collections.deque, init=False
@@ -101,29 +101,29 @@
         self._request_times.append(now)
         self._drop_expired(now)
 
-    def take_others(self, work: Work, now: int) -> None:
+    def apply_others(self, counts: RequestCounts, now: int) -> None:
         """Apply the reported numbers of all other entries."""
-        self._others_retries.append((now, work.repeats))
+        self._others_retries.append((now, counts.retries))
         while self._others_retries[0][0] <= now - PEAK_RETENTION_MS:
             self._others_retries.popleft()
         peak = max(retries for _, retries in self._others_retries)
-        self._others = Work(work.requests, peak)
+        self._others = RequestCounts(counts.requests, peak)
         self._reported_at = now
         if (
             not self._samples
             or now - self._samples[-1][0] >= SAMPLE_INTERVAL_MS
         ):
-            total = self.count(now).requests + work.requests
+            total = self.count(now).requests + counts.requests
             self._samples.append((now, total))
         while (
             self._samples[0][0] < now - self.window_ms - 2 * SAMPLE_INTERVAL_MS
         ):
             self._samples.popleft()
 
-    def count(self, now: int) -> Work:
+    def count(self, now: int) -> RequestCounts:
         """Count this entry's requests and retries in the window."""
         self._drop_expired(now)
-        return Work(len(self._request_times), len(self._retry_times))
+        return RequestCounts(len(self._request_times), len(self._retry_times))
 
     def count_requests(self, now: int) -> float:
         """Count the requests of all entries in the window.
@@ -137,7 +137,7 @@
             return local * self.entries
         return local + others.requests
 
-    def has_room(self, now: int, limit_share: float = 1.0) -> bool:
+    def allows_retry(self, now: int, limit_share: float = 1.0) -> bool:
         """Tell whether the budget allows one more retry of this entry.
 
         Parameters
@@ -158,7 +158,7 @@
             len(self._request_times) + others.requests, now
         )
         allowed = limit_share * (self.slack + self.ratio * requests)
-        settled = len(self._retry_times) - recent + others.repeats
+        settled = len(self._retry_times) - recent + others.retries
         share = (allowed - settled) / self.entries
         return recent + 1 <= math.floor(share) + self._may_round_up(share, now)
 
@@ -194,9 +194,9 @@
         ]
         return max([requests, *earlier])
 
-    def take_repeat(self, now: int, limit_share: float = 1.0) -> bool:
+    def acquire(self, now: int, limit_share: float = 1.0) -> bool:
         """Acquire one retry; return False when the share is used up."""
-        if not self.has_room(now, limit_share):
+        if not self.allows_retry(now, limit_share):
             return False
         self._retry_times.append(now)
         return True
--- a/src/thornspool/domain/routing/messages.py
+++ b/src/thornspool/domain/routing/messages.py
@@ -71,7 +71,7 @@
     resumable: bool = False
 
     @property
-    def repeatable(self) -> bool:
+    def retryable(self) -> bool:
         """Whether a request may run more than once."""
         if self.kind is Kind.STREAMING:
             return self.resumable
--- a/src/thornspool/platform/callers.py
+++ b/src/thornspool/platform/callers.py
@@ -36,7 +36,7 @@
 
 logger = structlog.get_logger(__name__)
 
-RequestHandler = typing.Callable[[ports.Inquiry, ports.Reply], None]
+RequestHandler = typing.Callable[[ports.Request, ports.ResponseWriter], None]
 
 
 class CallerDelegate(httputil.HTTPServerConnectionDelegate):
@@ -97,7 +97,7 @@
             bytes(self._body),
             self._clock.now(),
         )
-        reply = Reply(self._connection, self._start_line.method)
+        reply = ResponseWriter(self._connection, self._start_line.method)
         try:
             self._serve(request, reply)
         except Exception:
@@ -116,7 +116,7 @@
     headers: httputil.HTTPHeaders,
     body: bytes,
     now: int,
-) -> ports.Inquiry:
+) -> ports.Request:
     """Decode a request into the project's type.
 
     A header with a malformed value is treated as missing.
@@ -134,7 +134,7 @@
 
     Returns
     -------
-    ports.Inquiry
+    ports.Request
         The request.
     """
     prompt, max_output = _parse_usage(headers.get('Token-Usage', ''))
@@ -142,7 +142,7 @@
     if max_output and expected:
         expected = min(expected, max_output)
     scheme, _, key = headers.get('Authorization', '').partition(' ')
-    return ports.Inquiry(
+    return ports.Request(
         id=headers.get('Attempt-Id', ''),
         method=start_line.method,
         target=start_line.path,
@@ -150,12 +150,12 @@
         headers=engines.filter_request_headers(headers.get_all()),
         body=body,
         key=key.strip() if scheme.lower() == 'bearer' else None,
-        patience_ms=round(
+        timeout_ms=round(
             _parse_number(headers.get('Deadline-Ms', '')) or DEFAULT_TIMEOUT_MS
         ),
         arrived_at=now,
         prompt_tokens=prompt,
-        answer_tokens=expected or 0.0,
+        output_tokens=expected or 0.0,
         resume_after=headers.get('Last-Event-Id', ''),
     )
 
@@ -173,7 +173,7 @@
     return _parse_number(prompt), _parse_number(max_output)
 
 
-class Reply:
+class ResponseWriter:
     """Sends the response to one request through tornado's HTTP server.
 
     Parameters
@@ -195,7 +195,7 @@
         self._started = False
         self._connection.set_close_callback(self._close)
 
-    def set_on_close(self, call: Callable[[], None]) -> None:
+    def set_disconnect_callback(self, call: Callable[[], None]) -> None:
         """Register a callback for the caller's disconnection."""
         self._on_close = call
         if self._done:
@@ -208,7 +208,7 @@
         headers = [('Content-Type', 'application/json')]
         if retry_after_ms is not None:
             headers.append(('Retry-After', f'{retry_after_ms / 1000:.3f}'))
-        self.answer(
+        self.send(
             status, tuple(headers), msgspec.json.encode({'error': reason})
         )
 
@@ -224,7 +224,7 @@
         if self._done:
             return
         try:
-            self._watch(self._connection.write(chunk))
+            self._consume_error(self._connection.write(chunk))
         except iostream.StreamClosedError:
             self._close()
 
@@ -242,7 +242,7 @@
         self._done = True
         self._connection.close()
 
-    def answer(self, status: int, headers: ports.Headers, body: bytes) -> None:
+    def send(self, status: int, headers: ports.Headers, body: bytes) -> None:
         """Send a complete response."""
         if self._done or self._started:
             self.abort()
@@ -267,13 +267,13 @@
         for name, value in headers:
             http_headers.add(name, value)
         try:
-            self._watch(
+            self._consume_error(
                 self._connection.write_headers(start_line, http_headers, body)
             )
         except iostream.StreamClosedError:
             self._close()
 
-    def _watch(self, future: typing.Any) -> None:
+    def _consume_error(self, future: typing.Any) -> None:
         """Retrieve the future's error, so that asyncio does not log it."""
         future.add_done_callback(lambda done: done.exception())
 
@@ -331,7 +331,7 @@
 
     def finish(self) -> None:
         path, _, query = self._start_line.path.partition('?')
-        reply = Reply(self._connection, self._start_line.method)
+        reply = ResponseWriter(self._connection, self._start_line.method)
         handler = self._handlers.get(path)
         if handler is None:
             reply.refuse(404, 'unknown_path')
@@ -341,7 +341,7 @@
             for name, values_of_name in urllib.parse.parse_qs(query).items()
         }
         status, body, content_type = handler(arguments)
-        reply.answer(status, (('Content-Type', content_type),), body)
+        reply.send(status, (('Content-Type', content_type),), body)
 
 
 def handle_lookup(
--- a/src/thornspool/platform/daemon.py
+++ b/src/thornspool/platform/daemon.py
@@ -19,20 +19,22 @@
 from thornspool import metrics as metrics_module
 from thornspool.adapters import servers as listeners
 from thornspool.adapters import transfers
-from thornspool.application.routing import beliefs as beliefs_module
 from thornspool.application.routing import calls
-from thornspool.application.routing import detection
+from thornspool.application.routing import failure_detection
 from thornspool.application.routing import intake as intake_module
 from thornspool.application.routing import membership
 from thornspool.application.routing import placement
 from thornspool.application.routing import registration
-from thornspool.application.routing import repeats
+from thornspool.application.routing import retry_pools
+from thornspool.application.routing import (
+    routing_state as routing_state_module,
+)
 from thornspool.application.routing import streams
 from thornspool.domain.entries import leadership
 from thornspool.domain.entries import messages
 from thornspool.domain.entries import view as view_module
 from thornspool.domain.fleet import refusals
-from thornspool.domain.freshness import proofs
+from thornspool.domain.freshness import confirmations
 from thornspool.domain.paths import reservations
 from thornspool.platform import callers
 from thornspool.platform import engines
@@ -221,12 +223,12 @@
         )
         self._listen()
         self._run(self._follower.run())
-        self._repeat(REGISTRATION_INTERVAL_MS, self._register)
-        self._repeat(FAST_TICK_INTERVAL_MS, self._work_quickly)
-        self._repeat(DETECTION_INTERVAL_MS, self._detect)
-        self._repeat(STATE_UPDATE_INTERVAL_MS, self._tell_news)
-        self._repeat(PLACEMENT_INTERVAL_MS, self._plan)
-        self._repeat(USAGE_LOG_INTERVAL_MS, self._log_usage)
+        self._run_periodically(REGISTRATION_INTERVAL_MS, self._register)
+        self._run_periodically(FAST_TICK_INTERVAL_MS, self._tick_quickly)
+        self._run_periodically(DETECTION_INTERVAL_MS, self._detect)
+        self._run_periodically(STATE_UPDATE_INTERVAL_MS, self._send_updates)
+        self._run_periodically(PLACEMENT_INTERVAL_MS, self._plan)
+        self._run_periodically(USAGE_LOG_INTERVAL_MS, self._log_usage)
 
     async def stop(self) -> None:
         """Leave lookups, finish in-flight requests, then close."""
@@ -235,13 +237,13 @@
         self._membership.set_state(messages.State.LEAVING)
         logger.info('drain_began', in_flight=self._intake.in_flight)
         self._caller_listener.send_away()
-        self._streams.set_end(deadline)
-        await self._registration.step_down()
+        self._streams.set_shutdown_time(deadline)
+        await self._registration.release_leadership()
         while True:
             now = self._clock.now()
             elapsed_ms = now - started_at
             if elapsed_ms >= ACCEPT_NEW_MS:
-                self._intake.refuses_new = True
+                self._intake.is_draining = True
             idle = self._intake.in_flight == 0
             if now >= deadline or (idle and elapsed_ms >= MIN_DRAIN_MS):
                 break
@@ -255,17 +257,20 @@
             task.cancel()
         for listener in self._listeners:
             await listener.stop(timeout_ms=FLUSH_TIMEOUT_MS)
-        self._registration.leave()
+        self._registration.stop_renewing()
         self._peer_socket.close()
         self._session.close()
 
     def _describe_in_flight(self) -> str:
         """Format the in-flight requests with their ages for the log."""
         now = self._clock.now()
-        exchanges = [flight.exchange for flight in self._streams.flights]
+        exchanges = [
+            in_flight.exchange
+            for in_flight in self._streams.in_flight_requests
+        ]
         exchanges += [call.exchange for call in self._calls.calls]
         return ','.join(
-            f'{exchange.inquiry.id}:{now - exchange.inquiry.arrived_at}ms'
+            f'{exchange.request.id}:{now - exchange.request.arrived_at}ms'
             for exchange in exchanges[:MAX_LOGGED_REQUESTS]
         )
 
@@ -273,7 +278,7 @@
         """Return whether this entry can serve callers."""
         return (
             self._membership.state is messages.State.SERVING
-            and self._intake.is_fresh()
+            and self._intake.is_current()
         )
 
     def _build(self) -> None:
@@ -291,37 +296,37 @@
         self._session = transfers.Session()
         store = store_module.Store(self._session, settings.store)
         self._store = store
-        self._beliefs = beliefs_module.Beliefs()
-        self._beliefs.refusals.patience = self._random.uniform(
-            1.0, refusals.MOST_PATIENCE
+        self._routing_state = routing_state_module.RoutingState()
+        self._routing_state.refusals.jitter_factor = self._random.uniform(
+            1.0, refusals.MAX_JITTER_FACTOR
         )
         self._view = view_module.View(local_record)
-        self._lead = leadership.Leadership(local_record.incarnation)
+        self._leadership = leadership.Leadership(local_record.incarnation)
         self._follower = follower.Follower(
             clock,
             store,
-            self._beliefs,
+            self._routing_state,
             self._view,
-            self._lead,
+            self._leadership,
             follower.compute_watch_ms(
-                bounds.withdrawn_key_ms * proofs.KEY_AGE_SHARE
+                bounds.withdrawn_key_ms * confirmations.KEY_AGE_SHARE
             ),
             follower.Coordination(
-                lambda: self._membership.is_fed(),
-                lambda: self._membership.shares_outage(),
-                self._feed,
-                lambda: self._membership.has_collector(),
-                lambda: self._membership.may_catch_up(),
-                lambda: self._membership.hand_over(),
+                lambda: self._membership.is_feed_current(),
+                lambda: self._membership.is_collector_cut_off(),
+                self._send_feed,
+                lambda: self._membership.is_follower(),
+                lambda: self._membership.awaits_change_feed(),
+                lambda: self._membership.hand_over_collecting(),
                 self._random.random,
             ),
         )
         held_reservations = reservations.Reservations()
         self._peer_socket = peers.PeerSocket(
-            self._take_news,
+            self._apply_state_update,
             self._follower.apply_change_set,
         )
-        budget = repeats.Repeats(
+        budget = retry_pools.RetryPools(
             clock,
             bounds.retry_ratio,
             bounds.retry_slack,
@@ -332,24 +337,24 @@
         self._membership = membership.MembershipService(
             clock,
             self._view,
-            self._beliefs,
+            self._routing_state,
             held_reservations,
             budget,
             self._peer_socket.send,
             lambda: self._follower.revision,
-            self._send_missed,
+            self._send_missed_changes,
         )
         self._registration = registration.RegistrationService(
             clock,
             self._view,
-            self._lead,
+            self._leadership,
             registry.Registry(store),
             lambda: self._follower.previous_lease,
         )
-        servers = engines.Servers(self._session)
+        servers = engines.ServerClient(self._session)
         self._streams = streams.StreamService(
             clock,
-            self._beliefs,
+            self._routing_state,
             held_reservations,
             servers,
             budget,
@@ -358,37 +363,37 @@
         )
         self._calls = calls.CallService(
             clock,
-            self._beliefs,
+            self._routing_state,
             servers,
             budget,
             settings.failure_domain,
             self._random,
         )
-        self._detector = detection.Detector(
+        self._failure_detector = failure_detection.FailureDetector(
             clock,
-            self._beliefs,
+            self._routing_state,
             self._streams,
             servers,
             self._random,
             self._view.count_entries,
-            self._membership.tell_failures,
+            self._membership.broadcast_failures,
         )
         self._placement = placement.PlacementService(
             clock,
-            self._beliefs,
+            self._routing_state,
             servers,
-            lambda: self._lead.may_act(clock.now()),
+            lambda: self._leadership.may_act(clock.now()),
         )
         self._intake = intake_module.Intake(
             clock,
-            self._beliefs,
+            self._routing_state,
             self._streams,
             self._calls,
             self._metrics,
             bounds.withdrawn_key_ms,
             self._random,
-            lambda: self._view.is_anyone_current(
-                self._intake.key_bound_ms, clock.now()
+            lambda: self._view.has_current_peer(
+                self._intake.max_key_age_ms, clock.now()
             ),
         )
         readings.add_entry_metrics(
@@ -396,9 +401,9 @@
             readings.MetricSources(
                 clock,
                 store,
-                self._beliefs,
+                self._routing_state,
                 self._view,
-                self._lead,
+                self._leadership,
                 held_reservations,
                 budget,
                 self._membership,
@@ -407,20 +412,20 @@
             ),
         )
 
-    def _take_news(self, state_update: messages.News) -> None:
+    def _apply_state_update(self, state_update: messages.StateUpdate) -> None:
         """Apply a peer's state update; reroute streams from its suspects."""
-        self._membership.take_news(state_update)
+        self._membership.apply_update(state_update)
         if state_update.suspects:
-            self._detector.leave_suspects()
+            self._failure_detector.reroute_from_suspects()
 
-    def _feed(self, change_set: follower.ChangeSet) -> int:
+    def _send_feed(self, change_set: follower.ChangeSet) -> int:
         """Send changes to the entries that use this one as collector."""
-        receivers = self._membership.list_fed()
+        receivers = self._membership.list_follower_addresses()
         if receivers and change_set.until > change_set.since:
             self._peer_socket.send_change_set(receivers, change_set)
         return len(receivers)
 
-    def _send_missed(self, address: str, since: int) -> None:
+    def _send_missed_changes(self, address: str, since: int) -> None:
         """Send an entry the changes that it missed, if they are retained."""
         change_set = self._follower.find_changes_since(since)
         if change_set is not None:
@@ -474,33 +479,34 @@
         return 200, body, content_type
 
     async def _register(self) -> None:
-        await self._registration.work()
+        await self._registration.tick()
 
-    async def _work_quickly(self) -> None:
-        self._streams.work()
-        self._calls.work()
-        self._detector.look()
+    async def _tick_quickly(self) -> None:
+        self._streams.tick()
+        self._calls.tick()
+        self._failure_detector.check_idle_streams()
         if self._membership.state is messages.State.STARTING:
             # While all entries start, lookups return no address, so this
             # state is checked at the shorter interval.
             self._update_state()
-        self._membership.tell_failures()
+        self._membership.broadcast_failures()
 
     async def _detect(self) -> None:
-        self._detector.work()
-        self._beliefs.forget_left(self._clock.now())
+        self._failure_detector.tick()
+        self._routing_state.purge_expired(self._clock.now())
 
-    async def _tell_news(self) -> None:
+    async def _send_updates(self) -> None:
         self._update_state()
-        self._membership.work()
+        self._membership.tick()
 
     def _update_state(self) -> None:
         self._membership.update_state(
-            self._beliefs.configuration is not None, self._intake.key_bound_ms
+            self._routing_state.configuration is not None,
+            self._intake.max_key_age_ms,
         )
 
     async def _plan(self) -> None:
-        self._placement.work()
+        self._placement.tick()
 
     async def _log_usage(self) -> None:
         """Log the number of store calls since the start, by kind."""
@@ -508,9 +514,9 @@
             kind.replace('-', '_'): count
             for kind, count in self._store.calls.items()
         }
-        logger.info('store_used', collects=self._view.collects, **calls)
+        logger.info('store_used', collects=self._view.is_collector, **calls)
 
-    def _repeat(
+    def _run_periodically(
         self, interval_ms: int, work: Callable[[], Awaitable[None]]
     ) -> None:
         self._run(_run_forever(interval_ms, work))
--- a/src/thornspool/platform/documents.py
+++ b/src/thornspool/platform/documents.py
@@ -230,7 +230,7 @@
         failure_domain=entry.zone,
         slots=entry.slots,
         draining=entry.state == 'draining',
-        born=entry.born,
+        started_at=entry.born,
         kind=entry.kind,
         layers=layers,
     )
--- a/src/thornspool/platform/engines.py
+++ b/src/thornspool/platform/engines.py
@@ -75,12 +75,12 @@
 _JSON = (('Content-Type', 'application/json'),)
 
 _ENDINGS = {
-    transfers.Ending.WHOLE: ports.Ending.WHOLE,
-    transfers.Ending.NOT_SENT: ports.Ending.NOT_SENT,
-    transfers.Ending.BROKEN: ports.Ending.BROKEN,
-    transfers.Ending.TIMED_OUT: ports.Ending.BROKEN,
-    transfers.Ending.MALFORMED: ports.Ending.BROKEN,
-    transfers.Ending.TOO_LARGE: ports.Ending.BROKEN,
+    transfers.Ending.WHOLE: ports.Completion.COMPLETE,
+    transfers.Ending.NOT_SENT: ports.Completion.NOT_SENT,
+    transfers.Ending.BROKEN: ports.Completion.BROKEN,
+    transfers.Ending.TIMED_OUT: ports.Completion.BROKEN,
+    transfers.Ending.MALFORMED: ports.Completion.BROKEN,
+    transfers.Ending.TOO_LARGE: ports.Completion.BROKEN,
 }
 
 logger = structlog.get_logger(__name__)
@@ -125,7 +125,7 @@
     )
 
 
-class Servers:
+class ServerClient:
     """Engines and plain servers over HTTP.
 
     Each request uses a new connection. This isolates requests from surplus
@@ -142,7 +142,7 @@
         self._session = session
 
     def send(
-        self, run: ports.Run, listener: ports.Listener
+        self, run: ports.Run, listener: ports.ResponseListener
     ) -> Callable[[], None]:
         """Send a request to a server.
 
@@ -150,7 +150,7 @@
         ----------
         run : ports.Run
             The request and its path.
-        listener : ports.Listener
+        listener : ports.ResponseListener
             Receives the response.
 
         Returns
@@ -158,10 +158,10 @@
         callable
             Cancels the request.
         """
-        caller_request = run.inquiry
+        caller_request = run.request
 
         def handle_head(status: int, headers: transfers.Headers) -> None:
-            listener.take_head(
+            listener.handle_head(
                 _decode_head(caller_request.id, status, headers)
             )
 
@@ -175,13 +175,13 @@
         return self._session.start(
             request,
             handle_head,
-            listener.take_body,
-            lambda ending: listener.take_end(_ENDINGS[ending]),
+            listener.handle_body,
+            lambda ending: listener.handle_completion(_ENDINGS[ending]),
         ).cancel
 
-    async def ask_report(
+    async def probe(
         self, server: fleet.Server, wait_ms: int = ports.REPORT_MS
-    ) -> ports.Report | None:
+    ) -> ports.EngineReport | None:
         """Probe an engine for its report.
 
         Parameters
@@ -193,7 +193,7 @@
 
         Returns
         -------
-        ports.Report or None
+        ports.EngineReport or None
             None if no valid report arrives in time.
         """
         request = transfers.Request(
@@ -215,17 +215,18 @@
                 'report_failed', server=server.id, reason=str(error)
             )
             return None
-        return ports.Report(
+        return ports.EngineReport(
             report.sequence,
             report.busy,
             report.pace,
             report.born,
             tuple(
-                ports.Stalled(row.id, row.address) for row in report.stalled
+                ports.StalledRequest(row.id, row.address)
+                for row in report.stalled
             ),
         )
 
-    async def place(
+    async def assign_layers(
         self, server: fleet.Server, layers: fleet.LayerRange, orders: int
     ) -> ports.OrderResult:
         """Order an engine to load a range of layers.
@@ -244,7 +245,7 @@
             },
         )
 
-    async def repath(
+    async def reroute(
         self, request: str, hops: tuple[search.Hop, ...]
     ) -> ports.OrderResult:
         """Order the first engine of an in-flight request to use a new path."""
@@ -298,9 +299,9 @@
 
 
 def _build_headers(run: ports.Run) -> tuple[tuple[str, str], ...]:
-    caller_request = run.inquiry
+    caller_request = run.request
     headers = [('Host', caller_request.host), *caller_request.headers]
-    remaining_ms = max(1, run.left_ms - DEADLINE_MARGIN_MS)
+    remaining_ms = max(1, run.remaining_ms - DEADLINE_MARGIN_MS)
     headers.append(('Deadline-Ms', str(remaining_ms)))
     headers.append(('Expect-Instance', run.server.id))
     if run.workspace:
@@ -315,21 +316,21 @@
 
 def _decode_head(
     request_id: str, status: int, headers: transfers.Headers
-) -> ports.Head:
+) -> ports.ResponseHead:
     values = {name.lower(): value for name, value in headers}
     dropped = _HOP_BY_HOP_HEADERS | _SERVER_RESPONSE_HEADERS
     dropped |= _list_connection_options(headers)
-    return ports.Head(
+    return ports.ResponseHead(
         status=status,
         headers=tuple(
             (name, value)
             for name, value in headers
             if name.lower() not in dropped
         ),
-        ran='not-executed' not in values and status != 421,
+        executed='not-executed' not in values and status != 421,
         fault_address=values.get('at-server', ''),
         load=_decode_load(values.get('engine-load')),
-        genuine='response-seal' in values
+        is_authentic='response-seal' in values
         and values.get('attempt-id', request_id) == request_id,
     )
 
--- a/src/thornspool/platform/exceptions.py
+++ b/src/thornspool/platform/exceptions.py
@@ -25,7 +25,7 @@
     """The call was not sent, or the store rejected it without effect."""
 
 
-class StoreUnanswered(StoreError):
+class StoreOutcomeUnknown(StoreError):
     """No complete response arrived; a write may take effect now or later."""
 
 
@@ -33,7 +33,7 @@
     """The key does not exist."""
 
 
-class HistoryLost(StoreError):
+class HistoryCompacted(StoreError):
     """The store no longer keeps the changes after a revision."""
 
 
@@ -41,5 +41,5 @@
     """A precondition of a write failed; nothing was written."""
 
 
-class LeaseEnded(StoreError):
+class LeaseExpired(StoreError):
     """The lease has expired or does not exist."""
--- a/src/thornspool/platform/follower.py
+++ b/src/thornspool/platform/follower.py
@@ -18,7 +18,9 @@
     from collections.abc import Callable
 
     from thornspool import clock as clock_module
-    from thornspool.application.routing import beliefs as beliefs_module
+    from thornspool.application.routing import (
+        routing_state as routing_state_module,
+    )
     from thornspool.domain.entries import leadership as leadership_module
     from thornspool.domain.entries import view as view_module
 
@@ -166,13 +168,13 @@
     ----------
     receives_feed : callable
         Returns whether a collector keeps this copy current.
-    shares_outage : callable
+    is_collector_cut_off : callable
         Returns whether the collector responds but can't reach the store
         either.
     send_feed : callable
         Sends changes to the entries that this one keeps current; returns
         the number of these entries.
-    has_collector : callable
+    is_follower : callable
         Returns whether another entry is the collector of this one.
     expects_catch_up : callable
         Returns whether the collector is current and will send the changes
@@ -184,9 +186,9 @@
     """
 
     receives_feed: Callable[[], bool] = lambda: False
-    shares_outage: Callable[[], bool] = lambda: False
+    is_collector_cut_off: Callable[[], bool] = lambda: False
     send_feed: Callable[[ChangeSet], int] = lambda change_set: 0
-    has_collector: Callable[[], bool] = lambda: False
+    is_follower: Callable[[], bool] = lambda: False
     expects_catch_up: Callable[[], bool] = lambda: False
     hand_over_collection: Callable[[], None] = lambda: None
     draw_random: Callable[[], float] = lambda: 0.0
@@ -201,7 +203,7 @@
         Source of time.
     store : store_module.Store
         Client of the store.
-    routing_state : beliefs_module.Beliefs
+    routing_state : routing_state_module.RoutingState
         Receives configuration and servers.
     view : view_module.View
         Receives registrations of entries.
@@ -225,7 +227,7 @@
         self,
         clock: clock_module.Clock,
         store: store_module.Store,
-        routing_state: beliefs_module.Beliefs,
+        routing_state: routing_state_module.RoutingState,
         view: view_module.View,
         leadership: leadership_module.Leadership,
         watch_ms: int = MAX_WATCH_MS,
@@ -233,13 +235,13 @@
     ) -> None:
         self._clock = clock
         self._store = store
-        self._beliefs = routing_state
+        self._routing_state = routing_state
         self._view = view
-        self._lead = leadership
+        self._leadership = leadership
         self.revision = 0
         self._must_read_all = True
         self.previous_lease: int | None = None
-        self._known: dict[str, int] = {}
+        self._key_revisions: dict[str, int] = {}
         self._change_sets: collections.deque[ChangeSet] = collections.deque(
             maxlen=MAX_CHANGE_SETS
         )
@@ -267,22 +269,22 @@
                     await self._read_all()
                 else:
                     await self._watch()
-            except exceptions.HistoryLost:
+            except exceptions.HistoryCompacted:
                 logger.warning('history_lost', revision=self.revision)
                 self._must_read_all = True
             except exceptions.StoreError as error:
-                self._note_reachable(False, str(error))
+                self._record_reachable(False, str(error))
                 self._coordination.hand_over_collection()
-                await self._pause()
+                await self._wait_before_retry()
 
     def _should_wait_for_collector(self) -> bool:
         """Return whether the collector's feed may still replace a call."""
         if self._coordination.expects_catch_up():
             return True
-        age = self._beliefs.proof.compute_age(self._clock.now())
-        if age is None or not self._coordination.has_collector():
+        age = self._routing_state.freshness.compute_age(self._clock.now())
+        if age is None or not self._coordination.is_follower():
             return False
-        if self._coordination.shares_outage():
+        if self._coordination.is_collector_cut_off():
             return age < self._outage_max_age_ms
         return age < FEED_WAIT_MS
 
@@ -293,7 +295,7 @@
             minimum + self._coordination.draw_random() * (maximum - minimum)
         )
 
-    async def _pause(self) -> None:
+    async def _wait_before_retry(self) -> None:
         """Wait before the next call after a failure.
 
         The long delay ends together with the shared outage. Otherwise the
@@ -304,13 +306,16 @@
         retry_at = started_at + self._pause_ms
         outage_retry_at = started_at
         self._pause_ms = min(MAX_RETRY_MS, 2 * self._pause_ms)
-        if self._coordination.shares_outage():
+        if self._coordination.is_collector_cut_off():
             outage_retry_at = started_at + self._draw_uniform(
                 OUTAGE_RETRY_RANGE_MS
             )
         while not self._coordination.receives_feed():
             now = self._clock.now()
-            if now < outage_retry_at and self._coordination.shares_outage():
+            if (
+                now < outage_retry_at
+                and self._coordination.is_collector_cut_off()
+            ):
                 remaining_ms = outage_retry_at - now
             else:
                 remaining_ms = retry_at - now
@@ -324,7 +329,7 @@
         snapshot = await self._store.read_all('')
         # Changes from another entry may have been applied meanwhile.
         since = self.revision
-        self._beliefs.note_contact(self._clock.now())
+        self._routing_state.record_store_contact(self._clock.now())
         if self.previous_lease is None:
             self.previous_lease = self._find_previous_lease(snapshot)
         changes = self._compare(snapshot)
@@ -334,12 +339,12 @@
         self._must_read_all = False
         if since:
             self._pass_on(ChangeSet(since, self.revision, changes, exact=True))
-        self._beliefs.proof.renew(sent_at)
-        self._note_reachable(True, '')
+        self._routing_state.freshness.confirm(sent_at)
+        self._record_reachable(True, '')
 
     def _find_previous_lease(self, snapshot: store_module.Changes) -> int:
         """Return the lease of an earlier process of this host; 0 for none."""
-        local_key = registry.ENTRIES_PREFIX + self._view.own.host
+        local_key = registry.ENTRIES_PREFIX + self._view.local.host
         return next(
             (item.lease for item in snapshot.items if item.key == local_key), 0
         )
@@ -355,7 +360,7 @@
         present = {item.key for item in snapshot.items}
         deleted = [
             store_module.Item(key, snapshot.revision, None)
-            for key in self._known
+            for key in self._key_revisions
             if key not in present
         ]
         changed = [
@@ -365,10 +370,10 @@
 
     def _pass_on(self, change_set: ChangeSet) -> None:
         """Retain changes and send them to entries that use this collector."""
-        self._keep(change_set)
+        self._retain(change_set)
         self._sends_feed = self._coordination.send_feed(change_set) > 0
 
-    def _keep(self, change_set: ChangeSet) -> None:
+    def _retain(self, change_set: ChangeSet) -> None:
         if change_set.until > change_set.since:
             self._change_sets.append(change_set)
 
@@ -409,7 +414,7 @@
         sent_at = self._clock.now()
         since = self.revision
         changes = await self._store.watch('', since, self._choose_watch_ms())
-        self._beliefs.note_contact(self._clock.now())
+        self._routing_state.record_store_contact(self._clock.now())
         self._received_feed = False
         for item in changes.items:
             self._apply(item)
@@ -417,8 +422,8 @@
         self._pass_on(ChangeSet(since, changes.revision, changes.items))
         # The response includes every write acknowledged before the call was
         # sent.
-        self._beliefs.proof.renew(sent_at)
-        self._note_reachable(True, '')
+        self._routing_state.freshness.confirm(sent_at)
+        self._record_reachable(True, '')
         self._outage_max_age_ms = self._draw_uniform(OUTAGE_MAX_AGE_RANGE_MS)
         if changes.items:
             await asyncio.sleep(COALESCE_MS / _MS_PER_S)
@@ -428,7 +433,7 @@
 
         A watch returns each version of a key that was written meanwhile.
         """
-        age = self._beliefs.proof.compute_age(self._clock.now())
+        age = self._routing_state.freshness.compute_age(self._clock.now())
         return age is None or age > FULL_READ_AGE_MS
 
     def _choose_watch_ms(self) -> int:
@@ -452,41 +457,41 @@
             return
         if change_set.exact and change_set.since != self.revision:
             return
-        self._beliefs.note_contact(self._clock.now())
+        self._routing_state.record_store_contact(self._clock.now())
         for item in change_set.items:
             self._apply(item)
         if change_set.until > self.revision:
             self.revision = change_set.until
-            self._keep(change_set)
+            self._retain(change_set)
 
     def _apply(self, item: store_module.Item) -> None:
         """Apply a change; a duplicate or an older one has no effect."""
-        if item.revision <= self._known.get(item.key, 0):
+        if item.revision <= self._key_revisions.get(item.key, 0):
             return
         if item.value is None:
-            self._known.pop(item.key, None)
+            self._key_revisions.pop(item.key, None)
             self._remove(item.key)
             return
-        self._known[item.key] = item.revision
-        self._take(item.key, item.value, item.revision)
+        self._key_revisions[item.key] = item.revision
+        self._apply_value(item.key, item.value, item.revision)
 
-    def _take(self, key: str, value: bytes, revision: int) -> None:
+    def _apply_value(self, key: str, value: bytes, revision: int) -> None:
         now = self._clock.now()
         if key == documents.CONFIGURATION_KEY:
             self._apply_configuration(value)
         elif key.startswith(documents.SERVERS_PREFIX):
             server = documents.decode_server(key, value)
             if server is not None:
-                self._beliefs.take_server(server, now)
+                self._routing_state.apply_server(server, now)
             else:
                 name = key.removeprefix(documents.SERVERS_PREFIX)
-                self._beliefs.remove_server(name, now)
+                self._routing_state.remove_server(name, now)
         elif key.startswith(registry.ENTRIES_PREFIX):
             record = registry.decode_record(key, value)
             if record is not None:
-                self._view.take_record(record, now)
+                self._view.apply_record(record, now)
         elif key == registry.LEADER_KEY:
-            self._lead.take_holder(
+            self._leadership.apply_holder(
                 registry.decode_leader(value, revision), now
             )
 
@@ -499,19 +504,19 @@
             # force stays.
             logger.error('configuration_malformed', reason=str(error))
             return
-        self._beliefs.take_configuration(configuration)
+        self._routing_state.apply_configuration(configuration)
 
     def _remove(self, key: str) -> None:
         now = self._clock.now()
         if key.startswith(documents.SERVERS_PREFIX):
             name = key.removeprefix(documents.SERVERS_PREFIX)
-            self._beliefs.remove_server(name, now)
+            self._routing_state.remove_server(name, now)
         elif key.startswith(registry.ENTRIES_PREFIX):
             self._view.remove(key.removeprefix(registry.ENTRIES_PREFIX))
         elif key == registry.LEADER_KEY:
-            self._lead.take_holder(None, now)
+            self._leadership.apply_holder(None, now)
 
-    def _note_reachable(self, reachable: bool, reason: str) -> None:
+    def _record_reachable(self, reachable: bool, reason: str) -> None:
         if reachable is not self._reachable:
             self._reachable = reachable
             if reachable:
--- a/src/thornspool/platform/peers.py
+++ b/src/thornspool/platform/peers.py
@@ -79,7 +79,7 @@
 _DECODER = msgspec.msgpack.Decoder(_StateUpdate | _ChangeSet)
 
 
-def encode_news(state_update: messages.News) -> bytes:
+def encode_state_update(state_update: messages.StateUpdate) -> bytes:
     """Encode a state update as a datagram."""
     return msgspec.msgpack.encode(
         _StateUpdate(
@@ -87,28 +87,28 @@
             state_update.incarnation,
             state_update.state.value,
             state_update.stamp,
-            state_update.heard_stamp,
+            state_update.echoed_stamp,
             state_update.revision,
             state_update.proof_age_ms,
             {
                 server_hash: math.ceil(reserved / RESERVED_UNIT_TOKEN_LAYERS)
-                for server_hash, reserved in state_update.taken.items()
+                for server_hash, reserved in state_update.reserved.items()
             },
             list(state_update.suspects),
             state_update.scope.value,
-            list(state_update.absent),
+            list(state_update.absent_hosts),
             {
                 server_hash: round(slowdown * SLOWDOWN_UNITS)
-                for server_hash, slowdown in state_update.slow.items()
+                for server_hash, slowdown in state_update.slowdowns.items()
             },
             list(state_update.refusing),
             {
                 server_hash: round(count)
-                for server_hash, count in state_update.work.items()
+                for server_hash, count in state_update.request_counts.items()
             },
-            list(state_update.breaking),
-            state_update.moving,
-            state_update.shut_out_ms,
+            list(state_update.failing),
+            state_update.retained_ranges,
+            state_update.rejection_ms,
         )
     )
 
@@ -128,7 +128,9 @@
     )
 
 
-def decode(raw: bytes) -> messages.News | follower.ChangeSet | None:
+def decode_datagram(
+    raw: bytes,
+) -> messages.StateUpdate | follower.ChangeSet | None:
     """Decode a datagram; malformed ones are logged and give None."""
     try:
         message = _DECODER.decode(raw)
@@ -152,9 +154,9 @@
     )
 
 
-def _convert_state_update(message: _StateUpdate) -> messages.News:
+def _convert_state_update(message: _StateUpdate) -> messages.StateUpdate:
     state = messages.State(message.state)
-    return messages.News(
+    return messages.StateUpdate(
         message.host,
         message.incarnation,
         state,
@@ -197,10 +199,10 @@
 
     def __init__(
         self,
-        on_state_update: Callable[[messages.News], None],
+        on_state_update: Callable[[messages.StateUpdate], None],
         on_change_set: Callable[[follower.ChangeSet], None],
     ) -> None:
-        self._take_news = on_state_update
+        self._on_state_update = on_state_update
         self._on_change_set = on_change_set
         self._transport: asyncio.DatagramTransport | None = None
 
@@ -217,9 +219,9 @@
 
     def datagram_received(self, data: bytes, addr: object) -> None:
         """Decode one datagram and call its handler."""
-        message = decode(data)
-        if isinstance(message, messages.News):
-            self._take_news(message)
+        message = decode_datagram(data)
+        if isinstance(message, messages.StateUpdate):
+            self._on_state_update(message)
         elif message is not None:
             self._on_change_set(message)
 
@@ -227,9 +229,9 @@
         """Log that a datagram could not be delivered."""
         logger.debug('datagram_failed', reason=str(exc))
 
-    def send(self, address: str, state_update: messages.News) -> None:
+    def send(self, address: str, state_update: messages.StateUpdate) -> None:
         """Send a state update to ``ip:port``."""
-        raw = encode_news(state_update)
+        raw = encode_state_update(state_update)
         if len(raw) > MAX_DATAGRAM_BYTES:
             logger.warning('news_too_large', bytes=len(raw))
             return
--- a/src/thornspool/platform/readings.py
+++ b/src/thornspool/platform/readings.py
@@ -17,11 +17,13 @@
     from collections.abc import Iterable
 
     from thornspool import clock as clock_module
-    from thornspool.application.routing import beliefs as beliefs_module
     from thornspool.application.routing import intake as intake_module
     from thornspool.application.routing import membership as membership_module
     from thornspool.application.routing import placement as placement_module
-    from thornspool.application.routing import repeats
+    from thornspool.application.routing import retry_pools
+    from thornspool.application.routing import (
+        routing_state as routing_state_module,
+    )
     from thornspool.domain.entries import leadership
     from thornspool.domain.entries import view as view_module
     from thornspool.domain.fleet import messages as fleet
@@ -37,11 +39,11 @@
 
     clock: clock_module.Clock
     store: store.Store
-    routing_state: beliefs_module.Beliefs
+    routing_state: routing_state_module.RoutingState
     view: view_module.View
     leader: leadership.Leadership
     reserved: reservations.Reservations
-    retry_budget: repeats.Repeats
+    retry_budget: retry_pools.RetryPools
     membership: membership_module.MembershipService
     placement: placement_module.PlacementService
     intake: intake_module.Intake
@@ -87,12 +89,12 @@
     metrics.add_counter(
         'thornspool_repeats_refused_total',
         'Repeats that were due and for which the budget had no room.',
-        metrics_module.read_one(lambda: sources.retry_budget.refused),
+        metrics_module.read_one(lambda: sources.retry_budget.refused_count),
     )
     metrics.add_counter(
         'thornspool_orders_total',
         'Orders to engines that this entry gave.',
-        metrics_module.read_one(lambda: sources.placement.given),
+        metrics_module.read_one(lambda: sources.placement.order_count),
     )
 
 
@@ -162,7 +164,7 @@
 
 
 def _read_proof_age(sources: MetricSources) -> list[metrics_module.Reading]:
-    age = sources.routing_state.proof.compute_age(sources.clock.now())
+    age = sources.routing_state.freshness.compute_age(sources.clock.now())
     return [] if age is None else [metrics_module.Reading(age / _MS_PER_S)]
 
 
@@ -181,7 +183,7 @@
 
 
 def _name_state(server: fleet.Server, sources: MetricSources) -> str:
-    if server.id in sources.routing_state.suspects:
+    if server.id in sources.routing_state.suspicions:
         return 'suspected'
     if server.draining:
         return 'draining'
@@ -231,7 +233,7 @@
         held = [
             server.layers for server in engines if server.layers is not None
         ]
-        gaps = orders_module.find_holes(held, model.layers)
+        gaps = orders_module.find_coverage_gaps(held, model.layers)
         return sum(gap.count for gap in gaps)
 
     return _read_groups(sources, count)
@@ -243,12 +245,12 @@
     def measure(model: fleet.Model, engines: Iterable[fleet.Server]) -> float:
         placed = [server for server in engines if server.layers is not None]
         capacity = sum(
-            model.compute_room(server.kind, server.layers.count)
+            model.compute_free_capacity(server.kind, server.layers.count)
             for server in placed
             if server.layers is not None
         )
         reserved = sum(
-            sources.reserved.compute_taken(server.id) for server in placed
+            sources.reserved.compute_reserved(server.id) for server in placed
         )
         return reserved / capacity if capacity > 0 else 0.0
 
--- a/src/thornspool/platform/registry.py
+++ b/src/thornspool/platform/registry.py
@@ -61,7 +61,7 @@
         with _translate_errors():
             await self._store.write({}, [put])
 
-    async def claim_lead(
+    async def claim_leadership(
         self, record: messages.Record, lease: int, revision: int
     ) -> int:
         """Write the leader key if its revision is unchanged.
@@ -72,7 +72,7 @@
         with _translate_errors():
             return await self._store.write({LEADER_KEY: revision}, [put])
 
-    async def release_lead(self, revision: int) -> None:
+    async def release_leadership(self, revision: int) -> None:
         """Delete the leader key if its revision is unchanged."""
         with _translate_errors():
             await self._store.write(
@@ -84,7 +84,7 @@
 def _translate_errors() -> Iterator[None]:
     try:
         yield
-    except exceptions.LeaseEnded as error:
+    except exceptions.LeaseExpired as error:
         raise routing_errors.LeaseLost(str(error)) from error
     except exceptions.ConditionFailed as error:
         raise routing_errors.RegistryConflict(str(error)) from error
--- a/src/thornspool/platform/store.py
+++ b/src/thornspool/platform/store.py
@@ -218,7 +218,7 @@
 
         Raises
         ------
-        exceptions.HistoryLost
+        exceptions.HistoryCompacted
             If the store no longer keeps these changes; the caller must
             read all keys again.
         """
@@ -260,10 +260,10 @@
 
         Raises
         ------
-        exceptions.ConditionFailed, exceptions.LeaseEnded
+        exceptions.ConditionFailed, exceptions.LeaseExpired
             If a precondition failed or a lease has expired; nothing was
             written.
-        exceptions.StoreUnanswered
+        exceptions.StoreOutcomeUnknown
             If no complete response arrived; the write may take effect now
             or later.
         """
@@ -288,7 +288,7 @@
                 'The revision of a key has changed.'
             )
         if response.status == _NOT_FOUND:
-            raise exceptions.LeaseEnded('The lease has expired.')
+            raise exceptions.LeaseExpired('The lease has expired.')
         return _decode_body(response, _WriteResult).revision
 
     async def grant_lease(self, ttl_ms: int) -> Lease:
@@ -301,7 +301,7 @@
         """Renew a lease; raises ``LeaseEnded`` if it has expired."""
         response = await self._call('POST', f'/v1/kv-keep/{lease}', None)
         if response.status == _NOT_FOUND:
-            raise exceptions.LeaseEnded('The lease has expired.')
+            raise exceptions.LeaseExpired('The lease has expired.')
         _raise_for_status(response)
 
     async def _get(
@@ -321,7 +321,7 @@
         )
         response = await self._fetch(request)
         if response.status == _GONE:
-            raise exceptions.HistoryLost(
+            raise exceptions.HistoryCompacted(
                 'The store no longer keeps the changes after this revision.'
             )
         if response.status == _NOT_FOUND:
@@ -354,7 +354,7 @@
             raise exceptions.StoreRefused(str(error)) from error
         except transfer_errors.AnswerLost as error:
             self.failures += 1
-            raise exceptions.StoreUnanswered(str(error)) from error
+            raise exceptions.StoreOutcomeUnknown(str(error)) from error
 
 
 def _extract_call_kind(url: str) -> str:
@@ -370,7 +370,7 @@
         # Only 503 states that the call had no effect. After any other
         # server error a write may have been applied, so its caller must
         # check.
-        raise exceptions.StoreUnanswered(reason)
+        raise exceptions.StoreOutcomeUnknown(reason)
     raise exceptions.StoreRefused(reason)
 
 
@@ -379,7 +379,7 @@
     try:
         return msgspec.json.decode(response.body, type=body_type)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise exceptions.StoreUnanswered(
+        raise exceptions.StoreOutcomeUnknown(
             f'The response of the store is malformed: {error}.'
         ) from error
 
--- a/tests/application/routing/builders.py
+++ b/tests/application/routing/builders.py
@@ -9,12 +9,14 @@
 from tests import builders as common
 from tests.domain.fleet import builders as fleet_builders
 from thornspool import metrics
-from thornspool.application.routing import beliefs
 from thornspool.application.routing import calls
-from thornspool.application.routing import detection
+from thornspool.application.routing import failure_detection
 from thornspool.application.routing import intake
 from thornspool.application.routing import ports
-from thornspool.application.routing import repeats
+from thornspool.application.routing import retry_pools
+from thornspool.application.routing import (
+    routing_state as routing_state_module,
+)
 from thornspool.application.routing import streams
 from thornspool.domain.paths import reservations
 from thornspool.domain.routing import messages as routing
@@ -72,7 +74,7 @@
     return routing.Configuration(**values)
 
 
-def build_inquiry(path='/brief/x', number=1, **changes):
+def build_request(path='/brief/x', number=1, **changes):
     """Build the request of a caller."""
     values = {
         'id': f'request-{number}',
@@ -82,13 +84,13 @@
         'headers': (),
         'body': b'{}',
         'key': 'key-1',
-        'patience_ms': 20_000,
+        'timeout_ms': 20_000,
         'arrived_at': 0,
         'prompt_tokens': 760.0,
-        'answer_tokens': 170.0,
+        'output_tokens': 170.0,
     }
     values.update(changes)
-    return ports.Inquiry(**values)
+    return ports.Request(**values)
 
 
 class FakeReply:
@@ -103,7 +105,7 @@
         self.retry_after_ms = None
         self._on_close = None
 
-    def set_on_close(self, callback):
+    def set_disconnect_callback(self, callback):
         self._on_close = callback
 
     def leave(self):
@@ -128,7 +130,7 @@
     def abort(self):
         self.aborted = True
 
-    def answer(self, status, headers, body):
+    def send(self, status, headers, body):
         self.status = status
         self.body = body
         self.whole = True
@@ -139,31 +141,31 @@
     """A run at a server, whose output the test provides."""
 
     run: ports.Run
-    listener: ports.Listener
+    listener: ports.ResponseListener
     stopped: bool = False
 
-    def begin(self, status=200, ran=True, fault='', genuine=True):
-        self.listener.take_head(
-            ports.Head(status, (), ran, fault, None, genuine)
+    def begin(self, status=200, executed=True, fault='', is_authentic=True):
+        self.listener.handle_head(
+            ports.ResponseHead(status, (), executed, fault, None, is_authentic)
         )
 
     def send(self, first, end):
         """Send complete events with the numbers from `first` to `end` - 1."""
         for number in range(first, end):
-            self.listener.take_body(b'id: %d\ndata: x\n\n' % number)
+            self.listener.handle_body(b'id: %d\ndata: x\n\n' % number)
 
-    def end(self, ending=ports.Ending.WHOLE):
-        self.listener.take_end(ending)
+    def end(self, ending=ports.Completion.COMPLETE):
+        self.listener.handle_completion(ending)
 
     def refuse(self, status=503, fault=''):
         """Answer that the request was not run."""
-        self.begin(status, ran=False, fault=fault)
+        self.begin(status, executed=False, fault=fault)
         self.end()
 
     def answer(self, status=200, body=b'done'):
         """Send a complete answer."""
         self.begin(status)
-        self.listener.take_body(body)
+        self.listener.handle_body(body)
         self.end()
 
 
@@ -173,11 +175,11 @@
     def __init__(self):
         self.runs = []
         self.reports = {}
-        self.asked = []
+        self.probed = []
         self.orders = []
         self.order_results = []
-        self.repaths = []
-        self.repath_result = ports.OrderResult.BEGUN
+        self.reroutes = []
+        self.reroute_result = ports.OrderResult.BEGUN
 
     @property
     def last(self):
@@ -193,19 +195,19 @@
 
         return stop
 
-    async def ask_report(self, server, wait_ms=ports.REPORT_MS):
-        self.asked.append(server.id)
+    async def probe(self, server, wait_ms=ports.REPORT_MS):
+        self.probed.append(server.id)
         return self.reports.get(server.id)
 
-    async def place(self, server, layers, orders):
+    async def assign_layers(self, server, layers, orders):
         self.orders.append((server.id, layers, orders))
         if self.order_results:
             return self.order_results.pop(0)
         return ports.OrderResult.BEGUN
 
-    async def repath(self, request, hops):
-        self.repaths.append((request, hops))
-        return self.repath_result
+    async def reroute(self, request, hops):
+        self.reroutes.append((request, hops))
+        return self.reroute_result
 
 
 class World:
@@ -213,16 +215,16 @@
 
     def __init__(self, slack=100.0):
         self.clock = common.FakeClock()
-        self.beliefs = beliefs.Beliefs()
+        self.routing_state = routing_state_module.RoutingState()
         self.servers = FakeServers()
-        self.taken = reservations.Reservations()
-        self.budget = repeats.Repeats(
+        self.reserved = reservations.Reservations()
+        self.budget = retry_pools.RetryPools(
             self.clock, 0.2, slack, 10_000, lambda: 1
         )
-        common_arguments = (self.clock, self.beliefs)
+        common_arguments = (self.clock, self.routing_state)
         self.streams = streams.StreamService(
             *common_arguments,
-            self.taken,
+            self.reserved,
             self.servers,
             self.budget,
             'a',
@@ -231,7 +233,7 @@
         self.calls = calls.CallService(
             *common_arguments, self.servers, self.budget, 'a', random.Random(1)
         )
-        self.detector = detection.Detector(
+        self.failure_detector = failure_detection.FailureDetector(
             *common_arguments,
             self.streams,
             self.servers,
@@ -249,8 +251,8 @@
             lambda: self.others_serve,
         )
         self.others_serve = False
-        self.beliefs.take_configuration(build_configuration())
-        self.beliefs.proof.renew(0)
+        self.routing_state.apply_configuration(build_configuration())
+        self.routing_state.freshness.confirm(0)
         for failure_domain in ('a', 'b'):
             for number, (first, end) in enumerate(
                 ((0, 27), (27, 54), (54, 80))
@@ -269,13 +271,13 @@
 
     def add(self, server):
         """Add a server to the server list."""
-        self.beliefs.take_server(server, self.clock.now())
+        self.routing_state.apply_server(server, self.clock.now())
 
     def serve(self, path='/brief/x', number=1, **changes):
         """Serve a request and return the reply that its caller receives."""
         reply = FakeReply()
         changes.setdefault('arrived_at', self.clock.now())
-        self.intake.serve(build_inquiry(path, number, **changes), reply)
+        self.intake.serve(build_request(path, number, **changes), reply)
         return reply
 
     def advance(self, milliseconds, step=25, look=False):
@@ -286,9 +288,9 @@
         """
         for _ in range(0, milliseconds, step):
             self.clock.advance(step)
-            self.beliefs.proof.renew(self.clock.now())
-            self.streams.work()
-            self.calls.work()
+            self.routing_state.freshness.confirm(self.clock.now())
+            self.streams.tick()
+            self.calls.tick()
             if look:
-                self.detector.look()
-            self.beliefs.forget_left(self.clock.now())
+                self.failure_detector.check_idle_streams()
+            self.routing_state.purge_expired(self.clock.now())
--- a/tests/application/routing/fleet.py
+++ b/tests/application/routing/fleet.py
@@ -7,9 +7,11 @@
 import attrs
 
 from tests import builders as common
-from thornspool.application.routing import beliefs
 from thornspool.application.routing import membership
-from thornspool.application.routing import repeats
+from thornspool.application.routing import retry_pools
+from thornspool.application.routing import (
+    routing_state as routing_state_module,
+)
 from thornspool.domain.entries import messages
 from thornspool.domain.entries import view as view_module
 from thornspool.domain.paths import reservations
@@ -25,9 +27,9 @@
 
     record: messages.Record
     view: view_module.View
-    beliefs: beliefs.Beliefs
-    taken: reservations.Reservations
-    budget: repeats.Repeats
+    routing_state: routing_state_module.RoutingState
+    reserved: reservations.Reservations
+    budget: retry_pools.RetryPools
     service: membership.MembershipService
     revision: int = 1
     up: bool = True
@@ -43,8 +45,8 @@
         self.members = {}
         self.sent = 0
         self.cut = set()
-        self.shut_out = set()
-        self.turned_away = set()
+        self.store_rejected = set()
+        self.handing_over = set()
         self.resends = False
         self.chooses_states = False
         for domain in 'abcdefgh'[:domains]:
@@ -58,43 +60,43 @@
             host, f'{host}-1', domain, f'{host}:80', f'{host}:90'
         )
         view = view_module.View(record)
-        taken = reservations.Reservations()
-        state = beliefs.Beliefs()
-        budget = repeats.Repeats(
+        reserved = reservations.Reservations()
+        state = routing_state_module.RoutingState()
+        budget = retry_pools.RetryPools(
             self.clock,
             0.2,
             300.0,
             10_000,
             view.count_entries,
         )
-        member = Member(record, view, state, taken, budget, None)
+        member = Member(record, view, state, reserved, budget, None)
         member.service = membership.MembershipService(
             self.clock,
             view,
             state,
-            taken,
+            reserved,
             budget,
             self.deliver,
             lambda: member.revision,
             self.send_missed,
         )
         for other in self.members.values():
-            other.view.take_record(record, self.clock.now())
-            view.take_record(other.record, self.clock.now())
+            other.view.apply_record(record, self.clock.now())
+            view.apply_record(other.record, self.clock.now())
         self.members[host] = member
 
     def settle(self):
         for member in self.members.values():
             member.service.set_state(messages.State.SERVING)
 
-    def deliver(self, address, news):
+    def deliver(self, address, update):
         """Deliver a state update, or drop it."""
         self.sent += 1
         receiver = self.members[address.removesuffix(':90')]
-        if self.cut & {news.host, receiver.record.host}:
+        if self.cut & {update.host, receiver.record.host}:
             return
         if receiver.up and self.source.random() >= self.loss:
-            receiver.service.take_news(news)
+            receiver.service.apply_update(update)
 
     def send_missed(self, address, since):
         """Update the copy of an entry to the newest revision."""
@@ -121,7 +123,7 @@
         """Deliver the datagrams of an entry again."""
         self.cut.discard(host)
 
-    def play(self, milliseconds, prove=True):
+    def play(self, milliseconds, confirm=True):
         """Advance the clock and call the periodic methods.
 
         The store confirms the copies of collectors, except for entries that it
@@ -132,16 +134,16 @@
             for member in self.members.values():
                 if not member.up:
                     continue
-                rejected = self.shut_out | self.turned_away
-                confirmed = prove and member.record.host not in rejected
-                if confirmed and member.view.collects:
-                    member.beliefs.proof.renew(self.clock.now())
-                elif member.record.host in self.turned_away:
-                    member.service.hand_over()
+                rejected = self.store_rejected | self.handing_over
+                confirmed = confirm and member.record.host not in rejected
+                if confirmed and member.view.is_collector:
+                    member.routing_state.freshness.confirm(self.clock.now())
+                elif member.record.host in self.handing_over:
+                    member.service.hand_over_collecting()
                 if self.chooses_states:
                     member.service.update_state(True, FRESHNESS_BOUND_MS)
-                member.service.work()
+                member.service.tick()
 
     def take(self, host, amount):
         """Reserve engine memory for requests of an entry."""
-        self.members[host].taken.own = {ENGINE: amount}
+        self.members[host].reserved.local = {ENGINE: amount}
--- a/tests/application/routing/test_calls.py
+++ b/tests/application/routing/test_calls.py
@@ -26,19 +26,19 @@
             ('fails', lambda run: run.answer(500), 1, 500),
             (
                 'breaks the connection',
-                lambda run: run.end(ports.Ending.BROKEN),
+                lambda run: run.end(ports.Completion.BROKEN),
                 1,
                 502,
             ),
             (
                 'breaks the connection in its response',
-                lambda run: (run.begin(), run.end(ports.Ending.BROKEN)),
+                lambda run: (run.begin(), run.end(ports.Completion.BROKEN)),
                 1,
                 502,
             ),
             (
                 'is not authentic',
-                lambda run: (run.begin(genuine=False), run.end()),
+                lambda run: (run.begin(is_authentic=False), run.end()),
                 1,
                 502,
             ),
@@ -55,7 +55,7 @@
         for simulate in (
             lambda run: run.refuse(),
             lambda run: run.refuse(421),
-            lambda run: run.end(ports.Ending.NOT_SENT),
+            lambda run: run.end(ports.Completion.NOT_SENT),
         ):
             world = builders.World()
             reply = world.serve('/hold/1')
@@ -67,7 +67,7 @@
             self.assertEqual(200, reply.status)
 
     def test_not_retried_when_its_server_is_unresponsive(self):
-        reply = self.world.serve('/hold/1', patience_ms=3_000)
+        reply = self.world.serve('/hold/1', timeout_ms=3_000)
         self.world.advance(2_900)
         self.assertEqual(1, len(self.servers.runs))
         self.assertIsNone(reply.status)
@@ -119,7 +119,7 @@
             self.world.serve('/read/1', number)
             run = self.servers.last
             if run.run.server.id == 'a-90':
-                run.end(ports.Ending.BROKEN)
+                run.end(ports.Completion.BROKEN)
                 self.servers.last.answer()
             else:
                 run.answer()
@@ -159,7 +159,7 @@
 
     def test_entry_without_configuration_is_unavailable(self):
         """An entry that has just started has no routes yet."""
-        self.world.beliefs.configuration = None
+        self.world.routing_state.configuration = None
         reply = self.world.serve()
         self.assertEqual(503, reply.status)
 
@@ -171,16 +171,16 @@
         self.assertEqual(1, len(self.world.servers.runs))
 
     def test_older_configuration_is_ignored(self):
-        self.world.beliefs.take_configuration(
+        self.world.routing_state.apply_configuration(
             builders.build_configuration(version=5)
         )
-        self.world.beliefs.take_configuration(
+        self.world.routing_state.apply_configuration(
             builders.build_configuration(version=4, workspaces={})
         )
-        self.assertEqual(5, self.world.beliefs.configuration.version)
+        self.assertEqual(5, self.world.routing_state.configuration.version)
 
     def test_draining_entry_refuses_new_requests(self):
-        self.world.intake.refuses_new = True
+        self.world.intake.is_draining = True
         reply = self.world.serve()
         self.assertEqual(503, reply.status)
         self.assertIsNotNone(reply.retry_after_ms)
@@ -195,47 +195,49 @@
 
     def test_not_usable_after_a_second(self):
         table = {
-            'draining': lambda beliefs, server: beliefs.take_server(
-                builders.attrs.evolve(server, draining=True), 0
+            'draining': lambda routing_state, server: (
+                routing_state.apply_server(
+                    builders.attrs.evolve(server, draining=True), 0
+                )
             ),
-            'unlisted': lambda beliefs, server: beliefs.remove_server(
-                server.id, 0
+            'unlisted': lambda routing_state, server: (
+                routing_state.remove_server(server.id, 0)
             ),
         }
         for name, simulate in table.items():
             with self.subTest(name):
                 world = builders.World()
-                server = world.beliefs.servers['a-90']
-                simulate(world.beliefs, server)
-                server = world.beliefs.servers['a-90']
-                self.assertTrue(world.beliefs.is_usable(server, 900))
-                self.assertFalse(world.beliefs.is_usable(server, 1_100))
+                server = world.routing_state.servers['a-90']
+                simulate(world.routing_state, server)
+                server = world.routing_state.servers['a-90']
+                self.assertTrue(world.routing_state.is_usable(server, 900))
+                self.assertFalse(world.routing_state.is_usable(server, 1_100))
 
     def test_draining_engine_is_not_usable_at_once(self):
         """Engines are removed one after the other."""
         world = builders.World()
-        engine = world.beliefs.servers['a-0']
-        world.beliefs.take_server(
+        engine = world.routing_state.servers['a-0']
+        world.routing_state.apply_server(
             builders.attrs.evolve(engine, draining=True), 0
         )
-        draining = world.beliefs.servers['a-0']
-        self.assertFalse(world.beliefs.is_usable(draining, 0))
+        draining = world.routing_state.servers['a-0']
+        self.assertFalse(world.routing_state.is_usable(draining, 0))
         for number in range(4):
             world.serve(number=number)
             hops = world.servers.last.run.hops
             self.assertNotIn('a-0', [hop.server.id for hop in hops])
-        removed = world.beliefs.servers['b-0']
-        world.beliefs.remove_server('b-0', 0)
-        self.assertTrue(world.beliefs.is_usable(removed, 900))
+        removed = world.routing_state.servers['b-0']
+        world.routing_state.remove_server('b-0', 0)
+        self.assertTrue(world.routing_state.is_usable(removed, 900))
 
     def test_server_that_is_listed_again_is_usable(self):
         world = builders.World()
-        server = world.beliefs.servers['a-0']
-        world.beliefs.remove_server('a-0', 0)
-        world.beliefs.take_server(server, 500)
-        world.beliefs.forget_left(5_000)
-        self.assertTrue(world.beliefs.is_usable(server, 5_000))
-        self.assertIn('a-0', world.beliefs.servers)
+        server = world.routing_state.servers['a-0']
+        world.routing_state.remove_server('a-0', 0)
+        world.routing_state.apply_server(server, 500)
+        world.routing_state.purge_expired(5_000)
+        self.assertTrue(world.routing_state.is_usable(server, 5_000))
+        self.assertIn('a-0', world.routing_state.servers)
 
 
 class StoreReturnTest(unittest.TestCase):
@@ -248,34 +250,38 @@
 
     def setUp(self):
         self.world = builders.World()
-        self.beliefs = self.world.beliefs
-        self.beliefs.proof.renew(0)
+        self.routing_state = self.world.routing_state
+        self.routing_state.freshness.confirm(0)
         self.return_at = 8_000
-        self.beliefs.note_contact(self.return_at)
-        self.beliefs.proof.renew(self.return_at)
-        self.beliefs.remove_server('a-0', self.return_at)
+        self.routing_state.record_store_contact(self.return_at)
+        self.routing_state.freshness.confirm(self.return_at)
+        self.routing_state.remove_server('a-0', self.return_at)
 
     def test_expired_server_is_usable_until_its_return_is_due(self):
-        server = self.beliefs.servers['a-0']
-        self.beliefs.forget_left(self.return_at + 2_000)
-        self.assertTrue(self.beliefs.is_usable(server, self.return_at + 2_000))
-        self.assertNotIn('a-0', self.beliefs.leaving)
+        server = self.routing_state.servers['a-0']
+        self.routing_state.purge_expired(self.return_at + 2_000)
+        self.assertTrue(
+            self.routing_state.is_usable(server, self.return_at + 2_000)
+        )
+        self.assertNotIn('a-0', self.routing_state.leaving)
 
     def test_server_that_registers_again_stays(self):
-        server = self.beliefs.servers['a-0']
-        self.beliefs.take_server(server, self.return_at + 500)
-        self.beliefs.forget_left(self.return_at + 9_000)
-        self.assertIn('a-0', self.beliefs.servers)
-        self.assertTrue(self.beliefs.is_usable(server, self.return_at + 9_000))
+        server = self.routing_state.servers['a-0']
+        self.routing_state.apply_server(server, self.return_at + 500)
+        self.routing_state.purge_expired(self.return_at + 9_000)
+        self.assertIn('a-0', self.routing_state.servers)
+        self.assertTrue(
+            self.routing_state.is_usable(server, self.return_at + 9_000)
+        )
 
     def test_server_that_stays_missing_is_removed(self):
         """The time to register again is over, so nothing runs there."""
-        self.beliefs.forget_left(self.return_at + 2_300)
-        self.assertNotIn('a-0', self.beliefs.servers)
-        self.assertEqual(set(), self.beliefs.lapsed)
+        self.routing_state.purge_expired(self.return_at + 2_300)
+        self.assertNotIn('a-0', self.routing_state.servers)
+        self.assertEqual(set(), self.routing_state.unlisted_while_settling)
 
     def test_removal_without_an_outage_applies_at_once(self):
-        self.beliefs.proof.renew(20_000)
-        self.beliefs.note_contact(20_500)
-        self.beliefs.remove_server('b-0', 20_500)
-        self.assertIn('b-0', self.beliefs.leaving)
+        self.routing_state.freshness.confirm(20_000)
+        self.routing_state.record_store_contact(20_500)
+        self.routing_state.remove_server('b-0', 20_500)
+        self.assertIn('b-0', self.routing_state.leaving)
--- a/tests/application/routing/test_detection.py
+++ b/tests/application/routing/test_failure_detection.py
@@ -8,9 +8,9 @@
 
 from tests.application.routing import builders
 from tests.domain.fleet import builders as fleet_builders
-from thornspool.application.routing import detection
+from thornspool.application.routing import failure_detection
 from thornspool.application.routing import ports
-from thornspool.domain.paths import silence
+from thornspool.domain.paths import stalls
 
 ALL_EVENTS = b''.join(b'id: %d\ndata: x\n\n' % number for number in range(10))
 
@@ -31,27 +31,33 @@
         self.run.send(0, 3)
         self.first = self.run.run.hops[0].server
         self.middle = self.run.run.hops[1].server
-        for name in self.world.beliefs.servers:
-            self.servers.reports[name] = ports.Report(1, False, 1.0, 1, ())
+        for name in self.world.routing_state.servers:
+            self.servers.reports[name] = ports.EngineReport(
+                1, False, 1.0, 1, ()
+            )
 
     async def pass_time(self, milliseconds):
         for _ in range(0, milliseconds, 100):
             self.world.advance(100, look=True)
-            self.world.detector.work()
+            self.world.failure_detector.tick()
             for _ in range(8):
                 await run_ready_tasks()
 
     def report_stalled_by(self, server):
-        self.servers.reports[self.first.id] = ports.Report(
-            1, False, 1.0, 1, (ports.Stalled('request-1', server.address),)
+        self.servers.reports[self.first.id] = ports.EngineReport(
+            1,
+            False,
+            1.0,
+            1,
+            (ports.StalledRequest('request-1', server.address),),
         )
 
     async def test_first_engine_is_probed_and_stream_resumes(self):
         self.report_stalled_by(self.middle)
         await self.pass_time(700)
         path = [hop.server.id for hop in self.run.run.hops]
-        self.assertEqual(path, self.servers.asked[: len(path)])
-        self.assertIn(self.middle.id, self.world.beliefs.suspects)
+        self.assertEqual(path, self.servers.probed[: len(path)])
+        self.assertIn(self.middle.id, self.world.routing_state.suspicions)
         second = self.servers.last
         self.assertEqual('2', second.run.resume_after)
         self.assertNotIn(
@@ -62,7 +68,7 @@
     async def test_stream_leaves_an_unresponsive_first_engine(self):
         del self.servers.reports[self.first.id]
         await self.pass_time(700)
-        self.assertIn(self.first.id, self.world.beliefs.suspects)
+        self.assertIn(self.first.id, self.world.routing_state.suspicions)
         self.assertIsNot(self.run, self.servers.last)
 
     async def test_stream_runs_at_most_as_often_as_its_route_allows(
@@ -76,22 +82,24 @@
             self.world.add(
                 fleet_builders.build_engine(f'{name}-7', 'large', 27, 54)
             )
-        for name in self.world.beliefs.servers:
-            self.servers.reports[name] = ports.Report(1, False, 1.0, 1, ())
+        for name in self.world.routing_state.servers:
+            self.servers.reports[name] = ports.EngineReport(
+                1, False, 1.0, 1, ()
+            )
         for _ in range(2):
             last = self.servers.last
             first, middle = (hop.server for hop in last.run.hops[:2])
             last.begin()
-            self.servers.reports[first.id] = ports.Report(
+            self.servers.reports[first.id] = ports.EngineReport(
                 1,
                 False,
                 1.0,
                 1,
-                (ports.Stalled('request-1', middle.address),),
+                (ports.StalledRequest('request-1', middle.address),),
             )
             await self.pass_time(900)
         self.assertEqual(2, len(self.servers.runs))
-        self.assertEqual(1, len(self.servers.repaths))
+        self.assertEqual(1, len(self.servers.reroutes))
 
     async def test_stream_without_retries_is_rerouted(self):
         """Guards against a lost stream on a route that allows a single run.
@@ -107,18 +115,20 @@
             f'{first.failure_domain}-7', 'large', 27, 54
         )
         self.world.add(spare)
-        self.servers.reports[spare.id] = ports.Report(1, False, 1.0, 1, ())
-        self.servers.reports[first.id] = ports.Report(
+        self.servers.reports[spare.id] = ports.EngineReport(
+            1, False, 1.0, 1, ()
+        )
+        self.servers.reports[first.id] = ports.EngineReport(
             1,
             False,
             1.0,
             1,
-            (ports.Stalled('request-2', middle.address),),
+            (ports.StalledRequest('request-2', middle.address),),
         )
         await self.pass_time(700)
         (hops,) = (
             hops
-            for request, hops in self.servers.repaths
+            for request, hops in self.servers.reroutes
             if request == 'request-2'
         )
         self.assertEqual(first, hops[0].server)
@@ -133,10 +143,12 @@
             f'{self.first.failure_domain}-7', 'large', 27, 54
         )
         self.world.add(spare)
-        self.servers.reports[spare.id] = ports.Report(1, False, 1.0, 1, ())
+        self.servers.reports[spare.id] = ports.EngineReport(
+            1, False, 1.0, 1, ()
+        )
         self.report_stalled_by(self.middle)
         await self.pass_time(500)
-        ((request, hops),) = self.servers.repaths
+        ((request, hops),) = self.servers.reroutes
         self.assertEqual('request-1', request)
         before = [hop.server.id for hop in self.run.run.hops]
         self.assertEqual(
@@ -157,16 +169,18 @@
                 f'{domain}-{name}', 'large', first, end
             )
             self.world.add(one)
-            self.servers.reports[one.id] = ports.Report(1, False, 1.0, 1, ())
+            self.servers.reports[one.id] = ports.EngineReport(
+                1, False, 1.0, 1, ()
+            )
         last = self.run.run.hops[2].server
         self.world.advance(200)
         for server in (self.middle, last):
-            self.world.beliefs.suspect(server.id, 'no_report', 200)
+            self.world.routing_state.suspect(server.id, 'no_report', 200)
             await self.pass_time(25)
-        self.assertEqual(2, len(self.servers.repaths))
+        self.assertEqual(2, len(self.servers.reroutes))
         self.assertEqual(
             [self.first.id, f'{domain}-7', f'{domain}-8'],
-            [hop.server.id for hop in self.servers.repaths[-1][1]],
+            [hop.server.id for hop in self.servers.reroutes[-1][1]],
         )
         self.assertEqual(1, len(self.servers.runs))
 
@@ -180,11 +194,11 @@
             )
         )
         self.world.advance(500)
-        self.world.beliefs.suspect(middle.id, 'no_report', 500)
+        self.world.routing_state.suspect(middle.id, 'no_report', 500)
         await self.pass_time(100)
         self.assertTrue(second.stopped)
         self.assertNotIn(
-            'request-2', [request for request, _ in self.servers.repaths]
+            'request-2', [request for request, _ in self.servers.reroutes]
         )
 
     async def test_stream_resumes_in_a_new_run_when_rerouting_fails(self):
@@ -193,11 +207,13 @@
             f'{self.first.failure_domain}-7', 'large', 27, 54
         )
         self.world.add(spare)
-        self.servers.reports[spare.id] = ports.Report(1, False, 1.0, 1, ())
-        self.servers.repath_result = ports.OrderResult.CONFLICT
+        self.servers.reports[spare.id] = ports.EngineReport(
+            1, False, 1.0, 1, ()
+        )
+        self.servers.reroute_result = ports.OrderResult.CONFLICT
         self.report_stalled_by(self.middle)
         await self.pass_time(500)
-        self.assertEqual(1, len(self.servers.repaths))
+        self.assertEqual(1, len(self.servers.reroutes))
         self.assertTrue(self.run.stopped)
         self.assertEqual('2', self.servers.last.run.resume_after)
 
@@ -207,16 +223,16 @@
         All engines of one domain are suspected, and one of the other.
         """
         for name in ('b-0', 'b-1', 'b-2'):
-            self.world.beliefs.suspect(name, 'not_reached', 0)
+            self.world.routing_state.suspect(name, 'not_reached', 0)
         self.report_stalled_by(self.middle)
         await self.pass_time(1_900)
-        self.assertIn(self.middle.id, self.world.beliefs.suspects)
+        self.assertIn(self.middle.id, self.world.routing_state.suspicions)
         self.assertFalse(self.reply.aborted)
         self.assertFalse(self.run.stopped)
 
     async def test_started_stream_stays_without_retry_budget(self):
         """Guards against a cut stream when no retry is left."""
-        while self.world.budget.take('drafting', urgent=True):
+        while self.world.budget.acquire('drafting', urgent=True):
             pass
         self.report_stalled_by(self.middle)
         await self.pass_time(1_900)
@@ -227,14 +243,14 @@
         self.assertEqual(ALL_EVENTS, self.reply.body)
 
     async def test_a_slow_engine_is_not_suspected(self):
-        self.servers.reports[self.first.id] = ports.Report(
+        self.servers.reports[self.first.id] = ports.EngineReport(
             1, False, 3.0, 1, ()
         )
         await self.pass_time(900)
-        self.assertEqual({}, self.world.beliefs.suspects)
+        self.assertEqual({}, self.world.routing_state.suspicions)
         self.assertEqual(1, len(self.servers.runs))
         now = self.world.clock.now()
-        factor = self.world.beliefs.paces.get(self.first.id, now)
+        factor = self.world.routing_state.slowdowns.get(self.first.id, now)
         self.assertEqual(3.0, factor)
 
     async def test_requests_avoid_a_slow_engine(self):
@@ -243,48 +259,56 @@
         It answers without errors, so it is never suspected.
         """
         slow = self.middle
-        self.servers.reports[slow.id] = ports.Report(1, False, 24.0, 1, ())
+        self.servers.reports[slow.id] = ports.EngineReport(
+            1, False, 24.0, 1, ()
+        )
         self.world.serve(number=2)
         await self.pass_time(300)
         now = self.world.clock.now()
-        self.assertEqual(24.0, self.world.beliefs.paces.get(slow.id, now))
-        self.assertEqual({}, self.world.beliefs.suspects)
+        self.assertEqual(
+            24.0, self.world.routing_state.slowdowns.get(slow.id, now)
+        )
+        self.assertEqual({}, self.world.routing_state.suspicions)
         for number in range(3, 9):
             self.world.serve(number=number)
             hops = self.servers.last.run.hops
             self.assertNotIn(slow.id, [hop.server.id for hop in hops])
 
     async def test_slow_engine_is_probed_again_and_recovers(self):
-        self.servers.reports[self.middle.id] = ports.Report(
+        self.servers.reports[self.middle.id] = ports.EngineReport(
             1, False, 12.0, 1, ()
         )
         await self.pass_time(300)
         self.run.send(3, 10)
         self.run.end()
-        self.servers.reports[self.middle.id] = ports.Report(
+        self.servers.reports[self.middle.id] = ports.EngineReport(
             1, False, 1.0, 1, ()
         )
         await self.pass_time(3_300)
         now = self.world.clock.now()
         self.assertEqual(
-            1.0, self.world.beliefs.paces.get(self.middle.id, now)
+            1.0, self.world.routing_state.slowdowns.get(self.middle.id, now)
         )
 
     async def test_engines_that_slow_down_together_are_found_together(self):
         """Guards against slow engines that are found one after another."""
         for name in (self.middle.id, 'b-1', 'b-2'):
-            self.servers.reports[name] = ports.Report(1, False, 12.0, 1, ())
+            self.servers.reports[name] = ports.EngineReport(
+                1, False, 12.0, 1, ()
+            )
         await self.pass_time(600)
         now = self.world.clock.now()
         for name in ('b-1', 'b-2'):
-            self.assertEqual(12.0, self.world.beliefs.paces.get(name, now))
-        self.assertLess(len(self.servers.asked), 30)
+            self.assertEqual(
+                12.0, self.world.routing_state.slowdowns.get(name, now)
+            )
+        self.assertLess(len(self.servers.probed), 30)
 
     async def test_crashed_engine_of_a_path_is_found_early(self):
         """Guards against late detection of a crash in the middle of a path."""
         del self.servers.reports[self.middle.id]
         await self.pass_time(300)
-        self.assertIn(self.middle.id, self.world.beliefs.suspects)
+        self.assertIn(self.middle.id, self.world.routing_state.suspicions)
         self.assertEqual('2', self.servers.last.run.resume_after)
 
     async def test_lost_engine_named_in_a_refusal_is_suspected(self):
@@ -296,15 +320,15 @@
         self.world.serve(number=2)
         self.servers.last.refuse(fault=self.middle.address)
         await self.pass_time(100)
-        self.assertIn(self.middle.id, self.world.beliefs.suspects)
+        self.assertIn(self.middle.id, self.world.routing_state.suspicions)
 
     async def test_live_engine_named_in_a_refusal_is_not_suspected(self):
         """Guards against suspicion of an engine that is short of memory."""
         self.world.serve(number=2)
         self.servers.last.refuse(fault=self.middle.address)
         await self.pass_time(100)
-        self.assertIn(self.middle.id, self.servers.asked)
-        self.assertEqual({}, self.world.beliefs.suspects)
+        self.assertIn(self.middle.id, self.servers.probed)
+        self.assertEqual({}, self.world.routing_state.suspicions)
 
     async def test_answer_that_is_read_late_suspects_no_engine(self):
         """Guards against suspicions from answers that are read too late.
@@ -312,16 +336,16 @@
         The event loop is busy, as many streams are retried at once.
         """
         del self.servers.reports[self.first.id]
-        ask_report = self.servers.ask_report
+        ask_report = self.servers.probe
 
         async def answer_late_probe(server, wait_ms=ports.REPORT_MS):
             self.world.clock.advance(wait_ms + 100)
             return await ask_report(server, wait_ms)
 
-        self.servers.ask_report = answer_late_probe
+        self.servers.probe = answer_late_probe
         await self.pass_time(700)
-        self.assertIn(self.first.id, self.servers.asked)
-        self.assertNotIn(self.first.id, self.world.beliefs.suspects)
+        self.assertIn(self.first.id, self.servers.probed)
+        self.assertNotIn(self.first.id, self.world.routing_state.suspicions)
 
     async def test_reported_suspicions_allow_no_extra_run(self):
         """Guards against extra runs after mistaken reports of a peer.
@@ -332,13 +356,13 @@
         self.world.add(third)
         self.servers.reports[third.id] = self.servers.reports[self.first.id]
         for _ in range(2):
-            (flight,) = self.world.streams.flights
+            (in_flight,) = self.world.streams.in_flight_requests
             self.servers.last.begin()
-            self.world.beliefs.suspect(
-                flight.first_server.id,
+            self.world.routing_state.suspect(
+                in_flight.first_server.id,
                 'told_by_one',
                 self.world.clock.now(),
-                told=True,
+                reported=True,
             )
             await self.pass_time(900)
         self.assertEqual(2, len(self.servers.runs))
@@ -348,8 +372,8 @@
         for number in range(2, 40):
             self.world.serve(number=number)
         await self.pass_time(3_000)
-        probes = len(self.servers.asked)
-        engines = len(self.world.beliefs.servers)
+        probes = len(self.servers.probed)
+        engines = len(self.world.routing_state.servers)
         self.assertLess(probes, 12 + 3 * engines + 3 * 6)
 
     async def test_stalled_request_stays_without_retry_budget(self):
@@ -358,30 +382,30 @@
         Nothing has arrived for 1.5 s, and the retry budget is used up.
         """
         reply = self.world.serve(number=2)
-        while self.world.budget.take('drafting'):
+        while self.world.budget.acquire('drafting'):
             pass
         await self.pass_time(2_000)
         self.assertIsNone(reply.status)
         run = next(
             one
             for one in self.servers.runs
-            if one.run.inquiry.id == 'request-2'
+            if one.run.request.id == 'request-2'
         )
         self.assertFalse(run.stopped)
 
     async def test_suspended_host_suspects_no_engine(self):
         """Guards against suspicions after the entry's host was suspended."""
-        self.world.detector.work()
+        self.world.failure_detector.tick()
         self.world.clock.advance(5_000)
-        self.world.detector.work()
+        self.world.failure_detector.tick()
         await run_ready_tasks()
-        self.assertEqual([], self.servers.asked)
-        self.assertEqual({}, self.world.beliefs.suspects)
+        self.assertEqual([], self.servers.probed)
+        self.assertEqual({}, self.world.routing_state.suspicions)
 
     async def test_one_entry_can_not_suspect_the_whole_fleet(self):
-        for name in list(self.world.beliefs.servers):
-            self.world.beliefs.suspect(name, 'not_reached', 0)
-        self.assertLess(len(self.world.beliefs.suspects), 9)
+        for name in list(self.world.routing_state.servers):
+            self.world.routing_state.suspect(name, 'not_reached', 0)
+        self.assertLess(len(self.world.routing_state.suspicions), 9)
 
 
 class SharedStallTest(unittest.IsolatedAsyncioTestCase):
@@ -392,8 +416,10 @@
         self.servers = self.world.servers
         self.replies = [self.world.serve(number=one) for one in range(40)]
         self.runs = list(self.servers.runs)
-        for name in self.world.beliefs.servers:
-            self.servers.reports[name] = ports.Report(1, False, 1.0, 1, ())
+        for name in self.world.routing_state.servers:
+            self.servers.reports[name] = ports.EngineReport(
+                1, False, 1.0, 1, ()
+            )
         for run in self.runs:
             run.begin()
         await self.stream(1_000)
@@ -425,7 +451,7 @@
         del self.servers.reports['a-1']
         began = self.world.clock.now()
         for _ in range(20):
-            if 'a-1' in self.world.beliefs.suspects:
+            if 'a-1' in self.world.routing_state.suspicions:
                 break
             for run in self.runs:
                 if run not in through:
@@ -434,22 +460,22 @@
         await self.pass_time(25)
         self.assertLessEqual(self.world.clock.now() - began, 130)
         self.assertTrue(all(run.stopped for run in through))
-        self.assertEqual(['a-1'], list(self.world.beliefs.suspects))
+        self.assertEqual(['a-1'], list(self.world.routing_state.suspicions))
 
     async def test_slow_engine_is_not_suspected(self):
         """Guards against streams that are rerouted again and again."""
-        self.servers.reports['a-1'] = ports.Report(1, False, 12.0, 1, ())
+        self.servers.reports['a-1'] = ports.EngineReport(1, False, 12.0, 1, ())
         await self.stream(2_000, pause_ms=200)
-        self.assertEqual({}, self.world.beliefs.suspects)
+        self.assertEqual({}, self.world.routing_state.suspicions)
         self.assertEqual(40, len(self.servers.runs))
 
     async def test_no_engine_is_probed_while_streams_progress(self):
         await self.stream(1_000)
-        self.assertEqual([], self.servers.asked)
+        self.assertEqual([], self.servers.probed)
 
     async def test_one_lost_probe_suspects_no_engine(self):
         """Guards against exclusion of a healthy engine after packet loss."""
-        ask_report = self.servers.ask_report
+        ask_report = self.servers.probe
         dropped = set()
 
         async def drop_first(server, wait_ms=ports.REPORT_MS):
@@ -459,17 +485,17 @@
                 return None
             return await ask_report(server, wait_ms)
 
-        self.servers.ask_report = drop_first
+        self.servers.probe = drop_first
         await self.pass_time(100)
         self.assertTrue(dropped)
-        self.assertEqual({}, self.world.beliefs.suspects)
+        self.assertEqual({}, self.world.routing_state.suspicions)
 
     async def test_delayed_check_sends_no_probe(self):
         """Guards against suspicion of all engines by a busy host."""
         self.world.clock.advance(300)
-        self.world.detector.look()
+        self.world.failure_detector.check_idle_streams()
         await run_ready_tasks()
-        self.assertEqual([], self.servers.asked)
+        self.assertEqual([], self.servers.probed)
 
 
 class _StallCase(unittest.IsolatedAsyncioTestCase):
@@ -485,8 +511,10 @@
         self.runs = list(self.servers.runs)
         self.run = self.runs[0]
         self.names = [hop.server.id for hop in self.run.run.hops]
-        for name in self.world.beliefs.servers:
-            self.servers.reports[name] = ports.Report(1, False, 1.0, 1, ())
+        for name in self.world.routing_state.servers:
+            self.servers.reports[name] = ports.EngineReport(
+                1, False, 1.0, 1, ()
+            )
         for run in self.runs:
             self.assertEqual(
                 self.names, [hop.server.id for hop in run.run.hops]
@@ -507,11 +535,11 @@
 class ProbesTest(_StallCase):
     """Streams over the same engines stall, and these are probed together."""
 
-    streams = silence.LEAST_STREAMS
+    streams = stalls.MIN_STALLED_STREAMS
 
     async def test_lost_probe_is_sent_again(self):
         """Guards against exclusion of a healthy engine after packet loss."""
-        ask_report = self.servers.ask_report
+        ask_report = self.servers.probe
         probe_timeouts = []
 
         async def drop_first(server, wait_ms=ports.REPORT_MS):
@@ -522,10 +550,10 @@
                     return None
             return await ask_report(server, wait_ms)
 
-        self.servers.ask_report = drop_first
+        self.servers.probe = drop_first
         await self.pass_time(125)
         self.assertEqual(2, len(probe_timeouts))
-        self.assertEqual({}, self.world.beliefs.suspects)
+        self.assertEqual({}, self.world.routing_state.suspicions)
 
     async def probe_unresponsive(self, unresponsive):
         """Leave probes of some engines unanswered until they time out."""
@@ -536,27 +564,29 @@
                 return None
             return self.servers.reports[server.id]
 
-        self.servers.ask_report = hang
+        self.servers.probe = hang
         await self.pass_time(50)
         await asyncio.sleep(0.2)
 
     async def test_unresponsive_engine_among_live_ones_is_suspected(self):
         await self.probe_unresponsive({self.names[1]})
-        self.assertEqual({self.names[1]}, set(self.world.beliefs.suspects))
+        self.assertEqual(
+            {self.names[1]}, set(self.world.routing_state.suspicions)
+        )
 
     async def test_unanswered_short_probes_allow_no_extra_run(self):
         """Guards against a third run after a busy host missed an answer."""
         first = self.names[0]
         await self.probe_unresponsive({first})
-        self.assertIn(first, self.world.beliefs.suspects)
-        self.assertFalse(self.world.beliefs.is_lost(first))
+        self.assertIn(first, self.world.routing_state.suspicions)
+        self.assertFalse(self.world.routing_state.is_lost(first))
         for run in self.servers.runs[len(self.runs) :]:
-            run.end(ports.Ending.BROKEN)
+            run.end(ports.Completion.BROKEN)
         self.assertEqual(2 * len(self.runs), len(self.servers.runs))
 
     async def test_late_timeout_on_a_busy_host_suspects_no_engine(self):
         """Guards against exclusion of healthy engines by a delayed entry."""
-        ask_report = self.servers.ask_report
+        ask_report = self.servers.probe
 
         async def answer_late(server, wait_ms=ports.REPORT_MS):
             if server.id != self.names[1]:
@@ -565,15 +595,15 @@
             self.world.clock.advance(wait_ms + 10)
             return None
 
-        self.servers.ask_report = answer_late
+        self.servers.probe = answer_late
         await self.pass_time(50)
         await asyncio.sleep(0.2)
-        self.assertEqual({}, self.world.beliefs.suspects)
+        self.assertEqual({}, self.world.routing_state.suspicions)
 
     async def test_isolated_host_suspects_no_engine(self):
         """Guards against exclusion of a path by all for one isolated host."""
         await self.probe_unresponsive(set(self.names))
-        self.assertEqual({}, self.world.beliefs.suspects)
+        self.assertEqual({}, self.world.routing_state.suspicions)
 
 
 class SingleStreamTest(_StallCase):
@@ -584,27 +614,27 @@
         lost = self.names[1]
         del self.servers.reports[lost]
         await self.pass_time(150)
-        self.assertEqual([lost], list(self.world.beliefs.suspects))
+        self.assertEqual([lost], list(self.world.routing_state.suspicions))
         self.assertTrue(self.run.stopped)
         self.assertIsNot(self.run, self.servers.last)
 
     async def test_no_engine_is_probed_while_the_stream_progresses(self):
-        self.assertEqual([], self.servers.asked)
+        self.assertEqual([], self.servers.probed)
 
     async def test_lost_engine_is_announced_at_once(self):
         """Guards against stalls until the next periodic state update."""
         announced = []
-        beliefs = self.world.beliefs
-        detector = detection.Detector(
+        routing_state = self.world.routing_state
+        failure_detector = failure_detection.FailureDetector(
             self.world.clock,
-            beliefs,
+            routing_state,
             self.world.streams,
             self.servers,
             random.Random(1),
             lambda: 1,
-            lambda: announced.append(list(beliefs.fresh_suspects)),
+            lambda: announced.append(list(routing_state.unreported_suspects)),
         )
-        self.world.detector = detector
+        self.world.failure_detector = failure_detector
         lost = self.names[1]
         del self.servers.reports[lost]
         await self.pass_time(150)
@@ -614,12 +644,14 @@
         """Guards against a wait for the entry's own evidence of the loss."""
         self.run.send(20, 21)
         now = self.world.clock.now()
-        self.world.beliefs.suspect(self.names[1], 'told_by_b', now, told=True)
+        self.world.routing_state.suspect(
+            self.names[1], 'told_by_b', now, reported=True
+        )
         self.world.clock.advance(50)
-        self.world.detector.leave_suspects()
+        self.world.failure_detector.reroute_from_suspects()
         self.assertFalse(self.run.stopped)
         self.world.clock.advance(20)
-        self.world.detector.leave_suspects()
+        self.world.failure_detector.reroute_from_suspects()
         self.assertTrue(self.run.stopped)
 
 
--- a/tests/application/routing/test_fuzzing.py
+++ b/tests/application/routing/test_fuzzing.py
@@ -87,7 +87,7 @@
         number = len(self.replies)
         path = self.source.choice(PATHS)
         timeout_ms = self.source.choice((400, 3_000, 20_000))
-        reply = self.world.serve(path, number, patience_ms=timeout_ms)
+        reply = self.world.serve(path, number, timeout_ms=timeout_ms)
         self.replies[f'request-{number}'] = (path, reply)
 
     def complete_run(self):
@@ -103,28 +103,32 @@
         elif outcome == 'moved':
             run.refuse(421, run.run.server.address)
         elif outcome == 'not sent':
-            run.end(ports.Ending.NOT_SENT)
+            run.end(ports.Completion.NOT_SENT)
         else:
-            self.executions[run.run.inquiry.id] += 1
+            self.executions[run.run.request.id] += 1
             self.execute_run(run, outcome)
 
     def execute_run(self, run, outcome):
         """Complete a run whose request the server executes."""
         if outcome == 'lost':
-            run.end(ports.Ending.BROKEN)
+            run.end(ports.Completion.BROKEN)
         elif outcome == 'error':
             run.answer(500, b'failed')
         elif not run.run.hops:
-            run.begin(genuine=outcome != 'forged')
-            run.listener.take_body(b'done'[: 2 if outcome == 'cut' else 4])
+            run.begin(is_authentic=outcome != 'forged')
+            run.listener.handle_body(b'done'[: 2 if outcome == 'cut' else 4])
             broken = outcome == 'cut'
-            run.end(ports.Ending.BROKEN if broken else ports.Ending.WHOLE)
+            run.end(
+                ports.Completion.BROKEN
+                if broken
+                else ports.Completion.COMPLETE
+            )
         else:
             self.stream_events(run, outcome)
 
     def stream_events(self, run, outcome):
         """Send events as an engine, all of them or up to the middle of one."""
-        run.begin(genuine=outcome != 'forged')
+        run.begin(is_authentic=outcome != 'forged')
         first = int(run.run.resume_after or -1) + 1
         if outcome != 'cut':
             run.send(first, EVENT_COUNT)
@@ -133,11 +137,13 @@
         end = self.source.randint(first, EVENT_COUNT)
         run.send(first, end)
         if end < EVENT_COUNT:
-            run.listener.take_body(b'id: %d\nda' % end)
+            run.listener.handle_body(b'id: %d\nda' % end)
         run.end(
-            self.source.choice((ports.Ending.BROKEN, ports.Ending.WHOLE))
+            self.source.choice(
+                (ports.Completion.BROKEN, ports.Completion.COMPLETE)
+            )
             if end < EVENT_COUNT
-            else ports.Ending.BROKEN
+            else ports.Completion.BROKEN
         )
 
     def advance_clock(self):
@@ -158,26 +164,28 @@
 
     def suspect_server(self):
         """Suspect a server."""
-        name = self.source.choice(list(self.world.beliefs.servers))
-        self.world.beliefs.suspect(name, 'not_reached', self.world.clock.now())
+        name = self.source.choice(list(self.world.routing_state.servers))
+        self.world.routing_state.suspect(
+            name, 'not_reached', self.world.clock.now()
+        )
 
     def fail_over_stream(self):
         """Make a stream fail over to another path."""
-        flights = [
-            flight
-            for flight in self.world.streams.flights
-            if flight.stop is not None
+        in_flight_requests = [
+            in_flight
+            for in_flight in self.world.streams.in_flight_requests
+            if in_flight.stop is not None
         ]
-        if flights:
-            flight = self.source.choice(flights)
-            self.world.streams.mend(flight, 'silent')
+        if in_flight_requests:
+            in_flight = self.source.choice(in_flight_requests)
+            self.world.streams.fail_over(in_flight, 'silent')
             for run in self.open_runs:
                 # A run that was not stopped continues and is counted when
                 # it completes.
                 if run.stopped and (
-                    run.run.inquiry is flight.exchange.inquiry
+                    run.run.request is in_flight.exchange.request
                 ):
-                    self.executions[run.run.inquiry.id] += 1
+                    self.executions[run.run.request.id] += 1
 
 
 class FuzzingTest(unittest.TestCase):
@@ -212,6 +220,6 @@
         """Check that no request, reservation or stream is left."""
         world = history.world
         self.assertEqual(0, world.intake.in_flight)
-        self.assertEqual({}, world.taken.own)
-        self.assertEqual(set(), world.streams.flights)
+        self.assertEqual({}, world.reserved.local)
+        self.assertEqual(set(), world.streams.in_flight_requests)
         self.assertEqual(set(), world.calls.calls)
--- a/tests/application/routing/test_membership.py
+++ b/tests/application/routing/test_membership.py
@@ -9,9 +9,9 @@
 from thornspool.application.routing import membership
 from thornspool.domain.entries import collectors
 from thornspool.domain.entries import messages
-from thornspool.domain.fleet import marks
+from thornspool.domain.fleet import server_hashes
 
-ENGINE_HASH = marks.compute_mark(fleet_module.ENGINE)
+ENGINE_HASH = server_hashes.compute_server_hash(fleet_module.ENGINE)
 
 
 class GroupTest(unittest.TestCase):
@@ -27,7 +27,7 @@
         collecting = [
             host
             for host, member in self.members.items()
-            if member.view.collects
+            if member.view.is_collector
         ]
         self.assertEqual(['a-00', 'b-00', 'c-00'], collecting)
 
@@ -62,8 +62,8 @@
             ('c-03', 1_200.0),
         ):
             with self.subTest(host):
-                taken = self.members[host].taken
-                self.assertEqual({ENGINE_HASH: others}, taken.others)
+                reserved = self.members[host].reserved
+                self.assertEqual({ENGINE_HASH: others}, reserved.remote)
 
     def test_one_entry_may_use_the_retries_of_the_others(self):
         """The requests of a failing engine all came through one entry."""
@@ -75,25 +75,27 @@
         retries = 0
         for _ in range(20):
             self.fleet.play(200)
-            while budget.take('drafting', urgent=True):
+            while budget.acquire('drafting', urgent=True):
                 retries += 1
         self.assertGreater(retries, 25)
         self.fleet.play(1_600)
         other = self.members['a-03'].budget
-        reported = other._get_pool('drafting')._others.repeats
+        reported = other._get_pool('drafting')._others.retries
         self.assertEqual(retries, reported)
 
     def test_refusal_is_reported_in_its_domain_at_once(self):
         """An engine has just stopped and is still listed."""
         reporter = self.members['b-07']
-        reporter.beliefs.refusals.note('b-engine', self.fleet.clock.now())
-        reporter.service.tell_failures()
+        reporter.routing_state.refusals.record(
+            'b-engine', self.fleet.clock.now()
+        )
+        reporter.service.broadcast_failures()
         now = self.fleet.clock.now()
         for host in ('b-00', 'b-03', 'a-00', 'c-00'):
-            refusals = self.members[host].beliefs.refusals
+            refusals = self.members[host].routing_state.refusals
             self.assertTrue(refusals.is_refusing('b-engine', now), host)
         sent = self.fleet.sent
-        reporter.service.tell_failures()
+        reporter.service.broadcast_failures()
         self.assertEqual(sent, self.fleet.sent)
 
     def test_broken_runs_at_two_entries_eject_an_engine_for_all(self):
@@ -101,15 +103,15 @@
         now = self.fleet.clock.now()
         for member in self.members.values():
             for number in range(8):
-                member.beliefs.take_server(
+                member.routing_state.apply_server(
                     fleet_builders.build_server(f'b-{number}'), now
                 )
         for host in ('b-07', 'b-03'):
             reporter = self.members[host]
-            reporter.beliefs.note_broken_run('b-5', now)
-            reporter.service.tell_failures()
+            reporter.routing_state.record_broken_run('b-5', now)
+            reporter.service.broadcast_failures()
         for host, member in self.members.items():
-            refusals = member.beliefs.refusals
+            refusals = member.routing_state.refusals
             if host.startswith('b'):
                 self.assertTrue(refusals.is_refusing('b-5', now), host)
             self.assertFalse(refusals.is_refusing('b-4', now), host)
@@ -124,18 +126,18 @@
             with self.subTest(host):
                 addresses = self.list_addresses(host, 'b')
                 self.assertNotIn('b-04:80', addresses)
-                self.assertEqual({}, self.members[host].taken.others)
+                self.assertEqual({}, self.members[host].reserved.remote)
 
     def test_collector_is_replaced_when_it_dies(self):
         self.fleet.take('a-05', 500.0)
         self.fleet.play(1_000)
         self.fleet.kill('a-00')
         self.fleet.play(4_000)
-        self.assertTrue(self.members['a-01'].view.collects)
+        self.assertTrue(self.members['a-01'].view.is_collector)
         for host in ('a-01', 'a-02', 'b-00', 'c-05'):
             with self.subTest(host):
                 member = self.members[host]
-                self.assertEqual({ENGINE_HASH: 500.0}, member.taken.others)
+                self.assertEqual({ENGINE_HASH: 500.0}, member.reserved.remote)
                 addresses = self.list_addresses(host)
                 self.assertNotIn('a-00:80', addresses)
                 self.assertIn('a-07:80', addresses)
@@ -146,8 +148,8 @@
         self.fleet.play(600)
         self.fleet.unregister('b-00')
         self.fleet.play(1_000)
-        self.assertTrue(self.members['b-01'].view.collects)
-        fed = self.members['b-05'].service.is_fed()
+        self.assertTrue(self.members['b-01'].view.is_collector)
+        fed = self.members['b-05'].service.is_feed_current()
         self.assertTrue(fed)
 
     def test_collector_that_was_isolated_lists_its_entries(self):
@@ -198,7 +200,7 @@
         self.fleet.play(2_000)
         sent = self.fleet.sent
         for _ in range(50):
-            self.fleet.play(200, prove=False)
+            self.fleet.play(200, confirm=False)
             self.assertEqual(10, len(self.list_addresses('b-03')))
         for _ in range(20):
             self.fleet.play(200)
@@ -210,7 +212,7 @@
         """An entry reaches neither the store nor the other entries."""
         self.fleet.chooses_states = True
         self.fleet.cut_off('b-04')
-        self.fleet.shut_out.add('b-04')
+        self.fleet.store_rejected.add('b-04')
         self.fleet.play(8_000)
         state = self.members['b-04'].service.state
         self.assertIs(messages.State.STARTING, state)
@@ -254,7 +256,7 @@
         return [
             host
             for host, member in self.members.items()
-            if member.up and not member.service.is_fed()
+            if member.up and not member.service.is_feed_current()
         ]
 
     def test_only_collectors_follow_the_store(self):
@@ -264,7 +266,7 @@
     def test_freshness_reaches_every_entry(self):
         now = self.fleet.clock.now()
         ages = [
-            member.beliefs.proof.compute_age(now)
+            member.routing_state.freshness.compute_age(now)
             for member in self.members.values()
         ]
         self.assertLess(max(ages), 1_000)
@@ -280,7 +282,7 @@
 
     def test_entries_query_the_store_when_the_collector_is_rejected(self):
         """The store rejects the collectors and answers the other entries."""
-        self.fleet.play(2_600, prove=False)
+        self.fleet.play(2_600, confirm=False)
         self.assertEqual(30, len(self.list_not_fed()))
 
     def test_domain_stays_fed_though_the_store_rejects_some_hosts(self):
@@ -288,58 +290,58 @@
 
         They did so when the store rejected their collector.
         """
-        self.fleet.turned_away = {'b-00', 'b-01', 'b-03'}
+        self.fleet.handing_over = {'b-00', 'b-01', 'b-03'}
         for _ in range(45):
             self.fleet.play(200)
             querying = [host for host in self.list_not_fed() if host[0] == 'b']
             self.assertLessEqual(len(querying), 2, querying)
-        self.assertTrue(self.members['b-02'].view.collects)
+        self.assertTrue(self.members['b-02'].view.is_collector)
 
     def test_first_entry_collects_again_after_a_rejection(self):
         """The store rejects the first entry for a short time."""
-        self.fleet.turned_away = {'b-00'}
+        self.fleet.handing_over = {'b-00'}
         self.fleet.play(1_000)
-        self.fleet.turned_away = set()
-        self.assertTrue(self.members['b-01'].view.collects)
-        self.fleet.play(collectors.SHUT_OUT_MS + 1_000)
-        self.assertTrue(self.members['b-00'].view.collects)
+        self.fleet.handing_over = set()
+        self.assertTrue(self.members['b-01'].view.is_collector)
+        self.fleet.play(collectors.REJECTION_MS + 1_000)
+        self.assertTrue(self.members['b-00'].view.is_collector)
         self.assertEqual(['a-00', 'b-00', 'c-00'], self.list_not_fed())
 
     def test_single_entry_of_a_domain_keeps_collecting(self):
         """There is no other entry to hand collecting over to."""
         self.fleet.add('d-00', 'd')
-        self.fleet.turned_away = {'d-00'}
+        self.fleet.handing_over = {'d-00'}
         self.fleet.play(2_000)
-        self.assertTrue(self.members['d-00'].view.collects)
+        self.assertTrue(self.members['d-00'].view.is_collector)
 
     def test_entries_detect_an_outage_that_the_collector_shares(self):
         """The store is down for all."""
         member = self.members['b-05']
-        self.assertFalse(member.service.shares_outage())
-        self.fleet.play(2_600, prove=False)
-        self.assertTrue(member.service.shares_outage())
-        self.assertFalse(self.members['b-00'].service.shares_outage())
+        self.assertFalse(member.service.is_collector_cut_off())
+        self.fleet.play(2_600, confirm=False)
+        self.assertTrue(member.service.is_collector_cut_off())
+        self.assertFalse(self.members['b-00'].service.is_collector_cut_off())
         self.fleet.play(1_000)
-        self.assertFalse(member.service.shares_outage())
-        self.assertTrue(member.service.is_fed())
+        self.assertFalse(member.service.is_collector_cut_off())
+        self.assertTrue(member.service.is_feed_current())
 
     def test_entry_that_the_store_answers_shares_no_outage(self):
         """Guards against waiting for a collector that lags behind."""
         member = self.members['b-05']
-        self.fleet.play(5_000, prove=False)
-        self.assertTrue(member.service.shares_outage())
-        member.beliefs.proof.renew(self.fleet.clock.now())
-        self.assertFalse(member.service.shares_outage())
-        self.fleet.play(400, prove=False)
-        self.assertFalse(member.service.shares_outage())
-        self.assertTrue(self.members['b-06'].service.shares_outage())
+        self.fleet.play(5_000, confirm=False)
+        self.assertTrue(member.service.is_collector_cut_off())
+        member.routing_state.freshness.confirm(self.fleet.clock.now())
+        self.assertFalse(member.service.is_collector_cut_off())
+        self.fleet.play(400, confirm=False)
+        self.assertFalse(member.service.is_collector_cut_off())
+        self.assertTrue(self.members['b-06'].service.is_collector_cut_off())
 
     def test_entry_that_missed_a_change_queries_the_store(self):
         """The datagram with a withdrawn key is lost."""
         for member in self.members.values():
             member.revision = 2
         self.members['a-06'].revision = 1
-        age = self.members['a-06'].beliefs.proof.compute_age
+        age = self.members['a-06'].routing_state.freshness.compute_age
         self.fleet.play(1_000)
         self.assertEqual(['a-00', 'a-06', 'b-00', 'c-00'], self.list_not_fed())
         self.assertGreater(age(self.fleet.clock.now()), 800)
@@ -357,9 +359,9 @@
 
     def test_entries_wait_for_the_collector_after_an_outage(self):
         """Guards against all entries reading all keys as the store returns."""
-        self.fleet.play(6_000, prove=False)
+        self.fleet.play(6_000, confirm=False)
         for member in self.members.values():
-            member.revision = 2 if member.view.collects else 1
+            member.revision = 2 if member.view.is_collector else 1
         self.fleet.resends = True
         querying = set()
         for _ in range(10):
@@ -367,8 +369,8 @@
             querying.update(
                 host
                 for host in self.list_not_fed()
-                if not self.members[host].service.may_catch_up()
-                and not self.members[host].service.shares_outage()
+                if not self.members[host].service.awaits_change_feed()
+                and not self.members[host].service.is_collector_cut_off()
             )
         self.assertEqual({'a-00', 'b-00', 'c-00'}, querying)
 
@@ -379,7 +381,7 @@
         self.members['a-06'].revision = 1
         self.fleet.play(1_400)
         self.assertIn('a-06', self.list_not_fed())
-        self.assertFalse(self.members['a-06'].service.may_catch_up())
+        self.assertFalse(self.members['a-06'].service.awaits_change_feed())
 
     def test_entries_of_a_small_fleet_query_the_store(self):
         small = fleet_module.Fleet(hosts=2)
@@ -387,7 +389,7 @@
         fed = [
             host
             for host, member in small.members.items()
-            if member.service.is_fed()
+            if member.service.is_feed_current()
         ]
         self.assertEqual([], fed)
 
--- a/tests/application/routing/test_placement.py
+++ b/tests/application/routing/test_placement.py
@@ -9,8 +9,10 @@
 
 from tests.application.routing import builders
 from tests.domain.fleet import builders as fleet_builders
-from thornspool.application.routing import beliefs
 from thornspool.application.routing import placement
+from thornspool.application.routing import (
+    routing_state as routing_state_module,
+)
 from thornspool.domain.fleet import messages
 from thornspool.domain.placement import orders as orders_module
 from thornspool.domain.placement import planning
@@ -22,7 +24,7 @@
         self.is_leader = True
         self.service = placement.PlacementService(
             self.world.clock,
-            self.world.beliefs,
+            self.world.routing_state,
             self.world.servers,
             lambda: self.is_leader,
         )
@@ -30,17 +32,17 @@
             self.world.add(
                 fleet_builders.build_engine(f'{domain}-3', 'large', 20, 45)
             )
-        for name in self.world.beliefs.servers:
-            self.world.servers.reports[name] = builders.ports.Report(
+        for name in self.world.routing_state.servers:
+            self.world.servers.reports[name] = builders.ports.EngineReport(
                 0, False, 1.0, 1, ()
             )
 
     def remove(self, name):
         """Remove an engine, as if it had been unlisted some time ago."""
-        self.world.beliefs.servers.pop(name)
+        self.world.routing_state.servers.pop(name)
 
     async def tick(self):
-        self.service.work()
+        self.service.tick()
         for _ in range(4):
             await asyncio.sleep(0)
         return [name for name, _, _ in self.world.servers.orders]
@@ -51,15 +53,15 @@
 
     async def test_dropped_layers_are_announced_before_the_order(self):
         """Guards against requests routed to layers that are being dropped."""
-        moves = self.world.beliefs.moves
-        server = self.world.beliefs.servers['a-3']
+        retained_ranges = self.world.routing_state.retained_ranges
+        server = self.world.routing_state.servers['a-3']
         order = orders_module.Order(
             server, messages.LayerRange(30, 55), 'move'
         )
         self.service._give_order(order, fleet_builders.build_model(), 0)
-        self.assertTrue(moves.has_news)
+        self.assertTrue(retained_ranges.has_unsent)
         self.assertEqual([], self.world.servers.orders)
-        narrowed = moves.narrow(server)
+        narrowed = retained_ranges.narrow(server)
         self.assertEqual(messages.LayerRange(30, 45), narrowed.layers)
         await asyncio.sleep(2 * placement.ANNOUNCE_DELAY_MS / 1_000)
         self.assertEqual(1, len(self.world.servers.orders))
@@ -67,20 +69,20 @@
             attrs.evolve(server, layers=messages.LayerRange(30, 55))
         )
         await self.tick()
-        self.assertEqual({}, moves.own)
+        self.assertEqual({}, retained_ranges.local)
 
     async def test_no_domain_is_steady_while_an_engine_is_slow(self):
         """Guards against layers that are unavailable for seconds.
 
         Slow engines delay the streams after which layers can be dropped.
         """
-        engines = list(self.world.beliefs.servers.values())[:8]
+        engines = list(self.world.routing_state.servers.values())[:8]
         self.service._find_steady_domains(engines, 0)
-        later = planning.STEADY_MS
+        later = planning.STABLE_PERIOD_MS
         self.assertEqual(
             {'a', 'b'}, self.service._find_steady_domains(engines, later)
         )
-        self.world.beliefs.paces.note('a-1', 12.0, later)
+        self.world.routing_state.slowdowns.record_probe('a-1', 12.0, later)
         self.assertEqual(
             set(), self.service._find_steady_domains(engines, later)
         )
@@ -88,20 +90,20 @@
         self.assertEqual(
             set(), self.service._find_steady_domains(engines, now)
         )
-        now += planning.STEADY_MS
+        now += planning.STABLE_PERIOD_MS
         self.assertEqual(
             {'a', 'b'}, self.service._find_steady_domains(engines, now)
         )
 
     async def test_order_that_drops_no_layers_is_sent_at_once(self):
-        server = self.world.beliefs.servers['a-3']
+        server = self.world.routing_state.servers['a-3']
         order = orders_module.Order(
             server, messages.LayerRange(20, 48), 'hole'
         )
         self.service._give_order(order, fleet_builders.build_model(), 0)
         await asyncio.sleep(0.01)
         self.assertEqual(1, len(self.world.servers.orders))
-        self.assertEqual({}, self.world.beliefs.moves.own)
+        self.assertEqual({}, self.world.routing_state.retained_ranges.local)
 
     async def test_other_entries_give_no_orders(self):
         self.is_leader = False
@@ -111,24 +113,24 @@
     async def test_no_orders_from_an_outdated_copy(self):
         """After an outage, the lease is renewed before the local copy is."""
         self.remove('a-1')
-        self.world.clock.advance(beliefs.OUTAGE_MS + 1)
+        self.world.clock.advance(routing_state_module.STORE_OUTAGE_AGE_MS + 1)
         self.assertEqual([], await self.tick())
 
     async def test_after_an_outage_only_empty_engines_get_layers(self):
         self.remove('a-1')
         self.world.clock.advance(8_000)
         now = self.world.clock.now()
-        self.world.beliefs.note_contact(now)
-        self.world.beliefs.proof.renew(now)
+        self.world.routing_state.record_store_contact(now)
+        self.world.routing_state.freshness.confirm(now)
         self.world.add(fleet_builders.build_engine('a-7', 'large'))
         self.assertEqual(['a-7'], await self.tick())
-        self.world.clock.advance(beliefs.RETURN_MS + 1)
-        self.world.beliefs.proof.renew(self.world.clock.now())
+        self.world.clock.advance(routing_state_module.SETTLING_MS + 1)
+        self.world.routing_state.freshness.confirm(self.world.clock.now())
         self.remove('b-1')
         self.assertTrue({'b-2', 'b-3'} & set(await self.tick()))
 
     async def test_new_process_waits_for_the_complete_list(self):
         """All processes are killed while registrations have expired."""
-        self.world.beliefs.first_contact_at = self.world.clock.now()
+        self.world.routing_state.first_contact_at = self.world.clock.now()
         self.remove('a-1')
         self.assertEqual([], await self.tick())
--- a/tests/application/routing/test_streams.py
+++ b/tests/application/routing/test_streams.py
@@ -31,7 +31,7 @@
         self.assertEqual(
             (200, ALL_EVENTS, True), (reply.status, reply.body, reply.whole)
         )
-        self.assertEqual({}, self.world.taken.own)
+        self.assertEqual({}, self.world.reserved.local)
 
     def test_broken_stream_resumes_after_its_last_complete_event(self):
         """Guards against lost or repeated events after an engine crash.
@@ -42,8 +42,8 @@
         first = self.servers.last
         first.begin()
         first.send(0, 4)
-        first.listener.take_body(b'id: 4\nda')
-        first.end(ports.Ending.BROKEN)
+        first.listener.handle_body(b'id: 4\nda')
+        first.end(ports.Completion.BROKEN)
         second = self.servers.last
         self.assertIsNot(first, second)
         self.assertEqual('3', second.run.resume_after)
@@ -59,7 +59,7 @@
         first = self.servers.last
         first.begin()
         first.send(0, 4)
-        first.listener.take_body(b'id: 4\nda')
+        first.listener.handle_body(b'id: 4\nda')
         first.end()
         self.assertFalse(reply.whole)
         self.assertIsNot(first, self.servers.last)
@@ -70,7 +70,7 @@
         run = self.servers.last
         run.begin()
         run.send(0, 4)
-        run.end(ports.Ending.BROKEN)
+        run.end(ports.Completion.BROKEN)
         self.assertEqual(1, len(self.servers.runs))
         self.assertTrue(reply.aborted)
         self.assertFalse(reply.whole)
@@ -82,7 +82,7 @@
         event.
         """
         reply = self.world.serve('/once/x')
-        self.servers.last.end(ports.Ending.BROKEN)
+        self.servers.last.end(ports.Completion.BROKEN)
         self.assertEqual(502, reply.status)
         self.assertEqual(1, len(self.servers.runs))
 
@@ -90,7 +90,7 @@
         """Guards against answers of another process at an engine's address."""
         reply = self.world.serve('/once/x')
         run = self.servers.last
-        run.begin(genuine=False)
+        run.begin(is_authentic=False)
         run.send(0, 10)
         run.end()
         self.assertEqual(502, reply.status)
@@ -130,7 +130,7 @@
         self.servers.last.refuse(503, refusing.address)
         now = self.world.clock.now()
         self.assertFalse(
-            self.world.beliefs.refusals.is_refusing(refusing.id, now)
+            self.world.routing_state.refusals.is_refusing(refusing.id, now)
         )
 
     def test_requests_wait_rather_than_cross_failure_domains(self):
@@ -138,7 +138,7 @@
 
         One engine of each domain refuses requests for a moment.
         """
-        configuration = self.world.beliefs.configuration
+        configuration = self.world.routing_state.configuration
         model = fleet_builders.build_model(
             activation_bytes=59_000.0, pipe_mbps=100.0
         )
@@ -146,12 +146,12 @@
             **configuration.services,
             'drafting': routing.Service('drafting', model),
         }
-        self.world.beliefs.configuration = attrs.evolve(
+        self.world.routing_state.configuration = attrs.evolve(
             configuration, services=services
         )
         now = self.world.clock.now()
         for name in ('a-0', 'b-1'):
-            self.world.beliefs.refusals.note(name, now)
+            self.world.routing_state.refusals.record(name, now)
         for number in range(20):
             self.world.serve(number=number)
         crossed = len(self.servers.runs)
@@ -192,7 +192,7 @@
     def test_request_without_a_path_is_refused_at_once(self):
         """Guards against a wait when no failure domain holds all layers."""
         for number in ('a-1', 'b-1'):
-            del self.world.beliefs.servers[number]
+            del self.world.routing_state.servers[number]
         reply = self.world.serve()
         self.assertEqual(503, reply.status)
         self.assertEqual('not_covered', reply.reason)
@@ -205,11 +205,11 @@
         run.begin()
         reply.leave()
         self.assertTrue(run.stopped)
-        self.assertEqual({}, self.world.taken.own)
+        self.assertEqual({}, self.world.reserved.local)
         self.assertEqual(0, self.world.intake.in_flight)
 
     def test_request_past_its_deadline_is_answered_with_504(self):
-        reply = self.world.serve(patience_ms=1_000)
+        reply = self.world.serve(timeout_ms=1_000)
         self.world.advance(1_100)
         self.assertEqual(504, reply.status)
         self.assertTrue(self.servers.last.stopped)
@@ -223,12 +223,12 @@
         first = self.servers.last
         first.begin()
         first.send(0, 3)
-        flight = next(iter(self.world.streams.flights))
-        self.world.streams.mend(flight, 'silent')
+        in_flight = next(iter(self.world.streams.in_flight_requests))
+        self.world.streams.fail_over(in_flight, 'silent')
         second = self.servers.last
         second.begin()
         first.send(3, 8)
-        first.end(ports.Ending.BROKEN)
+        first.end(ports.Completion.BROKEN)
         second.send(3, 10)
         second.end()
         self.assertEqual(ALL_EVENTS, reply.body)
@@ -242,7 +242,7 @@
         for _ in range(200):
             while handled < len(servers.runs):
                 handled += 1
-                servers.runs[handled - 1].end(ports.Ending.BROKEN)
+                servers.runs[handled - 1].end(ports.Completion.BROKEN)
             self.world.advance(25)
         self.assertTrue(all(one.whole for one in replies))
         self.assertLessEqual(len(servers.runs), 20 + 2 + 0.2 * 20)
@@ -262,9 +262,9 @@
             self.world.serve(number=number)
             for _ in range(3):
                 servers.last.refuse()
-        first.end(ports.Ending.BROKEN)
+        first.end(ports.Completion.BROKEN)
         self.assertFalse(reply.aborted)
-        self.world.advance(streams.QUEUE_MS - 100)
+        self.world.advance(streams.MAX_QUEUE_MS - 100)
         resumed = [one.run.resume_after for one in servers.runs]
         self.assertIn('3', resumed)
 
@@ -272,13 +272,13 @@
         """Guards against a cut stream when no retry is left for a moment."""
         self.world = builders.World(slack=3.0)
         servers = self.world.servers
-        while self.world.budget.take('drafting', urgent=True):
+        while self.world.budget.acquire('drafting', urgent=True):
             pass
         self.world.advance(9_000)
         reply = self.world.serve()
         servers.last.begin()
         servers.last.send(0, 4)
-        servers.last.end(ports.Ending.BROKEN)
+        servers.last.end(ports.Completion.BROKEN)
         self.assertFalse(reply.aborted)
         self.assertEqual(1, len(servers.runs))
         self.world.advance(1_200)
@@ -303,7 +303,7 @@
         self.world.advance(25)
         self.assertEqual(len(replies), len(self.servers.runs))
         late = self.world.serve(number=9_999)
-        self.world.advance(streams.QUEUE_MS + 50)
+        self.world.advance(streams.MAX_QUEUE_MS + 50)
         self.assertEqual(503, late.status)
         self.assertEqual('no_room', late.reason)
 
@@ -312,9 +312,9 @@
 
         Callers with a cached address still connect to it.
         """
-        self.world.streams.set_end(self.world.clock.now() + 5_000)
-        short = self.world.serve(number=1, answer_tokens=50.0)
-        long = self.world.serve(number=2, answer_tokens=4_000.0)
+        self.world.streams.set_shutdown_time(self.world.clock.now() + 5_000)
+        short = self.world.serve(number=1, output_tokens=50.0)
+        long = self.world.serve(number=2, output_tokens=4_000.0)
         self.assertIsNone(short.status)
         self.assertEqual((503, 'draining'), (long.status, long.reason))
         self.assertEqual(1, len(self.servers.runs))
@@ -330,7 +330,7 @@
             run.begin()
             run.end()
         self.world.advance(25)
-        started = [run.run.inquiry.id for run in self.servers.runs[-2:]]
+        started = [run.run.request.id for run in self.servers.runs[-2:]]
         self.assertIn('urgent', started)
         self.assertIsNone(plain.status)
         self.assertIsNone(urgent.status)
@@ -338,10 +338,10 @@
 
 def serve_with_priority(world, priority, name):
     """Serve a request of a workspace with a priority."""
-    configuration = world.beliefs.configuration
+    configuration = world.routing_state.configuration
     workspaces = dict(configuration.workspaces)
     workspaces[name] = builders.routing.Workspace(name, priority)
-    world.beliefs.configuration = attrs.evolve(
+    world.routing_state.configuration = attrs.evolve(
         configuration, workspaces=workspaces
     )
     return world.serve(key=name, id=name)
@@ -368,7 +368,7 @@
                 handled += 1
                 if run.run.server.id in faulty:
                     resets += 1
-                    run.end(ports.Ending.BROKEN)
+                    run.end(ports.Completion.BROKEN)
                 else:
                     run.begin()
                     run.send(0, 10)
@@ -394,35 +394,39 @@
         """Guards against ejection of a whole fleet over one faulty link."""
         self.play({'a-0', 'b-0'}, seconds=2)
         now = self.world.clock.now()
-        self.assertLess(self.world.beliefs.refusals.count_left_out(now), 4)
+        self.assertLess(
+            self.world.routing_state.refusals.count_excluded(now), 4
+        )
 
 
 class SuspicionTest(unittest.TestCase):
     def test_suspicion_ends_when_the_server_restarts(self):
         world = builders.World()
-        world.beliefs.suspect('a-0', 'not_reached', 0)
+        world.routing_state.suspect('a-0', 'not_reached', 0)
         restarted = attrs.evolve(
-            fleet_builders.build_engine('a-0', 'large'), born=2
+            fleet_builders.build_engine('a-0', 'large'), started_at=2
         )
         world.add(restarted)
-        self.assertEqual({}, world.beliefs.suspects)
+        self.assertEqual({}, world.routing_state.suspicions)
 
     def test_lost_engine_is_dropped_with_its_record(self):
         """Guards against requests to it after the suspicion has expired."""
         world = builders.World()
-        world.beliefs.suspect('a-1', 'no_report', 0)
-        world.beliefs.remove_server('a-1', 100)
-        self.assertNotIn('a-1', world.beliefs.servers)
+        world.routing_state.suspect('a-1', 'no_report', 0)
+        world.routing_state.remove_server('a-1', 100)
+        self.assertNotIn('a-1', world.routing_state.servers)
 
     def test_newer_engine_at_an_address_replaces_the_older_one(self):
         """Guards against requests to an engine that a newer one replaced."""
         world = builders.World()
-        old = world.beliefs.servers['a-1']
-        new = attrs.evolve(old, id='a-8', born=old.born + 1, layers=None)
+        old = world.routing_state.servers['a-1']
+        new = attrs.evolve(
+            old, id='a-8', started_at=old.started_at + 1, layers=None
+        )
         world.add(new)
-        self.assertNotIn('a-1', world.beliefs.servers)
+        self.assertNotIn('a-1', world.routing_state.servers)
         world.add(attrs.evolve(old, draining=True))
-        self.assertIn('a-8', world.beliefs.servers)
+        self.assertIn('a-8', world.routing_state.servers)
 
     def test_refusing_engine_is_looked_up_on_the_path(self):
         """Guards against suspicion of the next engine at an address."""
@@ -430,9 +434,9 @@
         world.serve()
         run = world.servers.last
         lost = run.run.hops[1].server
-        world.beliefs.servers['a-8'] = attrs.evolve(
-            lost, id='a-8', born=lost.born + 1
+        world.routing_state.servers['a-8'] = attrs.evolve(
+            lost, id='a-8', started_at=lost.started_at + 1
         )
         run.refuse(421, lost.address)
-        self.assertIn(lost.id, world.beliefs.suspects)
-        self.assertNotIn('a-8', world.beliefs.suspects)
+        self.assertIn(lost.id, world.routing_state.suspicions)
+        self.assertNotIn('a-8', world.routing_state.suspicions)
--- a/tests/domain/fleet/builders.py
+++ b/tests/domain/fleet/builders.py
@@ -48,7 +48,7 @@
         'failure_domain': domain,
         'slots': 96,
         'draining': False,
-        'born': 1,
+        'started_at': 1,
     }
     values.update(changes)
     return messages.Server(**values)
--- a/tests/domain/paths/test_choice.py
+++ b/tests/domain/paths/test_choice.py
@@ -12,7 +12,7 @@
 from thornspool.domain.paths import search
 
 MODEL = builders.build_model()
-NEED = choice.Need(760.0, 160.0)
+NEED = choice.RequestSize(760.0, 160.0)
 RANGES = ((0, 27), (27, 54), (54, 80))
 
 
@@ -23,7 +23,7 @@
         for name, kind in zip('bc', kinds, strict=True)
         for number, (first, end) in enumerate(RANGES)
     ]
-    return choice.Situation(
+    return choice.FleetSnapshot(
         MODEL,
         tuple(engines),
         frozenset(),
@@ -47,7 +47,7 @@
             )
             # No memory is reserved: that would spread the streams too, but
             # later than the prefill backlog.
-            reserved.begin_reading(path.hops, NEED.prompt_tokens)
+            reserved.begin_prefill(path.hops, NEED.prompt_tokens)
             counts[path.hops[0].server.failure_domain] += 1
         return counts
 
@@ -63,8 +63,8 @@
     def test_prefilled_prompts_leave_the_backlog(self):
         reserved = reservations.Reservations()
         path = choice.choose_path(build_situation(reserved), NEED)
-        reserved.begin_reading(path.hops, 760.0)
-        reserved.end_reading(path.hops, 760.0)
+        reserved.begin_prefill(path.hops, 760.0)
+        reserved.end_prefill(path.hops, 760.0)
         self.assertEqual({}, reserved.prefill_backlog)
 
 
@@ -81,7 +81,7 @@
     def repair(self, lost, *others, seed=1):
         """Repair the path in domain a; return the hops of the new path."""
         reserved = reservations.Reservations()
-        situation = choice.Situation(
+        fleet_snapshot = choice.FleetSnapshot(
             MODEL,
             tuple(
                 one for one in (*self.engines, *others) if one.id not in lost
@@ -96,7 +96,7 @@
             search.Hop(one, one.layers.first, one.layers.end)
             for one in self.engines[:3]
         ]
-        found = choice.choose_repair(situation, NEED, hops, lost)
+        found = choice.choose_repair(fleet_snapshot, NEED, hops, lost)
         return found and [(hop.server.id, hop.first, hop.end) for hop in found]
 
     def test_remaining_engines_retain_their_layers(self):
--- a/tests/domain/paths/test_search.py
+++ b/tests/domain/paths/test_search.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies
 
 from tests.domain.fleet import builders
-from thornspool.domain.fleet import marks
+from thornspool.domain.fleet import server_hashes
 from thornspool.domain.paths import bounds
 from thornspool.domain.paths import choice
 from thornspool.domain.paths import reservations
@@ -145,10 +145,10 @@
                 f'{domain}-{number}', kind, first * 20, end * 20
             )
             engines.append(engine)
-            capacity = MODEL.compute_room(kind, engine.layers.count)
-            reserved.own[engine.id] = share * capacity
+            capacity = MODEL.compute_free_capacity(kind, engine.layers.count)
+            reserved.local[engine.id] = share * capacity
             reserved.request_counts[engine.id] = 1
-        unbounded = choice.Situation(
+        unbounded = choice.FleetSnapshot(
             MODEL,
             tuple(engines),
             frozenset(),
@@ -160,10 +160,10 @@
         bounded = attrs.evolve(
             unbounded, bounds=bounds.compute_bounds(MODEL, engines)
         )
-        need = choice.Need(prompt, 170)
+        request_size = choice.RequestSize(prompt, 170)
         self.assertEqual(
-            choice.choose_path(unbounded, need),
-            choice.choose_path(bounded, need),
+            choice.choose_path(unbounded, request_size),
+            choice.choose_path(bounded, request_size),
         )
 
     def test_only_the_local_domain_is_searched_while_none_is_cheaper(self):
@@ -176,7 +176,7 @@
             for part in range(4)
         )
         draws = []
-        situation = choice.Situation(
+        fleet_snapshot = choice.FleetSnapshot(
             MODEL,
             engines,
             frozenset(),
@@ -186,14 +186,16 @@
             lambda: draws.append(1) or 0.5,
             bounds=bounds.compute_bounds(MODEL, engines),
         )
-        found = choice.choose_path(situation, choice.Need(760, 170))
+        found = choice.choose_path(
+            fleet_snapshot, choice.RequestSize(760, 170)
+        )
         self.assertEqual('c', found.hops[0].server.failure_domain)
         self.assertEqual(4, len(draws))
 
 
 class ChoiceTest(unittest.TestCase):
     def build_situation(self, engines, reserved=None, draining=(), domain='a'):
-        return choice.Situation(
+        return choice.FleetSnapshot(
             MODEL,
             tuple(engines),
             frozenset(draining),
@@ -215,7 +217,8 @@
 
     def test_prefers_a_path_within_the_local_domain(self):
         found = choice.choose_path(
-            self.build_situation(self.build_replicas()), choice.Need(760, 170)
+            self.build_situation(self.build_replicas()),
+            choice.RequestSize(760, 170),
         )
         self.assertEqual(
             ['a-1', 'a-2', 'a-3'], [hop.server.id for hop in found.hops]
@@ -225,7 +228,7 @@
         """An engine of the local domain is lost."""
         engines = [one for one in self.build_replicas() if one.id != 'a-2']
         found = choice.choose_path(
-            self.build_situation(engines), choice.Need(760, 170)
+            self.build_situation(engines), choice.RequestSize(760, 170)
         )
         self.assertEqual(
             ['b-1', 'b-2', 'b-3'], [hop.server.id for hop in found.hops]
@@ -238,7 +241,7 @@
             if one.id not in {'a-2', 'b-3'}
         ]
         found = choice.choose_path(
-            self.build_situation(engines), choice.Need(760, 170)
+            self.build_situation(engines), choice.RequestSize(760, 170)
         )
         self.assertEqual(
             ['b-1', 'b-2', 'a-3'], [hop.server.id for hop in found.hops]
@@ -248,27 +251,31 @@
         """An engine is full, or no engine holds some layer."""
         engines = self.build_replicas()[:3]
         reserved = reservations.Reservations()
-        server_hash = marks.compute_mark('a-2')
-        reserved.others = {server_hash: 1e9}
-        need = choice.Need(760, 170)
+        server_hash = server_hashes.compute_server_hash('a-2')
+        reserved.remote = {server_hash: 1e9}
+        request_size = choice.RequestSize(760, 170)
         self.assertIs(
-            choice.Lack.NO_ROOM,
-            choice.choose_path(self.build_situation(engines, reserved), need),
+            choice.NoPathReason.NO_CAPACITY,
+            choice.choose_path(
+                self.build_situation(engines, reserved), request_size
+            ),
         )
         self.assertIs(
-            choice.Lack.NOT_COVERED,
-            choice.choose_path(self.build_situation(engines[:2]), need),
+            choice.NoPathReason.NOT_COVERED,
+            choice.choose_path(
+                self.build_situation(engines[:2]), request_size
+            ),
         )
 
     def test_uses_a_draining_engine_only_if_there_is_no_other(self):
         engines = self.build_replicas()
-        need = choice.Need(760, 170)
+        request_size = choice.RequestSize(760, 170)
         found = choice.choose_path(
-            self.build_situation(engines, draining={'a-1'}), need
+            self.build_situation(engines, draining={'a-1'}), request_size
         )
         self.assertNotIn('a-1', [hop.server.id for hop in found.hops])
         found = choice.choose_path(
-            self.build_situation(engines[:3], draining={'a-1'}), need
+            self.build_situation(engines[:3], draining={'a-1'}), request_size
         )
         self.assertIn('a-1', [hop.server.id for hop in found.hops])
 
@@ -276,20 +283,24 @@
         """Requests arrive, and none ends, until no path has free capacity."""
         engines = self.build_replicas()
         reserved = reservations.Reservations()
-        need = choice.Need(760, 170)
-        situation = self.build_situation(engines, reserved)
+        request_size = choice.RequestSize(760, 170)
+        fleet_snapshot = self.build_situation(engines, reserved)
         admitted = 0
         while True:
-            found = choice.choose_path(situation, need)
-            if isinstance(found, choice.Lack):
+            found = choice.choose_path(fleet_snapshot, request_size)
+            if isinstance(found, choice.NoPathReason):
                 break
-            reserved.take(found.hops, need.tokens)
+            reserved.reserve(found.hops, request_size.tokens)
             admitted += 1
-        self.assertIs(choice.Lack.NO_ROOM, found)
+        self.assertIs(choice.NoPathReason.NO_CAPACITY, found)
         self.assertGreater(admitted, 100)
         for engine in engines:
-            capacity = MODEL.compute_room(engine.kind, engine.layers.count)
-            self.assertLessEqual(reserved.compute_taken(engine.id), capacity)
+            capacity = MODEL.compute_free_capacity(
+                engine.kind, engine.layers.count
+            )
+            self.assertLessEqual(
+                reserved.compute_reserved(engine.id), capacity
+            )
 
 
 class MemoryWeightTest(unittest.TestCase):
@@ -307,20 +318,22 @@
             builders.build_engine('a-5', 'large', 44, 80),
         ]
         reserved = reservations.Reservations()
-        need = choice.Need(760, 170)
-        capacity = MODEL.compute_room('medium', 8)
-        while reserved.compute_taken('a-1') < 0.55 * capacity:
-            reserved.take([search.Hop(engines[0], 0, 8)], need.tokens)
-        situation = choice.Situation(
+        request_size = choice.RequestSize(760, 170)
+        capacity = MODEL.compute_free_capacity('medium', 8)
+        while reserved.compute_reserved('a-1') < 0.55 * capacity:
+            reserved.reserve(
+                [search.Hop(engines[0], 0, 8)], request_size.tokens
+            )
+        fleet_snapshot = choice.FleetSnapshot(
             MODEL, tuple(engines), frozenset(), reserved, {}, 'a', lambda: 0.5
         )
         first_engines = []
         for _ in range(12):
-            found = choice.choose_path(situation, need)
-            reserved.take(found.hops, need.tokens)
+            found = choice.choose_path(fleet_snapshot, request_size)
+            reserved.reserve(found.hops, request_size.tokens)
             first_engines.append(found.hops[0].server.id)
         self.assertLess(first_engines.count('a-1'), 6)
-        share = reserved.compute_taken('a-1') / capacity
+        share = reserved.compute_reserved('a-1') / capacity
         self.assertLess(share, 0.75)
 
     def test_reserved_memory_hardly_matters_below_half_of_the_capacity(self):
@@ -333,17 +346,17 @@
     def test_releases_what_was_reserved(self):
         reserved = reservations.Reservations()
         hop = search.Hop(builders.build_engine('a-1', 'small', 0, 8), 0, 8)
-        reserved.take([hop], 100.0)
-        reserved.take([hop], 50.0)
-        reserved.free([hop], 100.0)
-        self.assertEqual(400.0, reserved.compute_taken('a-1'))
-        reserved.free([hop], 50.0)
-        self.assertEqual({}, reserved.own)
+        reserved.reserve([hop], 100.0)
+        reserved.reserve([hop], 50.0)
+        reserved.release([hop], 100.0)
+        self.assertEqual(400.0, reserved.compute_reserved('a-1'))
+        reserved.release([hop], 50.0)
+        self.assertEqual({}, reserved.local)
 
     def test_includes_the_reservations_of_others(self):
         reserved = reservations.Reservations()
-        server_hash = marks.compute_mark('a-1')
-        reserved.others = {server_hash: 13.0}
-        self.assertEqual(13.0, reserved.compute_taken('a-1'))
-        reserved.others = {}
-        self.assertEqual(0.0, reserved.compute_taken('a-1'))
+        server_hash = server_hashes.compute_server_hash('a-1')
+        reserved.remote = {server_hash: 13.0}
+        self.assertEqual(13.0, reserved.compute_reserved('a-1'))
+        reserved.remote = {}
+        self.assertEqual(0.0, reserved.compute_reserved('a-1'))
--- a/tests/domain/placement/test_planning.py
+++ b/tests/domain/placement/test_planning.py
@@ -20,7 +20,7 @@
 
 def list_gaps(engines):
     held = [one.layers for one in engines if one.layers is not None]
-    return orders_module.find_holes(held, MODEL.layers)
+    return orders_module.find_coverage_gaps(held, MODEL.layers)
 
 
 def apply_orders(engines, orders):
@@ -52,7 +52,9 @@
     def test_every_engine_has_memory_for_requests(self):
         for domain in builders.DOMAINS:
             for engine in place_layers(domain):
-                capacity = MODEL.compute_room(engine.kind, engine.layers.count)
+                capacity = MODEL.compute_free_capacity(
+                    engine.kind, engine.layers.count
+                )
                 requests = capacity / engine.layers.count / 946
                 self.assertGreaterEqual(requests, layout.MIN_CAPACITY_REQUESTS)
 
@@ -159,9 +161,11 @@
                     order.server.layers.count
                     - orders_module.Holding(
                         order.server, order.layers
-                    ).sure.count
+                    ).retained.count
                     for order in orders
-                    if orders_module.Holding(order.server, order.layers).sure
+                    if orders_module.Holding(
+                        order.server, order.layers
+                    ).retained
                 )
             )
         self.assertLess(sum(unloaded) / len(unloaded), 6)
@@ -247,7 +251,7 @@
     pending = {order.server.id: order.layers for order in orders}
     result = []
     for one in engines:
-        retained = orders_module.Holding(one, pending.get(one.id)).sure
+        retained = orders_module.Holding(one, pending.get(one.id)).retained
         result.append(attrs.evolve(one, layers=retained))
     return result
 
@@ -330,7 +334,9 @@
             layout.TARGET_CONCURRENT_REQUESTS,
         )
         for engine in builders.build_domain('a'):
-            capacity = MODEL.compute_room(engine.kind, layer_counts[engine.id])
+            capacity = MODEL.compute_free_capacity(
+                engine.kind, layer_counts[engine.id]
+            )
             requests = capacity / layer_counts[engine.id] / 946
             self.assertGreaterEqual(
                 requests, layout.TARGET_CONCURRENT_REQUESTS
@@ -363,5 +369,5 @@
                 messages.LayerRange(6, 8),
                 messages.LayerRange(9, 10),
             ],
-            orders_module.find_holes(ranges, 10),
+            orders_module.find_coverage_gaps(ranges, 10),
         )
--- a/tests/domain/retries/test_pools.py
+++ b/tests/domain/retries/test_pools.py
@@ -14,72 +14,72 @@
     def test_no_window_exceeds_the_retry_limit(self):
         """A service fails every request for several seconds."""
         source = random.Random(5)
-        pool = pools.RepeatPool(0.2, 10.0, 1_000)
+        pool = pools.RetryPool(0.2, 10.0, 1_000)
         requests, retries = [], []
         for now in range(0, 6_000, 3):
             if source.random() < 0.3:
                 pool.record_request(now)
                 requests.append(now)
-            if pool.take_repeat(now):
+            if pool.acquire(now):
                 retries.append(now)
             counted = [at for at in requests if at > now - 1_000]
             acquired = [at for at in retries if at > now - 1_000]
             self.assertLessEqual(len(acquired), 10.0 + 0.2 * len(counted) + 12)
 
     def test_retries_leave_the_sliding_window(self):
-        pool = pools.RepeatPool(0.0, 2.0, 1_000)
-        self.assertTrue(pool.take_repeat(0))
-        self.assertTrue(pool.take_repeat(10))
-        self.assertFalse(pool.take_repeat(999))
-        self.assertTrue(pool.take_repeat(1_000))
+        pool = pools.RetryPool(0.0, 2.0, 1_000)
+        self.assertTrue(pool.acquire(0))
+        self.assertTrue(pool.acquire(10))
+        self.assertFalse(pool.acquire(999))
+        self.assertTrue(pool.acquire(1_000))
 
     def test_the_slack_is_divided_between_all_entries(self):
-        pool = pools.RepeatPool(0.0, 20.0, 1_000, entries=10)
-        acquired = sum(pool.take_repeat(now) for now in range(50))
+        pool = pools.RetryPool(0.0, 20.0, 1_000, entries=10)
+        acquired = sum(pool.acquire(now) for now in range(50))
         self.assertEqual(2, acquired)
 
     def test_an_outdated_report_is_ignored(self):
         """The collector fails, and no further reports arrive."""
-        pool = pools.RepeatPool(0.0, 20.0, 10_000, entries=10)
-        pool.take_others(pools.Work(0.0, 0.0), 0)
+        pool = pools.RetryPool(0.0, 20.0, 10_000, entries=10)
+        pool.apply_others(pools.RequestCounts(0.0, 0.0), 0)
         late = pools.REPORT_VALID_MS + 1
-        acquired = sum(pool.take_repeat(late + now) for now in range(5_000))
+        acquired = sum(pool.acquire(late + now) for now in range(5_000))
         self.assertEqual(2, acquired)
 
 
 class OutageTest(unittest.TestCase):
     def test_the_requests_of_the_previous_window_count(self):
         """For 10 s, the store is unavailable and few requests are served."""
-        pool = pools.RepeatPool(0.2, 0.0, 10_000)
+        pool = pools.RetryPool(0.2, 0.0, 10_000)
         acquired = 0
         for now in range(0, 21_000, 100):
             if now < 10_000:
                 pool.record_request(now)
-            pool.take_others(pools.Work(0.0, 0.0), now)
-            if now >= 14_000 and pool.take_repeat(now):
+            pool.apply_others(pools.RequestCounts(0.0, 0.0), now)
+            if now >= 14_000 and pool.acquire(now):
                 acquired += 1
         self.assertGreaterEqual(acquired, 18)
         self.assertLessEqual(acquired, 20)
 
     def test_requests_of_earlier_windows_do_not_count(self):
-        pool = pools.RepeatPool(0.2, 0.0, 10_000)
+        pool = pools.RetryPool(0.2, 0.0, 10_000)
         for now in range(0, 31_000, 100):
             if now < 10_000:
                 pool.record_request(now)
-            pool.take_others(pools.Work(0.0, 0.0), now)
-        self.assertFalse(pool.take_repeat(31_000))
+            pool.apply_others(pools.RequestCounts(0.0, 0.0), now)
+        self.assertFalse(pool.acquire(31_000))
 
 
 class RestartTest(unittest.TestCase):
     def test_the_retries_of_killed_entries_still_count(self):
         """Half of all entries are killed and restart without their counts."""
-        pool = pools.RepeatPool(0.0, 100.0, 10_000, entries=2)
-        pool.take_others(pools.Work(0.0, 99.0), 0)
-        pool.take_others(pools.Work(0.0, 0.0), 400)
-        self.assertFalse(pool.take_repeat(500))
+        pool = pools.RetryPool(0.0, 100.0, 10_000, entries=2)
+        pool.apply_others(pools.RequestCounts(0.0, 99.0), 0)
+        pool.apply_others(pools.RequestCounts(0.0, 0.0), 400)
+        self.assertFalse(pool.acquire(500))
         late = pools.PEAK_RETENTION_MS + 400
-        pool.take_others(pools.Work(0.0, 0.0), late)
-        self.assertTrue(pool.take_repeat(late))
+        pool.apply_others(pools.RequestCounts(0.0, 0.0), late)
+        self.assertTrue(pool.acquire(late))
 
 
 class SharedTest(unittest.TestCase):
@@ -99,10 +99,10 @@
         """
         source = random.Random(7)
         fleet = [
-            pools.RepeatPool(0.2, 250.0, 10_000, entries, number)
+            pools.RetryPool(0.2, 250.0, 10_000, entries, number)
             for number in range(entries)
         ]
-        reports = [(0, [pools.Work(0, 0)] * entries)]
+        reports = [(0, [pools.RequestCounts(0, 0)] * entries)]
         acquired, requests = [], []
         for now in range(0, seconds * 1_000, 20):
             for number, pool in enumerate(fleet):
@@ -110,7 +110,7 @@
                     pool.record_request(now)
                     requests.append(now)
                 if source.random() < demand(number, now):
-                    acquired += [now] * pool.take_repeat(now)
+                    acquired += [now] * pool.acquire(now)
             if now % 400 == 0:
                 counts = [pool.count(now) for pool in fleet]
                 reports.append((now, counts))
@@ -118,10 +118,10 @@
                 latest = (known or [reports[0][1]])[-1]
                 for number, pool in enumerate(fleet):
                     rest = latest[:number] + latest[number + 1 :]
-                    pool.take_others(
-                        pools.Work(
+                    pool.apply_others(
+                        pools.RequestCounts(
                             sum(one.requests for one in rest),
-                            sum(one.repeats for one in rest),
+                            sum(one.retries for one in rest),
                         ),
                         now,
                     )
@@ -160,12 +160,12 @@
         found = []
         for remaining in (10, 30, 60):
             fleet = [
-                pools.RepeatPool(0.0, 100.0, 10_000, 88, number)
+                pools.RetryPool(0.0, 100.0, 10_000, 88, number)
                 for number in range(88)
             ]
             for pool in fleet:
-                pool.take_others(pools.Work(0, 100 - remaining), 0)
-            acquired = sum(pool.take_repeat(0) for pool in fleet)
+                pool.apply_others(pools.RequestCounts(0, 100 - remaining), 0)
+            acquired = sum(pool.acquire(0) for pool in fleet)
             self.assertLessEqual(abs(acquired - remaining), 15)
             found.append(acquired)
         self.assertEqual(sorted(found), found)
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -135,8 +135,8 @@
         self.assertEqual(7, read.version)
         route = read.find_route(kv_fleet.HOST, '/hold/a/b')
         self.assertIs(routing.Kind.NON_IDEMPOTENT, route.kind)
-        self.assertFalse(route.repeatable)
-        self.assertTrue(read.find_route(kv_fleet.HOST, '/brief/').repeatable)
+        self.assertFalse(route.retryable)
+        self.assertTrue(read.find_route(kv_fleet.HOST, '/brief/').retryable)
         self.assertIsNone(read.find_route(kv_fleet.HOST, '/brie'))
         self.assertEqual('north', read.workspaces[kv_fleet.KEY].name)
         self.assertEqual(
@@ -203,16 +203,16 @@
         )
         self.assertEqual('desk.example', read.host)
         self.assertEqual(('/x/y?z=1', '/x/y'), (read.target, read.path))
-        self.assertEqual(('k', 2500), (read.key, read.patience_ms))
+        self.assertEqual(('k', 2500), (read.key, read.timeout_ms))
         self.assertEqual(
-            (1460.0, 80.0), (read.prompt_tokens, read.answer_tokens)
+            (1460.0, 80.0), (read.prompt_tokens, read.output_tokens)
         )
 
     def test_malformed_headers_are_treated_as_missing(self):
         read = self.decode(
             Host='h', Deadline_Ms='soon', Token_Usage='x', Length_Hint='-'
         )
-        self.assertEqual(callers.DEFAULT_TIMEOUT_MS, read.patience_ms)
+        self.assertEqual(callers.DEFAULT_TIMEOUT_MS, read.timeout_ms)
         self.assertEqual(0.0, read.prompt_tokens)
 
     def test_headers_that_the_router_sets_are_not_forwarded(self):
@@ -240,7 +240,7 @@
             fleet_builders.build_engine('a-1', 'small', 0, 8), 0, 8
         )
         run = ports.Run(
-            routing_builders.build_inquiry(headers=(('X-Kept', '2'),)),
+            routing_builders.build_request(headers=(('X-Kept', '2'),)),
             hop.server,
             (hop,),
             1_000,
@@ -271,7 +271,9 @@
         for status, headers, ran, genuine in table:
             with self.subTest(status=status, headers=headers):
                 head = engines._decode_head('r', status, headers)
-                self.assertEqual((ran, genuine), (head.ran, head.genuine))
+                self.assertEqual(
+                    (ran, genuine), (head.executed, head.is_authentic)
+                )
 
     def test_decodes_the_load_header(self):
         self.assertEqual(ports.Load(3, 0, 8), engines._decode_load('3,0,8'))
@@ -281,7 +283,7 @@
 
 class DatagramTest(unittest.TestCase):
     def test_state_updates_survive_encoding(self):
-        state_update = entries.News(
+        state_update = entries.StateUpdate(
             'h',
             'h-1',
             entries.State.SERVING,
@@ -298,7 +300,8 @@
             {80: 12.0},
         )
         self.assertEqual(
-            state_update, peers.decode(peers.encode_news(state_update))
+            state_update,
+            peers.decode_datagram(peers.encode_state_update(state_update)),
         )
 
     def test_change_sets_survive_encoding(self):
@@ -308,14 +311,15 @@
             (store.Item('k/1', 8, b'\xff'), store.Item('k/2', 9, None)),
         )
         self.assertEqual(
-            change_set, peers.decode(peers.encode_change_set(change_set))
+            change_set,
+            peers.decode_datagram(peers.encode_change_set(change_set)),
         )
 
     def test_malformed_datagrams_are_ignored(self):
         table = (b'', b'\x00', b'\xff' * 9, b'\x93\x01\x02\x03')
         for raw in (*table, b'\x94\x01\x01\x02\xc4\x01x'):
             with self.subTest(raw):
-                self.assertIsNone(peers.decode(raw))
+                self.assertIsNone(peers.decode_datagram(raw))
 
 
 class RegistryKeysTest(unittest.TestCase):
