--- a/tests/platform/test_following.py
+++ b/tests/platform/test_following.py
@@ -13,9 +13,11 @@
 from tests import builders
 from thornspool import clock as clock_module
 from thornspool.adapters import transfers
-from thornspool.application.routing import beliefs
 from thornspool.application.routing import exceptions as routing_errors
 from thornspool.application.routing import registration
+from thornspool.application.routing import (
+    routing_state as routing_state_module,
+)
 from thornspool.domain.entries import leadership
 from thornspool.domain.entries import messages
 from thornspool.domain.entries import view as view_module
@@ -73,12 +75,12 @@
         self.assertEqual({}, self.state.items)
 
     async def test_errors_map_to_their_exceptions(self):
-        with self.assertRaises(exceptions.LeaseEnded):
+        with self.assertRaises(exceptions.LeaseExpired):
             await self.store.renew_lease(5)
-        with self.assertRaises(exceptions.LeaseEnded):
+        with self.assertRaises(exceptions.LeaseExpired):
             await self.store.write({}, [store_module.Put('k', b'', 5)])
         self.state.drop_history()
-        with self.assertRaises(exceptions.HistoryLost):
+        with self.assertRaises(exceptions.HistoryCompacted):
             await self.store.watch('', 0, 20)
         self.state.mode = 'busy'
         with self.assertRaises(exceptions.StoreRefused):
@@ -90,14 +92,14 @@
         first = self.put('k/1', 0)
         for number in range(2_100):
             self.put('k/1', number)
-        with self.assertRaises(exceptions.HistoryLost):
+        with self.assertRaises(exceptions.HistoryCompacted):
             await self.store.watch('k/', first, 20)
 
     async def test_a_call_without_a_response_times_out(self):
         """The store accepts the connection of a host but never responds."""
         self.state.mode = 'silent'
         began = asyncio.get_running_loop().time()
-        with self.assertRaises(exceptions.StoreUnanswered):
+        with self.assertRaises(exceptions.StoreOutcomeUnknown):
             await self.store.watch('', 1, 100)
         took = asyncio.get_running_loop().time() - began
         self.assertLess(took, 1.5)
@@ -106,7 +108,7 @@
 class FollowerTest(_WithStore):
     async def asyncSetUp(self):
         await super().asyncSetUp()
-        self.routing_state = beliefs.Beliefs()
+        self.routing_state = routing_state_module.RoutingState()
         self.view = view_module.View(LOCAL_RECORD)
         self.leadership = leadership.Leadership(LOCAL_RECORD.incarnation)
         self.follower = follower.Follower(
@@ -155,10 +157,10 @@
         now = clock_module.Clock().now
         self.state.mode = 'busy'
         await asyncio.sleep(2.2)
-        self.assertFalse(self.routing_state.proof.is_within(1_500, now()))
+        self.assertFalse(self.routing_state.freshness.is_within(1_500, now()))
         self.state.mode = 'up'
         await self.wait(
-            lambda: self.routing_state.proof.is_within(500, now()), 2.0
+            lambda: self.routing_state.freshness.is_within(500, now()), 2.0
         )
 
     async def test_registrations_and_the_leader_are_followed(self):
@@ -168,7 +170,7 @@
             self.leadership,
             registry.Registry(self.store),
         )
-        await service.work()
+        await service.tick()
         self.assertTrue(self.leadership.may_act(clock_module.Clock().now()))
         self.assertIn('thornspool/entries/one', self.state.items)
         self.put(
@@ -176,12 +178,12 @@
             {'host': 'two', 'incarnation': 'two-1', 'peers': 'two:90'},
         )
         await self.wait(lambda: 'two' in self.view.peers)
-        await service.step_down()
+        await service.release_leadership()
         self.assertNotIn('thornspool/lead', self.state.items)
         self.assertIn('thornspool/entries/one', self.state.items)
-        service.leave()
+        service.stop_renewing()
         calls = self.store.calls['kv-keep']
-        await service.work()
+        await service.tick()
         self.assertEqual(calls, self.store.calls['kv-keep'])
         for lease in list(self.state.leases):
             self.state.end_lease(lease)
@@ -194,7 +196,7 @@
     async def asyncSetUp(self):
         await super().asyncSetUp()
         self.clock = builders.FakeClock()
-        self.routing_state = beliefs.Beliefs()
+        self.routing_state = routing_state_module.RoutingState()
         self.receives_feed = True
         self.sent_change_sets = []
         self.follower = follower.Follower(
@@ -290,7 +292,7 @@
             leadership.Leadership(LOCAL_RECORD.incarnation),
             coordination=follower.Coordination(
                 receives_feed=lambda: self.receives_feed,
-                shares_outage=lambda: True,
+                is_collector_cut_off=lambda: True,
             ),
         )
         self.receives_feed = False
@@ -312,10 +314,12 @@
         restarted = follower.Follower(
             clock_module.Clock(),
             self.store,
-            beliefs.Beliefs(),
+            routing_state_module.RoutingState(),
             view_module.View(LOCAL_RECORD),
             leadership.Leadership(LOCAL_RECORD.incarnation),
-            coordination=follower.Coordination(shares_outage=lambda: shared),
+            coordination=follower.Coordination(
+                is_collector_cut_off=lambda: shared
+            ),
         )
         self.state.mode = 'busy'
         self.running = asyncio.create_task(restarted.run())
@@ -343,7 +347,7 @@
         """Guards against entries that start together and each watch thrice."""
         await self.restart(
             receives_feed=lambda: self.receives_feed,
-            has_collector=lambda: True,
+            is_follower=lambda: True,
         )
         self.receives_feed = False
         self.put('op/config', kv_fleet.build_configuration(4))
@@ -359,7 +363,7 @@
         Each entry called the store as soon as its collector failed to.
         """
         await self.restart(
-            shares_outage=lambda: True, has_collector=lambda: True
+            is_collector_cut_off=lambda: True, is_follower=lambda: True
         )
         calls = self.store.calls.total()
         await asyncio.sleep(2.5)
@@ -522,11 +526,11 @@
     async def register(self, record, lease):
         self._call('register')
 
-    async def claim_lead(self, record, lease, revision):
+    async def claim_leadership(self, record, lease, revision):
         self._call('claim')
         return 5
 
-    async def release_lead(self, revision):
+    async def release_leadership(self, revision):
         self._call('release')
 
 
@@ -539,40 +543,40 @@
         self.service = registration.RegistrationService(
             self.clock, self.view, self.leadership, self.registry
         )
-        await self.service.work()
+        await self.service.tick()
         self.registry.calls.clear()
 
     def let_another_lead(self):
         """Make another entry, which is responsive, the leader."""
         now = self.clock.now()
         record = messages.Record('two', 'two-1', 'a', 'two:80', 'two:90')
-        self.view.take_record(record, now)
-        self.view.peers['two'].heard_at = now
-        self.leadership.take_holder(leadership.Holder('two', 'two-1', 5), now)
+        self.view.apply_record(record, now)
+        self.view.peers['two'].last_update_at = now
+        self.leadership.apply_holder(leadership.Holder('two', 'two-1', 5), now)
 
     async def test_an_expired_lease_is_replaced(self):
         """The store was unavailable until the leases expired."""
         self.clock.advance(leadership.RENEW_MS)
         self.let_another_lead()
         self.registry.error = routing_errors.LeaseLost('gone')
-        await self.service.work()
+        await self.service.tick()
         self.assertFalse(self.leadership.may_act(self.clock.now()))
-        await self.service.work()
+        await self.service.tick()
         self.assertEqual(['renew', 'open', 'register'], self.registry.calls)
 
     async def test_leadership_is_claimed_again_after_its_lease_expired(self):
         """The leader was partitioned from the store until the expiry."""
-        self.clock.advance(leadership.LEAD_RENEW_MS)
+        self.clock.advance(leadership.LEADER_RENEW_MS)
         self.registry.error = routing_errors.LeaseLost('gone')
-        await self.service.work()
+        await self.service.tick()
         self.assertEqual(['renew', 'open', 'claim'], self.registry.calls)
         self.assertTrue(self.leadership.may_act(self.clock.now()))
 
     async def test_renewing_the_registration_does_not_extend_leadership(self):
         """Guards against orders of a leader whose lease has expired."""
         self.clock.advance(leadership.RENEW_MS)
-        self.service._lead_lease = None
-        await self.service.work()
+        self.service._leadership_lease = None
+        await self.service.tick()
         self.assertEqual(['renew'], self.registry.calls)
         self.assertFalse(self.leadership.may_act(self.clock.now()))
 
@@ -580,22 +584,22 @@
         self,
     ):
         """Guards against a leadership that no entry renews or can claim."""
-        self.leadership.take_holder(None, self.clock.now())
-        claim = self.registry.claim_lead
+        self.leadership.apply_holder(None, self.clock.now())
+        claim = self.registry.claim_leadership
 
         async def lose_response(record, lease, revision):
             await claim(record, lease, revision)
             raise routing_errors.RegistryUnavailable('no response')
 
-        self.registry.claim_lead = lose_response
-        await self.service.work()
+        self.registry.claim_leadership = lose_response
+        await self.service.tick()
         holder = leadership.Holder(
             LOCAL_RECORD.host, LOCAL_RECORD.incarnation, 5
         )
-        self.leadership.take_holder(holder, self.clock.now())
+        self.leadership.apply_holder(holder, self.clock.now())
         self.registry.calls.clear()
-        self.clock.advance(leadership.LEAD_RENEW_MS)
-        await self.service.work()
+        self.clock.advance(leadership.LEADER_RENEW_MS)
+        await self.service.tick()
         self.assertEqual(['renew'], self.registry.calls)
         self.assertTrue(self.leadership.may_act(self.clock.now()))
 
@@ -603,11 +607,11 @@
         self.clock.advance(leadership.RENEW_MS)
         self.let_another_lead()
         self.registry.error = routing_errors.RegistryUnavailable('busy')
-        await self.service.work()
-        await self.service.work()
+        await self.service.tick()
+        await self.service.tick()
         self.assertEqual(['renew'], self.registry.calls)
-        self.clock.advance(registration.RETRY_MS)
-        await self.service.work()
+        self.clock.advance(registration.INITIAL_BACKOFF_MS)
+        await self.service.tick()
         self.assertEqual(['renew', 'renew'], self.registry.calls)
 
     async def test_the_retry_delay_grows_while_the_registry_is_unavailable(
@@ -619,7 +623,7 @@
         calls = []
         for _ in range(60):
             self.registry.error = routing_errors.RegistryUnavailable('busy')
-            await self.service.work()
+            await self.service.tick()
             self.clock.advance(200)
             calls.append(len(self.registry.calls))
         self.assertLessEqual(calls[-1], 6)
@@ -628,7 +632,7 @@
     def restart(self, previous_lease):
         """Start another process that finds the lease of an earlier one."""
         self.leadership = leadership.Leadership('one-2')
-        self.leadership.take_holder(
+        self.leadership.apply_holder(
             leadership.Holder('two', 'two-1', 5), self.clock.now()
         )
         self.let_another_lead()
@@ -643,19 +647,19 @@
     async def test_a_restarted_entry_reuses_its_lease(self):
         """All hosts restart simultaneously, and each store call costs."""
         self.restart(9)
-        await self.service.work()
+        await self.service.tick()
         self.assertEqual(['renew', 'register'], self.registry.calls)
 
     async def test_an_expired_previous_lease_is_replaced(self):
         """The host was unreachable for longer than its lease."""
         self.restart(9)
         self.registry.error = routing_errors.LeaseLost('gone')
-        await self.service.work()
+        await self.service.tick()
         self.assertEqual(['renew', 'open', 'register'], self.registry.calls)
 
     async def test_no_lease_is_opened_before_the_previous_lease_is_known(self):
         self.restart(None)
-        await self.service.work()
+        await self.service.tick()
         self.assertEqual([], self.registry.calls)
 
     async def test_the_leader_renews_more_often(self):
@@ -663,40 +667,42 @@
         holder = leadership.Holder(
             LOCAL_RECORD.host, LOCAL_RECORD.incarnation, 5
         )
-        self.leadership.take_holder(holder, self.clock.now())
+        self.leadership.apply_holder(holder, self.clock.now())
         for _ in range(10):
-            self.clock.advance(leadership.LEAD_RENEW_MS)
-            await self.service.work()
+            self.clock.advance(leadership.LEADER_RENEW_MS)
+            await self.service.tick()
             self.assertTrue(self.leadership.may_act(self.clock.now()))
-        renewals = 10 + 10 * leadership.LEAD_RENEW_MS // leadership.RENEW_MS
+        renewals = 10 + 10 * leadership.LEADER_RENEW_MS // leadership.RENEW_MS
         self.assertEqual(['renew'] * renewals, self.registry.calls)
 
     async def test_an_entry_may_act_as_soon_as_it_is_leader(self):
         """The lease of its registration was renewed seconds before."""
         self.clock.advance(leadership.RENEW_MS - 1)
-        self.leadership.take_holder(None, self.clock.now())
+        self.leadership.apply_holder(None, self.clock.now())
         self.clock.advance(1_000)
-        self.leadership.renewed_at = self.clock.now() - leadership.ACT_MS - 1
-        await self.service.work()
+        self.leadership.renewed_at = (
+            self.clock.now() - leadership.ACTION_WINDOW_MS - 1
+        )
+        await self.service.tick()
         self.assertTrue(self.leadership.may_act(self.clock.now()))
 
     async def test_no_lease_is_renewed_before_it_is_due(self):
         self.clock.advance(100)
-        await self.service.work()
+        await self.service.tick()
         self.assertEqual([], self.registry.calls)
 
     async def test_a_leaving_entry_does_not_claim_leadership(self):
-        self.service.leave()
+        self.service.stop_renewing()
         self.clock.advance(5_000)
-        await self.service.work()
+        await self.service.tick()
         self.assertEqual([], self.registry.calls)
 
     async def test_a_draining_entry_stays_registered(self):
         """A host is stopped while its streams continue for seconds."""
-        await self.service.step_down()
+        await self.service.release_leadership()
         self.assertFalse(self.leadership.may_act(self.clock.now()))
         self.clock.advance(leadership.RENEW_MS)
-        await self.service.work()
+        await self.service.tick()
         self.assertEqual(['release', 'renew'], self.registry.calls)
 
 
--- a/tests/player/callers.py
+++ b/tests/simulation/callers.py
@@ -9,9 +9,9 @@
 import attrs
 
 from tests.application.routing import builders
-from tests.player import engines
-from tests.player import loops
-from tests.player import world as world_module
+from tests.simulation import engines
+from tests.simulation import loops
+from tests.simulation import world as world_module
 
 CALLER_LATENCY_MS = 3
 """One-way latency between a caller and an entry."""
@@ -36,7 +36,7 @@
         Runs that engines refused.
     refused_retries : int
         Retries that the retry budgets refused.
-    repaths : int
+    reroutes : int
         Running requests that were moved to another path.
     """
 
@@ -45,7 +45,7 @@
     sent: int = 0
     refused_runs: int = 0
     refused_retries: int = 0
-    repaths: int = 0
+    reroutes: int = 0
 
     @property
     def total(self):
@@ -99,16 +99,16 @@
     hint = answer if source.random() < 0.5 else workload.answer
     for attempt in range(2):
         key = f'{number}-{attempt}'
-        world.engines.answer_tokens[key] = answer
+        world.engines.output_tokens[key] = answer
         await loops.sleep_ms(CALLER_LATENCY_MS)
         reply = _TimedReply(world.clock, began_at)
         entry.intake.serve(
-            builders.build_inquiry(
+            builders.build_request(
                 '/brief/x',
                 id=key,
                 arrived_at=world.clock.now(),
                 prompt_tokens=prompt,
-                answer_tokens=hint,
+                output_tokens=hint,
             ),
             reply,
         )
@@ -163,10 +163,10 @@
             _simulate(world, results, seed, seconds, fault)
         )
         results.sent = world.engines.sent
-        results.repaths = world.engines.repaths
+        results.reroutes = world.engines.reroutes
         results.refused_runs = world.engines.refused
         results.refused_retries = sum(
-            one.budget.refused for one in world.entries.values()
+            one.budget.refused_count for one in world.entries.values()
         )
     return results
 
--- a/tests/player/engines.py
+++ b/tests/simulation/engines.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from tests.player import loops
+from tests.simulation import loops
 from thornspool.application.routing import ports
 from thornspool.domain.fleet import messages as fleet
 
@@ -86,7 +86,7 @@
     ----------
     run : ports.Run
         The run as the entry sent it.
-    listener : ports.Listener
+    listener : ports.ResponseListener
         Receives the events of the run.
     tokens : float
         Tokens of the prompt and of the answer so far.
@@ -99,7 +99,7 @@
     """
 
     run: ports.Run
-    listener: ports.Listener
+    listener: ports.ResponseListener
     tokens: float
     hops: list[tuple[Engine, search.Hop]] = attrs.field(factory=list)
     reservations: list[tuple[Engine, float]] = attrs.field(factory=list)
@@ -128,11 +128,11 @@
         self._on_change = on_change
         self._tasks = set()
         self.by_address = {one.address: Engine(one) for one in servers}
-        self.answer_tokens = {}
+        self.output_tokens = {}
         self._runs = {}
         self.refused = 0
         self.sent = 0
-        self.repaths = 0
+        self.reroutes = 0
 
     def find_engine(self, name):
         return next(
@@ -149,9 +149,9 @@
     def send(self, run, listener):
         self.sent += 1
         first_event = int(run.resume_after or -1) + 1
-        tokens = run.inquiry.prompt_tokens + first_event * STEPS_PER_EVENT
+        tokens = run.request.prompt_tokens + first_event * STEPS_PER_EVENT
         active = _ActiveRun(run, listener, tokens)
-        self._runs[run.inquiry.id] = active
+        self._runs[run.request.id] = active
         task = self.start_task(self._run_and_release(active, first_event))
         return task.cancel
 
@@ -160,8 +160,8 @@
             await self._serve(active, first_event)
         finally:
             self._release(active)
-            if self._runs.get(active.run.inquiry.id) is active:
-                del self._runs[active.run.inquiry.id]
+            if self._runs.get(active.run.request.id) is active:
+                del self._runs[active.run.request.id]
 
     async def _serve(self, active, first_event):
         """Check the engines of a run, prefill its prompt and decode."""
@@ -172,7 +172,7 @@
         ]
         first = active.hops[0][0]
         if first.state == 'crashed':
-            active.listener.take_end(ports.Ending.NOT_SENT)
+            active.listener.handle_completion(ports.Completion.NOT_SENT)
             return
         if first.state == 'unresponsive':
             await loops.sleep_ms(60_000)
@@ -189,16 +189,16 @@
 
     async def _write(self, active, first, first_event):
         """Send the events of a run until its answer is complete or cut."""
-        answer = self.answer_tokens[active.run.inquiry.id]
+        answer = self.output_tokens[active.run.request.id]
         for number in itertools.count(first_event):
             if not await self._await_engines(active, first):
-                active.listener.take_end(ports.Ending.BROKEN)
+                active.listener.handle_completion(ports.Completion.BROKEN)
                 return
             if number == first_event:
-                active.listener.take_head(
-                    ports.Head(200, (), True, '', None, True)
+                active.listener.handle_head(
+                    ports.ResponseHead(200, (), True, '', None, True)
                 )
-            active.listener.take_body(b'id: %d\ndata: x\n\n' % number)
+            active.listener.handle_body(b'id: %d\ndata: x\n\n' % number)
             if (number + 1) * STEPS_PER_EVENT >= answer:
                 break
             active.tokens += STEPS_PER_EVENT
@@ -206,7 +206,7 @@
             await loops.sleep_ms(
                 self._compute_step(active.hops) * STEPS_PER_EVENT
             )
-        active.listener.take_end(ports.Ending.WHOLE)
+        active.listener.handle_completion(ports.Completion.COMPLETE)
 
     async def _await_engines(self, active, first):
         """Wait while engines of a path are lost; False after a failure."""
@@ -231,7 +231,9 @@
             fleet.LayerRange(hop.first, hop.end)
         ):
             return 'layers'
-        capacity = self._model.compute_room(engine.server.kind, held.count)
+        capacity = self._model.compute_free_capacity(
+            engine.server.kind, held.count
+        )
         if engine.reserved + tokens * hop.count > capacity:
             return 'capacity'
         return None
@@ -239,10 +241,12 @@
     async def _refuse(self, active, engine, status):
         self.refused += 1
         await loops.sleep_ms(REFUSAL_MS)
-        active.listener.take_head(
-            ports.Head(status, (), False, engine.server.address, None, False)
+        active.listener.handle_head(
+            ports.ResponseHead(
+                status, (), False, engine.server.address, None, False
+            )
         )
-        active.listener.take_end(ports.Ending.WHOLE)
+        active.listener.handle_completion(ports.Completion.COMPLETE)
 
     def _reserve(self, active, hops, tokens):
         for engine, hop in hops:
@@ -300,7 +304,7 @@
             for engine, hop in hops
         )
 
-    async def ask_report(self, server, wait_ms=ports.REPORT_MS):
+    async def probe(self, server, wait_ms=ports.REPORT_MS):
         engine = self.by_address.get(server.address)
         if engine is None or engine.state == 'crashed':
             await loops.sleep_ms(2 * ENTRY_LATENCY_MS)
@@ -309,11 +313,11 @@
             await loops.sleep_ms(wait_ms)
             return None
         await loops.sleep_ms(4 * ENTRY_LATENCY_MS)
-        return ports.Report(
-            engine.orders, False, engine.slowdown, engine.server.born, ()
+        return ports.EngineReport(
+            engine.orders, False, engine.slowdown, engine.server.started_at, ()
         )
 
-    async def place(self, server, layers, orders):
+    async def assign_layers(self, server, layers, orders):
         engine = self.by_address[server.address]
         await loops.sleep_ms(2 * ENTRY_LATENCY_MS)
         if engine.state != 'up':
@@ -341,9 +345,9 @@
         await loops.sleep_ms(LIST_UPDATE_MS)
         self._on_change(server)
 
-    async def repath(self, request, hops):
+    async def reroute(self, request, hops):
         await loops.sleep_ms(2 * ENTRY_LATENCY_MS)
-        self.repaths += 1
+        self.reroutes += 1
         active = self._runs.get(request)
         if active is None or active.hops[0][0].state != 'up':
             return ports.OrderResult.REFUSED
@@ -412,7 +416,7 @@
             return
         await loops.sleep_ms(restart_ms - delisting_ms)
         engine.server = attrs.evolve(
-            engine.server, layers=None, born=engine.server.born + 1
+            engine.server, layers=None, started_at=engine.server.started_at + 1
         )
         engine.orders = 0
         engine.state = 'up'
--- a/tests/player/mixes.py
+++ b/tests/simulation/mixes.py
@@ -6,8 +6,8 @@
 
 import attrs
 
-from tests.player import loops
-from tests.player import world
+from tests.simulation import loops
+from tests.simulation import world
 
 SHORT = world.Workload(
     entries=4,
--- a/tests/player/test_losses.py
+++ b/tests/simulation/test_losses.py
@@ -6,8 +6,8 @@
 
 from structlog import testing
 
-from tests.player import callers
-from tests.player import mixes
+from tests.simulation import callers
+from tests.simulation import mixes
 
 SECONDS = 6
 WORKLOADS = {'short': mixes.SHORT, 'long': mixes.LONG, 'wide': mixes.WIDE}
--- a/tests/player/world.py
+++ b/tests/simulation/world.py
@@ -8,16 +8,18 @@
 
 from tests.application.routing import builders
 from tests.domain.fleet import builders as fleet_builders
-from tests.player import engines as engines_module
-from tests.player import loops
+from tests.simulation import engines as engines_module
+from tests.simulation import loops
 from thornspool import metrics
-from thornspool.application.routing import beliefs
 from thornspool.application.routing import calls
-from thornspool.application.routing import detection
+from thornspool.application.routing import failure_detection
 from thornspool.application.routing import intake
 from thornspool.application.routing import membership
 from thornspool.application.routing import placement
-from thornspool.application.routing import repeats
+from thornspool.application.routing import retry_pools
+from thornspool.application.routing import (
+    routing_state as routing_state_module,
+)
 from thornspool.application.routing import streams
 from thornspool.domain.entries import messages
 from thornspool.domain.entries import view as view_module
@@ -97,12 +99,12 @@
                 host, f'{host}-1', domain, f'{host}:80', f'{host}:90'
             )
         )
-        self.routing_state = beliefs.Beliefs()
-        self.routing_state.refusals.patience = randomness.uniform(
-            1.0, refusals.MOST_PATIENCE
+        self.routing_state = routing_state_module.RoutingState()
+        self.routing_state.refusals.jitter_factor = randomness.uniform(
+            1.0, refusals.MAX_JITTER_FACTOR
         )
         reserved = reservations.Reservations()
-        self.budget = repeats.Repeats(
+        self.budget = retry_pools.RetryPools(
             clock,
             0.2,
             RETRY_SLACK,
@@ -132,14 +134,14 @@
         self.calls = calls.CallService(
             clock, self.routing_state, servers, self.budget, domain, randomness
         )
-        self.detector = detection.Detector(
+        self.failure_detector = failure_detection.FailureDetector(
             clock,
             self.routing_state,
             self.streams,
             servers,
             randomness,
             self.view.count_entries,
-            self.membership.tell_failures,
+            self.membership.broadcast_failures,
         )
         self.placement = placement.PlacementService(
             clock, self.routing_state, servers, lambda: number == 0
@@ -155,22 +157,22 @@
         )
 
     def run_fast_tick(self):
-        self.streams.work()
-        self.detector.look()
-        self.membership.tell_failures()
+        self.streams.tick()
+        self.failure_detector.check_idle_streams()
+        self.membership.broadcast_failures()
 
     def receive_update(self, update):
-        self.membership.take_news(update)
+        self.membership.apply_update(update)
         if update.suspects:
-            self.detector.leave_suspects()
+            self.failure_detector.reroute_from_suspects()
 
     def run_detection_tick(self):
-        self.detector.work()
-        self.routing_state.forget_left(self.clock.now())
+        self.failure_detector.tick()
+        self.routing_state.purge_expired(self.clock.now())
 
     def run_broadcast_tick(self):
-        self.routing_state.proof.renew(self.clock.now())
-        self.membership.work()
+        self.routing_state.freshness.confirm(self.clock.now())
+        self.membership.tick()
 
 
 class World:
@@ -204,12 +206,12 @@
         now = self.clock.now()
         for entry in self.entries.values():
             for other in self.entries.values():
-                entry.view.take_record(other.view.own, now)
-            entry.routing_state.take_configuration(configuration)
-            entry.routing_state.proof.renew(now)
+                entry.view.apply_record(other.view.local, now)
+            entry.routing_state.apply_configuration(configuration)
+            entry.routing_state.freshness.confirm(now)
             entry.membership.set_state(messages.State.SERVING)
             for server in placed:
-                entry.routing_state.take_server(server, now)
+                entry.routing_state.apply_server(server, now)
 
     def deliver_update(self, address, update):
         """Deliver a state update to the entry at an address."""
@@ -225,7 +227,7 @@
             if isinstance(change, str):
                 entry.routing_state.remove_server(change, now)
             else:
-                entry.routing_state.take_server(change, now)
+                entry.routing_state.apply_server(change, now)
 
     def count_seconds(self):
         """Return the virtual seconds since the simulation began."""
@@ -247,7 +249,7 @@
                 )
         leader = next(iter(self.entries.values()))
         self.engines.start_task(
-            loops.run_periodically(DETECTION_TICK_MS, leader.placement.work)
+            loops.run_periodically(DETECTION_TICK_MS, leader.placement.tick)
         )
 
 
--- a/tools/bench_routing.py
+++ b/tools/bench_routing.py
@@ -16,11 +16,11 @@
 from tests.domain.fleet import builders
 from thornspool.domain.entries import messages
 from thornspool.domain.entries import totals
-from thornspool.domain.fleet import marks
+from thornspool.domain.fleet import server_hashes
 from thornspool.domain.paths import bounds
 from thornspool.domain.paths import choice
 from thornspool.domain.paths import reservations
-from thornspool.domain.paths import silence
+from thornspool.domain.paths import stalls
 from thornspool.domain.placement import orders as orders_module
 from thornspool.domain.placement import planning
 from thornspool.platform import peers
@@ -72,7 +72,7 @@
     ]
     settled = [orders_module.Holding(one) for one in placed]
     taken = reservations.Reservations()
-    situation = choice.Situation(
+    fleet_snapshot = choice.FleetSnapshot(
         model,
         tuple(placed),
         frozenset(),
@@ -82,10 +82,10 @@
         lambda: 0.5,
         bounds=bounds.compute_bounds(model, placed),
     )
-    need = choice.Need(760, 170)
-    found = choice.choose_path(situation, need)
-    hops = 0 if isinstance(found, choice.Lack) else len(found.hops)
-    news = messages.News(
+    request_size = choice.RequestSize(760, 170)
+    found = choice.choose_path(fleet_snapshot, request_size)
+    hops = 0 if isinstance(found, choice.NoPathReason) else len(found.hops)
+    update = messages.StateUpdate(
         'edge-host-12',
         'edge-host-12-0123456789ab',
         messages.State.SERVING,
@@ -93,29 +93,39 @@
         10**9,
         10**6,
         900,
-        {marks.compute_mark(one.id): 90_000.0 for one in placed[:hops]},
+        {
+            server_hashes.compute_server_hash(one.id): 90_000.0
+            for one in placed[:hops]
+        },
         (),
     )
     rest = attrs.evolve(
-        news,
+        update,
         scope=messages.Scope.REST,
-        taken={marks.compute_mark(one.id): 90_000.0 for one in placed},
+        reserved={
+            server_hashes.compute_server_hash(one.id): 90_000.0
+            for one in placed
+        },
     )
-    told = peers.encode_news(rest)
+    told = peers.encode_state_update(rest)
     tell = measure(
-        lambda: peers.encode_news(
-            attrs.evolve(rest, taken=totals.subtract(rest.taken, news.taken))
+        lambda: peers.encode_state_update(
+            attrs.evolve(
+                rest, reserved=totals.subtract(rest.reserved, update.reserved)
+            )
         )
     )
-    hear = measure(lambda: peers.decode(peers.encode_news(news)))
+    hear = measure(
+        lambda: peers.decode_datagram(peers.encode_state_update(update))
+    )
     first = measure(lambda: planning.plan_orders(holdings, model))
     again = measure(lambda: planning.plan_orders(settled, model))
-    path = measure(lambda: choice.choose_path(situation, need))
+    path = measure(lambda: choice.choose_path(fleet_snapshot, request_size))
     print(
         f'engines={engines} domains={domains} '
         f'first_plan_ms={first:.1f} plan_ms={again:.1f} '
         f'path_ms={path:.2f} hops={hops} '
-        f'news_bytes={len(peers.encode_news(news))} '
+        f'news_bytes={len(peers.encode_state_update(update))} '
         f'collector_news_bytes={len(told)} tell_ms={tell:.3f} '
         f'hear_ms={hear:.3f}'
     )
@@ -126,8 +136,8 @@
     names = [f'a-{number}' for number in range(hops)]
     moving = [(names, 1.0)] * streams
     silent = [(names, 3.0)] * streams
-    calm = measure(lambda: silence.find_doubtful(moving))
-    lost = measure(lambda: silence.find_doubtful(silent))
+    calm = measure(lambda: stalls.find_suspects(moving))
+    lost = measure(lambda: stalls.find_suspects(silent))
     print(
         f'streams={streams} hops={hops} look_ms={calm:.4f} '
         f'look_when_silent_ms={lost:.3f}'
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -32,14 +32,15 @@
 MECHANISMS: dict[str, tuple[Edit, ...]] = {
     'outlier-ejection': (
         Edit(
-            f'{_ROUTING}/blame.py',
-            'if flight.head is None:\n            self._beliefs.note_broken',
-            'if False:\n            self._beliefs.note_broken',
+            f'{_ROUTING}/fault_attribution.py',
+            'if in_flight.head is None:\n'
+            '            self._routing_state.record_broken',
+            'if False:\n            self._routing_state.record_broken',
         ),
     ),
     'shared-silence': (
         Edit(
-            f'{_ROUTING}/detection.py',
+            f'{_ROUTING}/failure_detection.py',
             'if delay_ms > MAX_CHECK_DELAY_MS:\n',
             'if delay_ms >= 0:\n',
         ),
@@ -68,14 +69,15 @@
     'moves-told': (
         Edit(
             f'{_ROUTING}/placement.py',
-            'if self._routing_state.moves.begin(order.server, retained):\n',
+            'if self._routing_state.retained_ranges.begin('
+            'order.server, retained):\n',
             'if False:\n',
         ),
     ),
     'no-moves-while-slow': (
         Edit(
             f'{_ROUTING}/placement.py',
-            'if self._routing_state.paces.select(\n'
+            'if self._routing_state.slowdowns.select(\n'
             '            (engine.id for engine in engines), now\n'
             '        ):\n',
             'if False:\n',
@@ -83,7 +85,7 @@
     ),
     'sweep': (
         Edit(
-            f'{_ROUTING}/detection.py',
+            f'{_ROUTING}/failure_detection.py',
             'self._begin_sweep(server.service, now)\n',
             'pass\n',
         ),
@@ -91,15 +93,16 @@
     'resume-in-another-run': (
         Edit(
             f'{_ROUTING}/streams.py',
-            'exchange.route.repeatable\n            and exchange.runs <',
-            'exchange.route.repeatable\n            and not exchange.begun'
-            '\n            and exchange.runs <',
+            'exchange.route.retryable\n            and exchange.runs <',
+            'exchange.route.retryable\n'
+            '            and not exchange.response_started\n'
+            '            and exchange.runs <',
         ),
     ),
     'repath': (
         Edit(
-            f'{_ROUTING}/repairs.py',
-            'if flight.head is not None or not may_retry:\n',
+            f'{_ROUTING}/rerouting.py',
+            'if in_flight.head is not None or not may_retry:\n',
             'if not may_retry:\n',
         ),
     ),
@@ -112,31 +115,31 @@
     ),
     'lone-streams': (
         Edit(
-            f'{_PATHS}/silence.py',
-            'if shared and stalled_streams >= LEAST_STREAMS:\n',
+            f'{_PATHS}/stalls.py',
+            'if shared and stalled_streams >= MIN_STALLED_STREAMS:\n',
             'if shared or stalled_streams >= 0:\n',
         ),
     ),
     'rhythm-of-streams': (
         Edit(
             f'{_ROUTING}/streams.py',
-            'flight.event_interval.mean_ms\n'
+            'in_flight.event_interval.mean_ms\n'
             '            or self.event_interval',
             'self.event_interval',
         ),
     ),
     'losses-told-at-once': (
         Edit(
-            f'{_ROUTING}/detection.py',
+            f'{_ROUTING}/failure_detection.py',
             '        self._announce_suspects()\n'
-            '        self.leave_suspects()\n',
+            '        self.reroute_from_suspects()\n',
             '        return\n',
         ),
     ),
     'lost-with-the-entry': (
         Edit(
-            f'{_ROUTING}/beliefs.py',
-            'if server_id in self.suspects:\n            # It failed',
+            f'{_ROUTING}/routing_state.py',
+            'if server_id in self.suspicions:\n            # It failed',
             'if False:\n            # It failed',
         ),
     ),
@@ -150,8 +153,9 @@
     'refusals-told': (
         Edit(
             f'{_ROUTING}/membership.py',
-            'self._routing_state.take_refusals(update.refusing, now, direct)'
-            '\n',
+            'self._routing_state.apply_reported_refusals(\n'
+            '            update.refusing, now, direct\n'
+            '        )\n',
             'pass\n',
         ),
     ),
@@ -181,8 +185,8 @@
     'waiting-for-room': (
         Edit(
             f'{_ROUTING}/streams.py',
-            'QUEUE_MS = 1_500\n',
-            'QUEUE_MS = 0\n',
+            'MAX_QUEUE_MS = 1_500\n',
+            'MAX_QUEUE_MS = 0\n',
         ),
     ),
     'refusal-backoff': (
@@ -192,7 +196,13 @@
             'INITIAL_BACKOFF_MS = 0\n',
         ),
     ),
-    'paces': (Edit(f'{_FLEET}/paces.py', 'SLOW = 1.5\n', 'SLOW = 1e9\n'),),
+    'paces': (
+        Edit(
+            f'{_FLEET}/slowdowns.py',
+            'SLOW_FACTOR = 1.5\n',
+            'SLOW_FACTOR = 1e9\n',
+        ),
+    ),
     'noise-in-costs': (
         Edit(
             f'{_PATHS}/choice.py',
@@ -223,7 +233,7 @@
     ),
     'repeats-for-begun-streams-first': (
         Edit(
-            f'{_ROUTING}/repeats.py',
+            f'{_ROUTING}/retry_pools.py',
             'REGULAR_SHARE = 0.6\n',
             'REGULAR_SHARE = 1.0\n',
         ),
