--- a/src/thornspool/application/routing/calls.py
+++ b/src/thornspool/application/routing/calls.py
@@ -212,7 +212,7 @@
             call,
             functools.partial(_store_head, call),
             call.body.extend,
-            functools.partial(self.handle_end, call),
+            functools.partial(self.handle_completion, call),
         )
         call.cancel = self._servers.send(run, listener)
 
@@ -224,7 +224,9 @@
             return
         self._fail(call, exchange.outcome_reason or 'no_server')
 
-    def handle_end(self, call: Call, ending: ports.Completion) -> None:
+    def handle_completion(
+        self, call: Call, completion: ports.Completion
+    ) -> None:
         """Handle the completion of the current attempt."""
         head = call.head
         exchange = call.exchange
@@ -232,7 +234,7 @@
             self._scores.record_load(
                 call.server.id, head.load, self._clock.now()
             )
-        if ending is ports.Completion.NOT_SENT:
+        if completion is ports.Completion.NOT_SENT:
             exchange.runs -= 1
             if call.server is not None:
                 self._routing_state.suspect(
@@ -246,7 +248,7 @@
             self._record_failure(call, server_scores.REFUSED_WEIGHT)
             self._retry_or_fail(call, f'refused_by_server_{head.status}', True)
         elif (
-            ending is ports.Completion.BROKEN
+            completion is ports.Completion.BROKEN
             or head is None
             or not head.is_authentic
         ):
--- a/src/thornspool/application/routing/listeners.py
+++ b/src/thornspool/application/routing/listeners.py
@@ -58,7 +58,7 @@
         if self.is_current:
             self._on_body(chunk)
 
-    def handle_completion(self, ending: ports.Completion) -> None:
+    def handle_completion(self, completion: ports.Completion) -> None:
         """Pass on the end of the answer."""
         if self.is_current:
-            self._on_end(ending)
+            self._on_end(completion)
--- a/src/thornspool/application/routing/membership.py
+++ b/src/thornspool/application/routing/membership.py
@@ -391,9 +391,9 @@
         ):
             return
         now = self._clock.now()
-        own = self._view.local.host
+        local_host = self._view.local.host
         self._view.collector_choice.record_rejection(
-            own, now + collectors.REJECTION_MS
+            local_host, now + collectors.REJECTION_MS
         )
         logger.warning(
             'collecting_handed_over',
@@ -497,14 +497,15 @@
         )
         absent = self._list_absent(self._view.peers.values())
         for peer in self._view.list_domain_peers():
-            own = [peer.record.host]
+            peer_hosts = [peer.record.host]
             self._send_update(
                 peer,
                 totals_module.subtract(
-                    reserved, self._reservation_totals.sum_entries(own, now)
+                    reserved,
+                    self._reservation_totals.sum_entries(peer_hosts, now),
                 ),
                 totals_module.subtract(
-                    requests, self._request_totals.sum_entries(own, now)
+                    requests, self._request_totals.sum_entries(peer_hosts, now)
                 ),
                 messages.Scope.REST,
                 absent,
@@ -576,11 +577,11 @@
     ) -> None:
         now = self._clock.now()
         age = self._routing_state.freshness.compute_age(now)
-        own = self._view.local
+        local_record = self._view.local
         direct_only = scope is not messages.Scope.REST
         update = messages.StateUpdate(
-            host=own.host,
-            incarnation=own.incarnation,
+            host=local_record.host,
+            incarnation=local_record.incarnation,
             state=self.state,
             stamp=now,
             echoed_stamp=peer.last_stamp,
@@ -602,7 +603,7 @@
                 direct_only
             ),
             rejection_ms=self._view.collector_choice.compute_rejection_ms(
-                own.host, now
+                local_record.host, now
             ),
         )
         self._send(peer.record.peers, update)
--- a/src/thornspool/application/routing/path_finding.py
+++ b/src/thornspool/application/routing/path_finding.py
@@ -116,7 +116,7 @@
             self._bounds[service] = cached
         return cached[1]
 
-    def list_avoided(
+    def list_excluded(
         self, in_flight: in_flight_module.InFlightRequest
     ) -> set[str]:
         """List the engines that a request should not use now.
@@ -153,7 +153,7 @@
             The path, or the reason why none exists; None when the service is
             no longer in the configuration.
         """
-        excluded = self.list_avoided(in_flight)
+        excluded = self.list_excluded(in_flight)
         fleet_snapshot = self.describe(in_flight.exchange.service, excluded)
         if fleet_snapshot is None:
             return None
--- a/src/thornspool/application/routing/ports.py
+++ b/src/thornspool/application/routing/ports.py
@@ -192,7 +192,7 @@
     def handle_body(self, chunk: bytes) -> None:
         """Handle a chunk of the body."""
 
-    def handle_completion(self, ending: Completion) -> None:
+    def handle_completion(self, completion: Completion) -> None:
         """Handle the end of the attempt; called last."""
 
 
@@ -266,7 +266,7 @@
         """Probe an engine for its state; None if it does not respond."""
 
     async def assign_layers(
-        self, server: fleet.Server, layers: fleet.LayerRange, orders: int
+        self, server: fleet.Server, layers: fleet.LayerRange, order_count: int
     ) -> OrderResult:
         """Order an engine to hold a range of layers.
 
@@ -276,7 +276,7 @@
             The engine.
         layers : fleet.LayerRange
             Layers that it is to hold.
-        orders : int
+        order_count : int
             Number of orders that it must have begun so far; it refuses the
             order otherwise.
         """
--- a/src/thornspool/application/routing/registration.py
+++ b/src/thornspool/application/routing/registration.py
@@ -239,10 +239,10 @@
             return
         revision_written = await self._write_claim(revision, now)
         self._leadership.renewed_at = now
-        own = self._view.local
+        local_record = self._view.local
         self._leadership.apply_holder(
             leadership_module.Holder(
-                own.host, own.incarnation, revision_written
+                local_record.host, local_record.incarnation, revision_written
             ),
             now,
         )
@@ -276,13 +276,13 @@
         list of str
             The candidates; empty if this entry may not claim it.
         """
-        own = self._view.local.host
+        local_host = self._view.local.host
         serving = [record.host for record in self._view.list_serving(now)]
         if self._view.is_mesh:
-            return [*serving, own]
+            return [*serving, local_host]
         if not self._view.is_collector:
             return []
-        return [*self._list_other_collectors(serving), own]
+        return [*self._list_other_collectors(serving), local_host]
 
     def _list_other_collectors(self, serving: list[str]) -> list[str]:
         """List the first serving entry of each other failure domain.
--- a/src/thornspool/application/routing/rerouting.py
+++ b/src/thornspool/application/routing/rerouting.py
@@ -38,7 +38,7 @@
         Service whose streams are rerouted.
     servers : ports.ServerClient
         Client for calls to engines.
-    start : callable
+    start_task : callable
         Runs a coroutine as a background task.
     """
 
@@ -130,7 +130,7 @@
             None when the run can't keep its first engine or no path exists.
         """
         exchange = in_flight.exchange
-        excluded = self._service.paths.list_avoided(in_flight)
+        excluded = self._service.paths.list_excluded(in_flight)
         first_hop = in_flight.hops[0]
         if first_hop.server.id in excluded:
             return None
--- a/src/thornspool/application/routing/streams.py
+++ b/src/thornspool/application/routing/streams.py
@@ -310,7 +310,7 @@
             in_flight,
             functools.partial(self.handle_head, in_flight),
             functools.partial(self.handle_body, in_flight),
-            functools.partial(self.handle_end, in_flight),
+            functools.partial(self.handle_completion, in_flight),
         )
         in_flight.stop = self._servers.send(run, listener)
 
@@ -376,10 +376,10 @@
                 exchange.first_event_at = now
             exchange.reply.write(complete)
 
-    def handle_end(
+    def handle_completion(
         self,
         in_flight: in_flight_module.InFlightRequest,
-        ending: ports.Completion,
+        completion: ports.Completion,
     ) -> None:
         """Handle the end of a run.
 
@@ -387,21 +387,21 @@
         ----------
         in_flight : in_flight_module.InFlightRequest
             The request.
-        ending : ports.Completion
+        completion : ports.Completion
             How the run ended.
         """
         head = in_flight.head
         exchange = in_flight.exchange
         in_flight.stop = None
         first_server = in_flight.first_server
-        if ending is ports.Completion.NOT_SENT:
+        if completion is ports.Completion.NOT_SENT:
             exchange.runs -= 1
             self._fault_attribution.record_unreachable(first_server)
             self._retry_or_fail(in_flight, 'not_reached')
         elif head is not None and not head.executed:
             exchange.runs -= 1
             self._handle_refusal(in_flight, head)
-        elif ending is ports.Completion.BROKEN or head is None:
+        elif completion is ports.Completion.BROKEN or head is None:
             self._fault_attribution.record_broken_run(in_flight)
             self._retry_or_fail(in_flight, 'broken')
         elif head.status == _OK and head.is_authentic:
--- a/src/thornspool/platform/engines.py
+++ b/src/thornspool/platform/engines.py
@@ -227,12 +227,12 @@
         )
 
     async def assign_layers(
-        self, server: fleet.Server, layers: fleet.LayerRange, orders: int
+        self, server: fleet.Server, layers: fleet.LayerRange, order_count: int
     ) -> ports.OrderResult:
         """Order an engine to load a range of layers.
 
-        ``orders`` is the number of orders that the engine has started; the
-        engine rejects the order if its count differs.
+        ``order_count`` is the number of orders that the engine has started;
+        the engine rejects the order if its count differs.
         """
         return await self._order(
             server,
@@ -241,7 +241,7 @@
                 'from': layers.first,
                 'to': layers.end,
                 'mode': 'queue',
-                'expected': orders,
+                'expected': order_count,
             },
         )
 
--- a/src/thornspool/platform/peers.py
+++ b/src/thornspool/platform/peers.py
@@ -48,7 +48,7 @@
     incarnation: str
     state: str
     stamp: int
-    received_stamp: int
+    echoed_stamp: int
     revision: int
     proof_age_ms: int
     # In RESERVED_UNIT_TOKEN_LAYERS, which takes two bytes instead of five.
@@ -63,7 +63,7 @@
     failing: list[int] = []
     # First layer and end of each retained range.
     retained_ranges: dict[int, tuple[int, int]] = {}
-    rejected_ms: int = 0
+    rejection_ms: int = 0
 
 
 class _ChangeSet(msgspec.Struct, array_like=True, tag=1):
@@ -161,7 +161,7 @@
         message.incarnation,
         state,
         message.stamp,
-        message.received_stamp,
+        message.echoed_stamp,
         message.revision,
         message.proof_age_ms,
         {
@@ -182,7 +182,7 @@
         },
         tuple(message.failing),
         message.retained_ranges,
-        message.rejected_ms,
+        message.rejection_ms,
     )
 
 
--- a/tests/application/routing/builders.py
+++ b/tests/application/routing/builders.py
@@ -93,7 +93,7 @@
     return ports.Request(**values)
 
 
-class FakeReply:
+class FakeResponseWriter:
     """Records the answer that a caller receives."""
 
     def __init__(self):
@@ -169,7 +169,7 @@
         self.end()
 
 
-class FakeServers:
+class FakeServerClient:
     """Records calls to servers and returns answers set by the test."""
 
     def __init__(self):
@@ -199,8 +199,8 @@
         self.probed.append(server.id)
         return self.reports.get(server.id)
 
-    async def assign_layers(self, server, layers, orders):
-        self.orders.append((server.id, layers, orders))
+    async def assign_layers(self, server, layers, order_count):
+        self.orders.append((server.id, layers, order_count))
         if self.order_results:
             return self.order_results.pop(0)
         return ports.OrderResult.BEGUN
@@ -216,7 +216,7 @@
     def __init__(self, slack=100.0):
         self.clock = common.FakeClock()
         self.routing_state = routing_state_module.RoutingState()
-        self.servers = FakeServers()
+        self.servers = FakeServerClient()
         self.reserved = reservations.Reservations()
         self.budget = retry_pools.RetryPools(
             self.clock, 0.2, slack, 10_000, lambda: 1
@@ -275,7 +275,7 @@
 
     def serve(self, path='/brief/x', number=1, **changes):
         """Serve a request and return the reply that its caller receives."""
-        reply = FakeReply()
+        reply = FakeResponseWriter()
         changes.setdefault('arrived_at', self.clock.now())
         self.intake.serve(build_request(path, number, **changes), reply)
         return reply
--- a/tests/application/routing/fleet.py
+++ b/tests/application/routing/fleet.py
@@ -127,7 +127,7 @@
         """Advance the clock and call the periodic methods.
 
         The store confirms the copies of collectors, except for entries that it
-        rejects. Those in `turned_away` hand over to other collectors.
+        rejects. Those in `handing_over` hand over to other collectors.
         """
         for _ in range(0, milliseconds, TICK_MS):
             self.clock.advance(TICK_MS)
@@ -144,6 +144,6 @@
                     member.service.update_state(True, FRESHNESS_BOUND_MS)
                 member.service.tick()
 
-    def take(self, host, amount):
+    def reserve(self, host, amount):
         """Reserve engine memory for requests of an entry."""
         self.members[host].reserved.local = {ENGINE: amount}
--- a/tests/application/routing/test_failure_detection.py
+++ b/tests/application/routing/test_failure_detection.py
@@ -15,7 +15,7 @@
 ALL_EVENTS = b''.join(b'id: %d\ndata: x\n\n' % number for number in range(10))
 
 
-class DetectionTest(unittest.IsolatedAsyncioTestCase):
+class FailureDetectionTest(unittest.IsolatedAsyncioTestCase):
     """An engine in the middle of a path stops responding.
 
     Its neighbours wait for it for seconds before they report it, and callers
@@ -336,11 +336,11 @@
         The event loop is busy, as many streams are retried at once.
         """
         del self.servers.reports[self.first.id]
-        ask_report = self.servers.probe
+        probe = self.servers.probe
 
         async def answer_late_probe(server, wait_ms=ports.REPORT_MS):
             self.world.clock.advance(wait_ms + 100)
-            return await ask_report(server, wait_ms)
+            return await probe(server, wait_ms)
 
         self.servers.probe = answer_late_probe
         await self.pass_time(700)
@@ -475,7 +475,7 @@
 
     async def test_one_lost_probe_suspects_no_engine(self):
         """Guards against exclusion of a healthy engine after packet loss."""
-        ask_report = self.servers.probe
+        probe = self.servers.probe
         dropped = set()
 
         async def drop_first(server, wait_ms=ports.REPORT_MS):
@@ -483,7 +483,7 @@
                 dropped.add(server.id)
                 self.world.clock.advance(wait_ms)
                 return None
-            return await ask_report(server, wait_ms)
+            return await probe(server, wait_ms)
 
         self.servers.probe = drop_first
         await self.pass_time(100)
@@ -539,7 +539,7 @@
 
     async def test_lost_probe_is_sent_again(self):
         """Guards against exclusion of a healthy engine after packet loss."""
-        ask_report = self.servers.probe
+        probe = self.servers.probe
         probe_timeouts = []
 
         async def drop_first(server, wait_ms=ports.REPORT_MS):
@@ -548,7 +548,7 @@
                 if len(probe_timeouts) == 1:
                     self.world.clock.advance(wait_ms)
                     return None
-            return await ask_report(server, wait_ms)
+            return await probe(server, wait_ms)
 
         self.servers.probe = drop_first
         await self.pass_time(125)
@@ -586,11 +586,11 @@
 
     async def test_late_timeout_on_a_busy_host_suspects_no_engine(self):
         """Guards against exclusion of healthy engines by a delayed entry."""
-        ask_report = self.servers.probe
+        probe = self.servers.probe
 
         async def answer_late(server, wait_ms=ports.REPORT_MS):
             if server.id != self.names[1]:
-                return await ask_report(server, wait_ms)
+                return await probe(server, wait_ms)
             await asyncio.sleep(wait_ms / 1_000)
             self.world.clock.advance(wait_ms + 10)
             return None
--- a/tests/application/routing/test_membership.py
+++ b/tests/application/routing/test_membership.py
@@ -49,9 +49,9 @@
         self.assertLess(rate, 8)
 
     def test_each_entry_has_the_reservations_of_all_others(self):
-        self.fleet.take('a-05', 1_000.0)
-        self.fleet.take('a-00', 200.0)
-        self.fleet.take('c-03', 30.0)
+        self.fleet.reserve('a-05', 1_000.0)
+        self.fleet.reserve('a-00', 200.0)
+        self.fleet.reserve('c-03', 30.0)
         self.fleet.play(2_000)
         for host, others in (
             ('a-05', 230.0),
@@ -118,7 +118,7 @@
 
     def test_dead_entry_is_not_listed(self):
         """A host loses power while its lease in the store is still valid."""
-        self.fleet.take('b-04', 500.0)
+        self.fleet.reserve('b-04', 500.0)
         self.fleet.play(1_000)
         self.fleet.kill('b-04')
         self.fleet.play(2_400)
@@ -129,7 +129,7 @@
                 self.assertEqual({}, self.members[host].reserved.remote)
 
     def test_collector_is_replaced_when_it_dies(self):
-        self.fleet.take('a-05', 500.0)
+        self.fleet.reserve('a-05', 500.0)
         self.fleet.play(1_000)
         self.fleet.kill('a-00')
         self.fleet.play(4_000)
--- a/tests/simulation/callers.py
+++ b/tests/simulation/callers.py
@@ -56,7 +56,7 @@
         return sum(self.counts[name] for name in outcomes) / self.total
 
 
-class _TimedReply(builders.FakeReply):
+class _TimedReply(builders.FakeResponseWriter):
     """Reply that measures the times between its events."""
 
     def __init__(self, clock, arrived_at):
--- a/tests/simulation/engines.py
+++ b/tests/simulation/engines.py
@@ -317,7 +317,7 @@
             engine.orders, False, engine.slowdown, engine.server.started_at, ()
         )
 
-    async def assign_layers(self, server, layers, orders):
+    async def assign_layers(self, server, layers, order_count):
         engine = self.by_address[server.address]
         await loops.sleep_ms(2 * ENTRY_LATENCY_MS)
         if engine.state != 'up':
