--- a/src/thornspool/adapters/store/client.py
+++ b/src/thornspool/adapters/store/client.py
@@ -53,8 +53,8 @@
 
 _DEFINITE_ERRORS = (
     store_errors.ConditionFailed,
-    store_errors.HistoryLost,
-    store_errors.LeaseEnded,
+    store_errors.HistoryCompacted,
+    store_errors.LeaseExpired,
 )
 """Errors that an available store responds with."""
 
@@ -197,7 +197,7 @@
             )
         except store_errors.ConditionFailed:
             return ports.WriteConflict()
-        except store_errors.StoreUnanswered:
+        except store_errors.StoreOutcomeUnknown:
             return ports.WriteUnknown()
         except store_errors.StoreError as error:
             raise _build_error('put', error) from error
@@ -225,7 +225,7 @@
                 'watch',
                 lambda: self._store.watch(name, position.revision, timeout_ms),
             )
-        except store_errors.HistoryLost:
+        except store_errors.HistoryCompacted:
             return await self._read_for_watch(key, after_version)
         except store_errors.StoreError as error:
             raise _build_error('watch', error) from error
@@ -243,7 +243,7 @@
                 await self._send(
                     'announce', lambda: self._store.renew_lease(lease)
                 )
-            except store_errors.LeaseEnded:
+            except store_errors.LeaseExpired:
                 self._lease = None
             except store_errors.StoreError as error:
                 raise _build_error('announcement', error) from error
