--- a/src/thornspool/application/gates.py
+++ b/src/thornspool/application/gates.py
@@ -66,7 +66,7 @@
             work.workspace, request, self._clock.now()
         )
         if isinstance(admitted, limit_messages.Refused):
-            reason = f'Request refused: {admitted.reason.value}.'
+            reason = f'Refused for its {admitted.reason.value}.'
             raise requests.RequestRefused(
                 reason,
                 admitted.retry_after_ms,
