--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Randomized faults on real processes, checked from what callers see."""
+"""Random faults of real processes, with checks of the callers' responses."""
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,8 +1,9 @@
-"""Run seeds of the soak: ``python -m tests.soak --seeds 1-50``.
+"""Run seeds of the soak test: ``python -m tests.soak --seeds 1-50``.
 
 Each seed starts a store, a small fleet and entries as processes on
-loopback, injects faults from outside for a while, lets them end, and checks
-what callers saw and back ends ran. The exit code is 1 when anything is wrong.
+loopback, injects external faults for a period, waits until they end, and
+compares the responses of callers with the executions of back ends. The exit
+code is 1 when a check of any seed fails.
 """
 
 from __future__ import annotations
@@ -24,17 +25,17 @@
 from tools import processes
 
 ENTRIES = 4
-START_S = 20.0
-BACK_S = 15.0
-"""Time after the last fault within which everything must serve again: a
-lease of 4 s, a configuration in force, and engines that load."""
+START_TIMEOUT_S = 20.0
+RECOVERY_TIMEOUT_S = 15.0
+"""Time after the last fault within which all entries must serve again. It
+covers a lease of 4 s, applying a configuration, and engines that load."""
 
-MEAN_ASK_S = 0.04
+MEAN_REQUEST_INTERVAL_S = 0.04
 
 
 @attrs.define
 class Report:
-    """What one seed showed."""
+    """Result of one seed."""
 
     seed: int
     problems: list[str]
@@ -51,75 +52,79 @@
     Parameters
     ----------
     seed : int
-        Decides every random choice.
+        Seed of every random choice.
     seconds : float
-        Time for which faults are injected.
+        Duration of the fault injection.
     folder : pathlib.Path, optional
-        Where logs are kept when something is wrong.
+        Folder for the logs when a check fails.
     """
     source = random.Random(seed)
-    with processes.open_processes() as running:
-        world = world_module.World(running, source, ENTRIES)
+    with processes.open_processes() as scope:
+        world = world_module.World(scope, source, ENTRIES)
         callers = callers_module.Callers(
             f's{seed}', random.Random(seed + 1), world.list_entries
         )
         try:
-            report = await _play(seed, seconds, world, callers)
+            report = await _run_scenario(seed, seconds, world, callers)
         finally:
             callers.close()
             await world.stop()
         if report.problems and folder is not None:
             shutil.copytree(
-                running.folder, folder / f'seed-{seed}', dirs_exist_ok=True
+                scope.folder, folder / f'seed-{seed}', dirs_exist_ok=True
             )
         return report
 
 
-async def _play(
+async def _run_scenario(
     seed: int,
     seconds: float,
     world: world_module.World,
     callers: callers_module.Callers,
 ) -> Report:
     await world.start()
-    missing = await world.wait_until_served(START_S)
-    if missing:
-        return Report(seed, [f'at the start: {missing}'], [], 0, 0)
-    asking = asyncio.create_task(callers.ask_forever(MEAN_ASK_S))
+    reason = await world.wait_until_served(START_TIMEOUT_S)
+    if reason:
+        return Report(seed, [f'at the start: {reason}'], [], 0, 0)
+    load = asyncio.create_task(
+        callers.send_continuously(MEAN_REQUEST_INTERVAL_S)
+    )
     faults = faults_module.Faults(world)
     await faults.inject(seconds)
-    missing = await world.wait_until_served(BACK_S)
-    asking.cancel()
+    reason = await world.wait_until_served(RECOVERY_TIMEOUT_S)
+    load.cancel()
     await callers.finish()
     problems = list(world.problems)
-    if missing:
-        problems.append(f'after the last fault: {missing}')
+    if reason:
+        problems.append(f'after the last fault: {reason}')
     problems += await _check_recovery(world, callers)
     fleet = await asyncio.to_thread(world.deployment.read_fleet)
     if fleet['wrong_paths']:
-        problems.append(f'{fleet["wrong_paths"]} paths miss or repeat layers')
-    problems += checks.check_sendings(
-        callers.sendings, fleet['runs'], world.revoked_at
+        problems.append(f'{fleet["wrong_paths"]} paths omit or repeat layers')
+    problems += checks.check_requests(
+        callers.sent_requests, fleet['runs'], world.revoked_at
+    )
+    served = sum(one.status == 200 for one in callers.sent_requests)
+    return Report(
+        seed, problems, faults.drawn, len(callers.sent_requests), served
     )
-    served = sum(one.status == 200 for one in callers.sendings)
-    return Report(seed, problems, faults.drawn, len(callers.sendings), served)
 
 
 async def _check_recovery(
     world: world_module.World, callers: callers_module.Callers
 ) -> list[str]:
-    """Check that every entry serves every kind once faults have ended."""
+    """Check that every entry serves every kind after the faults end."""
     problems = []
     for name in world.entries:
         for kind in ('brief', 'hold', 'read'):
             for _ in range(8):
-                sending = await callers.ask(kind, name)
-                if sending.status == 200 and sending.whole:
+                request = await callers.send(kind, name)
+                if request.status == 200 and request.complete:
                     break
                 await asyncio.sleep(1.0)
             else:
-                status = sending.status
-                problems.append(f'{name} serves no {kind}: {status}')
+                status = request.status
+                problems.append(f'{name} does not serve {kind}: {status}')
     return problems
 
 
@@ -129,17 +134,17 @@
 
 
 async def _run_all(options: typing.Any) -> int:
-    gate = asyncio.Semaphore(options.jobs)
+    semaphore = asyncio.Semaphore(options.jobs)
     failed = 0
 
     async def run_one(seed: int) -> None:
         nonlocal failed
-        async with gate:
+        async with semaphore:
             report = await run_seed(seed, options.seconds, options.logs)
         failed += bool(report.problems)
-        verdict = 'WRONG' if report.problems else 'held'
+        result = 'WRONG' if report.problems else 'held'
         print(
-            f'seed {seed}: {verdict}; {report.served} of {report.requests} '
+            f'seed {seed}: {result}; {report.served} of {report.requests} '
             f'served; {len(report.faults)} faults',
             flush=True,
         )
@@ -152,7 +157,7 @@
 
 
 def main() -> int:
-    """Run the seeds that the command line names."""
+    """Run the seeds given on the command line."""
     parser = argparse.ArgumentParser(
         prog='python -m tests.soak', description=__doc__
     )
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the soak: they ask, keep connections, and note what they got."""
+"""Callers of the soak test, which record their requests and responses."""
 
 from __future__ import annotations
 
@@ -16,22 +16,30 @@
     import random
 
 SOUTH_KEY = 'key-south'
-PATIENCE_MS = 6_000
+DEADLINE_MS = 6_000
 KINDS = ('brief', 'brief', 'hold', 'read')
 
 
 @attrs.define
-class Sending:
+class SentRequest:
     """One request as its caller saw it.
 
     Attributes
     ----------
     id, kind, key, entry : str
-        What was asked, and of whom.
+        Request id, kind, API key, and name of the entry.
     sent_at : float
-        Seconds of the steady clock.
+        Seconds of the monotonic clock.
     status : int
-        0 when no head came.
+        HTTP status; 0 when no response head arrived.
+    body : bytes
+        Body as far as received.
+    complete : bool
+        Whether the response ended without a break.
+    signed : bool
+        Whether the response carried a seal.
+    retry_after : str
+        ``Retry-After`` of the response, or empty.
     """
 
     id: str
@@ -41,22 +49,22 @@
     sent_at: float
     status: int = 0
     body: bytes = b''
-    whole: bool = False
+    complete: bool = False
     signed: bool = False
     retry_after: str = ''
 
 
 class Callers:
-    """All callers of a run.
+    """All callers of one seed.
 
     Parameters
     ----------
     name : str
-        Begins the ids of their requests.
+        Prefix of the request ids.
     source : random.Random
         Source of every random choice.
     list_entries : callable
-        Lists the entries' addresses for callers, by name.
+        Returns the addresses of entries for callers, by entry name.
     """
 
     def __init__(
@@ -70,81 +78,85 @@
         self._list_entries = list_entries
         self._session = transfers.Session()
         self._tasks: set[asyncio.Task[None]] = set()
-        self.sendings: list[Sending] = []
+        self.sent_requests: list[SentRequest] = []
 
-    async def ask_forever(self, mean_s: float) -> None:
-        """Ask at random times until cancelled."""
+    async def send_continuously(self, mean_s: float) -> None:
+        """Send requests at random intervals until cancelled."""
         while True:
             await asyncio.sleep(self._random.expovariate(1.0 / mean_s))
             kind = self._random.choice(KINDS)
             key = self._random.choice((kv_fleet.KEY, SOUTH_KEY))
             entry = self._random.choice(sorted(self._list_entries()))
-            task = asyncio.create_task(self._ask(kind, key, entry))
+            task = asyncio.create_task(
+                self._send_in_background(kind, key, entry)
+            )
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def ask(self, kind: str, entry: str) -> Sending:
-        """Ask one entry and wait for the end."""
-        return await self._send(kind, kv_fleet.KEY, entry)
+    async def send(self, kind: str, entry: str) -> SentRequest:
+        """Send one request to an entry and wait for its end."""
+        return await self._send_one(kind, kv_fleet.KEY, entry)
 
     async def finish(self) -> None:
-        """Wait for what is still under way."""
+        """Wait for the requests in flight."""
         await asyncio.gather(*self._tasks)
 
     def close(self) -> None:
         """Close all connections."""
         self._session.close()
 
-    async def _ask(self, kind: str, key: str, entry: str) -> None:
-        await self._send(kind, key, entry)
+    async def _send_in_background(
+        self, kind: str, key: str, entry: str
+    ) -> None:
+        await self._send_one(kind, key, entry)
 
-    async def _send(self, kind: str, key: str, entry: str) -> Sending:
-        number = len(self.sendings)
-        sending = Sending(
+    async def _send_one(self, kind: str, key: str, entry: str) -> SentRequest:
+        number = len(self.sent_requests)
+        request = SentRequest(
             f'{self._name}-{number}', kind, key, entry, time.monotonic()
         )
-        self.sendings.append(sending)
+        self.sent_requests.append(request)
         done = asyncio.Event()
 
-        def take_head(status: int, headers: transfers.Headers) -> None:
-            sending.status = status
+        def handle_head(status: int, headers: transfers.Headers) -> None:
+            request.status = status
             fields = {name.lower(): value for name, value in headers}
-            sending.signed = 'response-seal' in fields
-            sending.retry_after = fields.get('retry-after', '')
+            request.signed = 'response-seal' in fields
+            request.retry_after = fields.get('retry-after', '')
 
-        def take_body(chunk: bytes) -> None:
-            sending.body += chunk
+        def handle_body(chunk: bytes) -> None:
+            request.body += chunk
 
-        def take_end(ending: transfers.Ending) -> None:
-            sending.whole = ending is transfers.Ending.WHOLE
+        def handle_end(ending: transfers.Ending) -> None:
+            request.complete = ending is transfers.Ending.WHOLE
             done.set()
 
         transfer = self._session.start(
-            self._build(sending), take_head, take_body, take_end
+            self._build_transfer(request), handle_head, handle_body, handle_end
         )
-        leaves = self._random.random() < 0.05
+        disconnects = self._random.random() < 0.05
         try:
-            patience = 0.2 if leaves else PATIENCE_MS / 1000 + 2
-            await asyncio.wait_for(done.wait(), patience)
+            timeout_s = 0.2 if disconnects else DEADLINE_MS / 1000 + 2
+            await asyncio.wait_for(done.wait(), timeout_s)
         except TimeoutError:
             transfer.cancel()
-        return sending
+        return request
 
-    def _build(self, sending: Sending) -> transfers.Request:
-        address = self._list_entries().get(sending.entry, '127.0.0.1:9')
+    def _build_transfer(self, request: SentRequest) -> transfers.Request:
+        address = self._list_entries().get(request.entry, '127.0.0.1:9')
         return transfers.Request(
-            f'http://{address}/{sending.kind}/{sending.id}',
-            'GET' if sending.kind == 'read' else 'POST',
+            f'http://{address}/{request.kind}/{request.id}',
+            'GET' if request.kind == 'read' else 'POST',
             (
                 ('Host', kv_fleet.HOST),
-                ('Attempt-Id', sending.id),
-                ('Deadline-Ms', str(PATIENCE_MS)),
+                ('Attempt-Id', request.id),
+                ('Deadline-Ms', str(DEADLINE_MS)),
                 ('Token-Usage', '500,200'),
-                ('Authorization', f'Bearer {sending.key}'),
+                ('Authorization', f'Bearer {request.key}'),
             ),
-            None if sending.kind == 'read' else b'{}',
+            None if request.kind == 'read' else b'{}',
             connect_ms=1_000,
-            # libcurl sends a request again on a kept connection that broke,
-            # which would count as a second run of one action.
-            own_connection=sending.kind == 'hold',
+            # libcurl resends a request when a reused connection breaks, which
+            # would count as a second execution of one action.
+            own_connection=request.kind == 'hold',
         )
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -1,4 +1,4 @@
-"""What must hold, from what callers saw and back ends ran."""
+"""Checks of the callers' responses against executions of back ends."""
 
 from __future__ import annotations
 
@@ -10,72 +10,75 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Iterable
 
-NOT_RUN = frozenset({408, 421, 429, 503})
-REVOKED_S = 5.0
-"""Bound for withdrawn keys, in seconds."""
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
+REVOCATION_BOUND_S = 5.0
+"""Bound on the use of an API key after its withdrawal."""
 
-WORDS = [
+DRAFT_EVENTS = [
     b'id: %d\ndata: word%d\n\n' % (number, number)
     for number in range(kv_fleet.EVENTS)
 ]
-DRAFT = b''.join(WORDS)
+DRAFT = b''.join(DRAFT_EVENTS)
 
 
-def check_sendings(
-    sendings: Iterable[callers.Sending],
+def check_requests(
+    sent_requests: Iterable[callers.SentRequest],
     runs: dict[str, int],
     revoked_at: float | None,
 ) -> list[str]:
-    """Check every request; returns what is wrong, one line each.
+    """Check every request; return one line per violation.
 
     Parameters
     ----------
-    sendings : iterable of callers.Sending
-        What callers saw.
+    sent_requests : iterable of callers.SentRequest
+        Requests as their callers saw them.
     runs : dict of str to int
-        Times that back ends ran each request.
+        Number of executions at back ends by request id.
     revoked_at : float or None
-        When the store acknowledged that the second key is withdrawn.
+        Time at which the store confirmed the withdrawal of the second key,
+        in seconds of the monotonic clock.
     """
-    wrong = []
-    for one in sendings:
+    violations = []
+    for one in sent_requests:
         ran = runs.get(one.id, 0)
-        wrong += [f'{one.id} {line}' for line in _check_runs(one, ran)]
-        wrong += [f'{one.id} {line}' for line in _check_answer(one, ran)]
+        violations += [f'{one.id} {line}' for line in _check_runs(one, ran)]
+        violations += [f'{one.id} {line}' for line in _check_answer(one, ran)]
         if (
             revoked_at is not None
             and one.key == callers.SOUTH_KEY
-            and one.sent_at > revoked_at + REVOKED_S
+            and one.sent_at > revoked_at + REVOCATION_BOUND_S
             and ran
         ):
-            late = one.sent_at - revoked_at
-            wrong.append(f'{one.id} ran {late:.1f} s after its key was gone')
-    return wrong
+            late_s = one.sent_at - revoked_at
+            violations.append(
+                f'{one.id} ran {late_s:.1f} s after its key was withdrawn'
+            )
+    return violations
 
 
-def _check_runs(one: callers.Sending, ran: int) -> list[str]:
-    wrong = []
+def _check_runs(one: callers.SentRequest, ran: int) -> list[str]:
+    violations = []
     if one.kind == 'hold' and ran > 1:
-        wrong.append(f'is a hold and ran {ran} times')
-    if one.kind == 'hold' and one.status in NOT_RUN and ran:
-        wrong.append(f'is a hold, was told {one.status} and ran')
-    return wrong
+        violations.append(f'is a hold that ran {ran} times')
+    if one.kind == 'hold' and one.status in NOT_RUN_STATUSES and ran:
+        violations.append(f'is a hold that got status {one.status} and ran')
+    return violations
 
 
-def _check_answer(one: callers.Sending, ran: int) -> list[str]:
+def _check_answer(one: callers.SentRequest, ran: int) -> list[str]:
     if one.status != 200:
         return []
     if not one.signed:
-        return ['has a success without a signature']
+        return ['got a success without a signature']
     if one.kind != 'brief':
-        whole = one.body.endswith(b' for north') or one.body.endswith(
+        has_result = one.body.endswith(b' for north') or one.body.endswith(
             b' for south'
         )
-        if one.whole and not (whole and ran):
-            return [f'has the answer {one.body!r} and ran {ran} times']
+        if one.complete and not (has_result and ran):
+            return [f'got the response {one.body!r} and ran {ran} times']
         return []
-    if one.whole and one.body != DRAFT:
-        return [f'has a draft of {len(one.body)} bytes that looks whole']
+    if one.complete and one.body != DRAFT:
+        return [f'got a draft of {len(one.body)} bytes that ended as complete']
     if not DRAFT.startswith(one.body):
-        return ['has events that are missing, doubled or out of order']
+        return ['got events that are missing, duplicated or out of order']
     return []
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""The faults of a soak, drawn at random, in series and overlapping."""
+"""Faults of the soak test, drawn at random, sequential and overlapping."""
 
 from __future__ import annotations
 
@@ -16,96 +16,100 @@
 
     from tests.soak import world as world_module
 
-MAX_AT_ONCE = 3
-"""Faults that last at the same time."""
+MAX_CONCURRENT_FAULTS = 3
+"""Bound on the number of concurrent faults."""
 
-MEAN_PAUSE_S = 0.5
+MEAN_FAULT_INTERVAL_S = 0.5
 
 
 class Faults:
-    """Draws faults and carries them out.
+    """Draws random faults and injects them.
 
     Parameters
     ----------
     world : world_module.World
-        The processes.
+        Processes and proxies that the faults affect.
     """
 
     def __init__(self, world: world_module.World) -> None:
         self._world = world
         self._random = world.random
         self._tasks: set[asyncio.Task[None]] = set()
-        self._engines = 0
+        self._added_engines = 0
         self.drawn: list[str] = []
         self._kinds: dict[str, Callable[[], Awaitable[None]]] = {
             'kill': self._kill,
-            'stop': self._stop,
-            'pause': self._pause,
-            'hang_up': self._hang_up,
-            'pause_store': self._pause_store,
+            'stop': self._terminate,
+            'pause': self._suspend,
+            'hang_up': self._send_hangup,
+            'pause_store': self._suspend_store,
             'store_busy': self._break_store,
             'store_history': self._drop_history,
-            'store_link': self._trouble_store_link,
-            'caller_link': self._trouble_caller_link,
-            'reset': self._reset,
+            'store_link': self._disturb_store_link,
+            'caller_link': self._disturb_caller_link,
+            'reset': self._reset_connections,
             'engine_lost': self._lose_engine,
             'engine_leaves': self._drain_engine,
             'answers_lost': self._lose_answers,
-            'configuration': self._configure,
+            'configuration': self._publish_configuration,
         }
 
     async def inject(self, seconds: float) -> None:
-        """Inject faults for a while and let all of them end."""
+        """Inject faults for a period and wait until all have ended."""
         end = asyncio.get_running_loop().time() + seconds
         while asyncio.get_running_loop().time() < end:
-            await asyncio.sleep(self._random.expovariate(1 / MEAN_PAUSE_S))
-            self._world.note_exits()
-            if len(self._tasks) < MAX_AT_ONCE:
+            await asyncio.sleep(
+                self._random.expovariate(1 / MEAN_FAULT_INTERVAL_S)
+            )
+            self._world.record_exits()
+            if len(self._tasks) < MAX_CONCURRENT_FAULTS:
                 kind = self._random.choice(sorted(self._kinds))
                 self.drawn.append(kind)
-                task = asyncio.create_task(self._carry_out(kind))
+                task = asyncio.create_task(self._inject_fault(kind))
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
         await asyncio.gather(*self._tasks)
 
-    async def _carry_out(self, kind: str) -> None:
+    async def _inject_fault(self, kind: str) -> None:
         try:
             await self._kinds[kind]()
         except (OSError, urllib.error.URLError) as error:
-            # A stand-in that another fault has paused took no order.
-            self.drawn.append(f'{kind} not done: {error}')
+            # A stand-in that another fault suspended rejects control requests.
+            self.drawn.append(f'{kind} failed: {error}')
 
     def _draw_entry(self) -> str | None:
-        free = sorted(set(self._world.entries) - self._world.busy)
-        # One is left alone, so that callers find somebody.
-        return self._random.choice(free) if len(free) > 1 else None
+        available = sorted(
+            set(self._world.entries) - self._world.entries_in_fault
+        )
+        # One entry stays without a fault, so that callers can be served.
+        return self._random.choice(available) if len(available) > 1 else None
 
     async def _kill(self) -> None:
         name = self._draw_entry()
         if name:
             await self._world.kill(name)
 
-    async def _stop(self) -> None:
+    async def _terminate(self) -> None:
         name = self._draw_entry()
         if name:
             await self._world.terminate(name)
 
-    async def _pause(self) -> None:
+    async def _suspend(self) -> None:
         name = self._draw_entry()
         if name:
-            self._world.busy.add(name)
-            await self._world.pause(self._world.entries[name].popen)
-            self._world.busy.discard(name)
+            self._world.entries_in_fault.add(name)
+            await self._world.suspend(self._world.entries[name].popen)
+            self._world.entries_in_fault.discard(name)
 
-    async def _hang_up(self) -> None:
+    async def _send_hangup(self) -> None:
         name = self._draw_entry()
         if name:
             popen = self._world.entries[name].popen
             with contextlib.suppress(ProcessLookupError):
                 popen.send_signal(signal.SIGHUP)
 
-    async def _pause_store(self) -> None:
-        await self._world.pause(self._world.deployment.store.popen)
+    async def _suspend_store(self) -> None:
+        await self._world.suspend(self._world.deployment.store.popen)
 
     async def _break_store(self) -> None:
         mode = self._random.choice(('busy', 'silent'))
@@ -116,57 +120,59 @@
     async def _drop_history(self) -> None:
         await self._control_store(drop_history=True)
 
-    async def _control_store(self, **orders: typing.Any) -> None:
+    async def _control_store(self, **settings: typing.Any) -> None:
         await asyncio.to_thread(
-            lambda: self._world.deployment.control_store(**orders)
+            lambda: self._world.deployment.control_store(**settings)
         )
 
-    async def _control(self, **orders: typing.Any) -> None:
+    async def _control(self, **settings: typing.Any) -> None:
         await asyncio.to_thread(
-            lambda: self._world.deployment.control(**orders)
+            lambda: self._world.deployment.control(**settings)
         )
 
-    async def _trouble_store_link(self) -> None:
+    async def _disturb_store_link(self) -> None:
         name = self._random.choice(sorted(self._world.to_store))
-        await self._trouble(self._world.to_store[name])
+        await self._disturb(self._world.to_store[name])
 
-    async def _trouble_caller_link(self) -> None:
+    async def _disturb_caller_link(self) -> None:
         name = self._random.choice(sorted(self._world.to_entry))
-        await self._trouble(self._world.to_entry[name])
+        await self._disturb(self._world.to_entry[name])
 
-    async def _trouble(self, proxy: proxies.Proxy) -> None:
-        proxy.trouble = self._random.choice(
+    async def _disturb(self, proxy: proxies.Proxy) -> None:
+        proxy.link_fault = self._random.choice(
             (
-                proxies.Trouble(delay_s=self._random.uniform(0.02, 0.3)),
-                proxies.Trouble(holds_up=True),
-                proxies.Trouble(holds_down=True),
-                proxies.Trouble(holds_up=True, holds_down=True),
+                proxies.LinkFault(delay_s=self._random.uniform(0.02, 0.3)),
+                proxies.LinkFault(blocks_upstream=True),
+                proxies.LinkFault(blocks_downstream=True),
+                proxies.LinkFault(
+                    blocks_upstream=True, blocks_downstream=True
+                ),
             )
         )
         await asyncio.sleep(self._random.uniform(0.5, 4.0))
-        proxy.trouble = proxies.Trouble()
+        proxy.link_fault = proxies.LinkFault()
 
-    async def _reset(self) -> None:
-        every = (
+    async def _reset_connections(self) -> None:
+        all_proxies = (
             *self._world.to_store.values(),
             *self._world.to_entry.values(),
         )
-        for proxy in every:
+        for proxy in all_proxies:
             if self._random.random() < 0.5:
                 proxy.reset()
 
     async def _lose_engine(self) -> None:
-        """Let an engine vanish; another one comes a little later."""
-        held = await asyncio.to_thread(self._world.deployment.read_fleet)
-        name = self._random.choice(sorted(held['servers']))
+        """Kill an engine and add another one after a delay."""
+        fleet = await asyncio.to_thread(self._world.deployment.read_fleet)
+        name = self._random.choice(sorted(fleet['servers']))
         await self._control(kill=name)
         await asyncio.sleep(self._random.uniform(0.5, 3.0))
         await self._control(delete=f'servers/{name}')
         await self._add_engine(name.split('-')[0])
 
     async def _drain_engine(self) -> None:
-        held = await asyncio.to_thread(self._world.deployment.read_fleet)
-        name = self._random.choice(sorted(held['servers']))
+        fleet = await asyncio.to_thread(self._world.deployment.read_fleet)
+        name = self._random.choice(sorted(fleet['servers']))
         await self._add_engine(name.split('-')[0])
         await self._control(drain=name)
         await asyncio.sleep(3.0)
@@ -174,12 +180,12 @@
         await self._control(delete=f'servers/{name}')
 
     async def _add_engine(self, domain: str) -> None:
-        self._engines += 1
-        await self._control(add=f'{domain}-{100 + self._engines}')
+        self._added_engines += 1
+        await self._control(add=f'{domain}-{100 + self._added_engines}')
 
     async def _lose_answers(self) -> None:
         await self._control(lose_answers=self._random.randint(1, 3))
 
-    async def _configure(self) -> None:
-        south = self._random.random() < 0.5
-        await asyncio.to_thread(lambda: self._world.configure(south))
+    async def _publish_configuration(self) -> None:
+        include_south = self._random.random() < 0.5
+        await asyncio.to_thread(lambda: self._world.configure(include_south))
--- a/tests/soak/proxies.py
+++ b/tests/soak/proxies.py
@@ -1,4 +1,4 @@
-"""Loopback proxies that delay, reset, cut one way or silence connections."""
+"""Loopback proxies that delay, reset or block connections."""
 
 from __future__ import annotations
 
@@ -8,45 +8,45 @@
 import attrs
 
 CHUNK_BYTES = 65_536
-WAIT_S = 0.02
+POLL_S = 0.02
 
 
 @attrs.define
-class Trouble:
-    """What a proxy does to the bytes of all its connections.
+class LinkFault:
+    """Fault that a proxy applies to the bytes of all its connections.
 
     Attributes
     ----------
     delay_s : float
-        Time by which each piece comes later.
-    holds_up, holds_down : bool
-        Whether bytes towards the server, or from it, stay in the proxy.
+        Delay of each chunk, in seconds.
+    blocks_upstream, blocks_downstream : bool
+        Whether the proxy retains bytes to the server, or from it.
     """
 
     delay_s: float = 0.0
-    holds_up: bool = False
-    holds_down: bool = False
+    blocks_upstream: bool = False
+    blocks_downstream: bool = False
 
 
 class Proxy:
-    """One listener before one address.
+    """Listener that forwards connections to one address.
 
     Parameters
     ----------
     target : str
-        ``ip:port`` behind it.
+        Address of the server as ``ip:port``.
     """
 
     def __init__(self, target: str) -> None:
         self._target = target
         self._server: asyncio.Server | None = None
-        self._open: set[asyncio.StreamWriter] = set()
+        self._writers: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        self.trouble = Trouble()
+        self.link_fault = LinkFault()
         self.address = ''
 
     async def start(self) -> None:
-        """Listen on a port that the system chooses."""
+        """Listen on a port that the operating system assigns."""
         self._server = await asyncio.start_server(self._serve, '127.0.0.1', 0)
         port = self._server.sockets[0].getsockname()[1]
         self.address = f'127.0.0.1:{port}'
@@ -62,7 +62,7 @@
 
     def reset(self) -> None:
         """Reset every open connection."""
-        for writer in list(self._open):
+        for writer in list(self._writers):
             writer.transport.abort()
 
     async def _serve(
@@ -72,37 +72,43 @@
         task = asyncio.current_task()
         assert task is not None
         self._tasks.add(task)
-        self._open.add(writer)
-        behind: asyncio.StreamWriter | None = None
+        self._writers.add(writer)
+        server_writer: asyncio.StreamWriter | None = None
         try:
-            answers, behind = await asyncio.open_connection(ip, int(port))
-            self._open.add(behind)
+            server_reader, server_writer = await asyncio.open_connection(
+                ip, int(port)
+            )
+            self._writers.add(server_writer)
             await asyncio.gather(
-                self._pass(reader, behind, up=True),
-                self._pass(answers, writer, up=False),
+                self._forward(reader, server_writer, upstream=True),
+                self._forward(server_reader, writer, upstream=False),
             )
         except (OSError, asyncio.CancelledError):
-            # Either side has gone, or the soak ends: the other one is told
-            # by a reset.
+            # When either side is gone or the test ends, the other side gets
+            # a reset.
             pass
         finally:
             self._tasks.discard(task)
-            for one in (writer, behind):
+            for one in (writer, server_writer):
                 if one is not None:
-                    self._open.discard(one)
+                    self._writers.discard(one)
                     one.transport.abort()
 
-    async def _pass(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        up: bool,
+        upstream: bool,
     ) -> None:
         while chunk := await reader.read(CHUNK_BYTES):
-            if self.trouble.delay_s:
-                await asyncio.sleep(self.trouble.delay_s)
-            while self.trouble.holds_up if up else self.trouble.holds_down:
-                await asyncio.sleep(WAIT_S)
+            if self.link_fault.delay_s:
+                await asyncio.sleep(self.link_fault.delay_s)
+            while (
+                self.link_fault.blocks_upstream
+                if upstream
+                else self.link_fault.blocks_downstream
+            ):
+                await asyncio.sleep(POLL_S)
             writer.write(chunk)
             await writer.drain()
         with contextlib.suppress(OSError):
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""A short seeded run of the soak, and its checks against broken histories."""
+"""A short seeded soak run, and its checks on invalid histories."""
 
 from __future__ import annotations
 
@@ -16,11 +16,12 @@
 
 
 class SoakTest(unittest.TestCase):
-    def test_promises_hold_while_real_processes_fail(self):
-        """Entries are killed, paused and stopped.
+    def test_guarantees_hold_while_processes_fail(self):
+        """Entries are killed, suspended and stopped.
 
-        Links go silent, the store is away, engines vanish. Callers would
-        see doubled holds, torn drafts, or refusals for what has run.
+        Links block, the store fails and engines exit. Without correct
+        handling, holds run twice, drafts are incomplete, or requests that
+        ran are refused.
         """
         for seed in SEEDS:
             with self.subTest(seed=seed):
@@ -30,9 +31,9 @@
 
 
 class CheckTest(unittest.TestCase):
-    """Each check finds the history that it is there for."""
+    """Each check must find the violation that it covers."""
 
-    def build(self, kind='hold', **changes):
+    def build_request(self, kind='hold', **changes):
         values = {
             'id': 'one',
             'kind': kind,
@@ -41,44 +42,64 @@
             'sent_at': 100.0,
             'status': 200,
             'body': checks.DRAFT if kind == 'brief' else b'a-9 for north',
-            'whole': True,
+            'complete': True,
             'signed': True,
         }
         values.update(changes)
-        return callers.Sending(**values)
+        return callers.SentRequest(**values)
 
-    def check(self, sending, ran=1, revoked_at=None):
-        return checks.check_sendings([sending], {'one': ran}, revoked_at)
+    def find_violations(self, request, ran=1, revoked_at=None):
+        return checks.check_requests([request], {'one': ran}, revoked_at)
 
-    def test_sound_histories_pass(self):
+    def test_valid_histories_pass(self):
         for kind in ('hold', 'read', 'brief'):
-            self.assertEqual([], self.check(self.build(kind)))
-        self.assertEqual([], self.check(self.build(status=503), 0))
-        cut = self.build('brief', body=checks.DRAFT[:100], whole=False)
-        self.assertEqual([], self.check(cut, 2))
+            self.assertEqual(
+                [], self.find_violations(self.build_request(kind))
+            )
+        self.assertEqual(
+            [], self.find_violations(self.build_request(status=503), 0)
+        )
+        incomplete = self.build_request(
+            'brief', body=checks.DRAFT[:100], complete=False
+        )
+        self.assertEqual([], self.find_violations(incomplete, 2))
 
-    def test_broken_histories_are_found(self):
-        words = checks.WORDS
-        gap = words[0] + words[2]
-        twice = words[0] + words[0]
+    def test_invalid_histories_are_found(self):
+        events = checks.DRAFT_EVENTS
+        gap = events[0] + events[2]
+        duplicate = events[0] + events[0]
         table = (
-            ('doubled hold', self.build(), 2),
-            ('refused and run', self.build(status=503), 1),
-            ('no signature', self.build(signed=False), 1),
-            ('answer of nobody', self.build(body=b'x for north'), 0),
-            ('short draft', self.build('brief', body=words[0]), 1),
-            ('gap', self.build('brief', body=gap, whole=False), 1),
-            ('twice', self.build('brief', body=twice, whole=False), 1),
+            ('hold ran twice', self.build_request(), 2),
+            ('refused and ran', self.build_request(status=503), 1),
+            ('no signature', self.build_request(signed=False), 1),
+            (
+                'response without execution',
+                self.build_request(body=b'x for north'),
+                0,
+            ),
+            (
+                'incomplete draft',
+                self.build_request('brief', body=events[0]),
+                1,
+            ),
+            ('gap', self.build_request('brief', body=gap, complete=False), 1),
+            (
+                'duplicate',
+                self.build_request('brief', body=duplicate, complete=False),
+                1,
+            ),
         )
-        for name, sending, ran in table:
+        for name, request, ran in table:
             with self.subTest(name):
-                self.assertEqual(1, len(self.check(sending, ran)))
+                self.assertEqual(1, len(self.find_violations(request, ran)))
 
-    def test_a_withdrawn_key_that_still_works_is_found(self):
-        sending = self.build(
+    def test_use_of_a_withdrawn_key_is_found(self):
+        request = self.build_request(
             key=callers.SOUTH_KEY, body=b'a-9 for south', sent_at=100.0
         )
-        self.assertEqual([], self.check(sending, 1, revoked_at=96.0))
-        self.assertEqual(1, len(self.check(sending, 1, revoked_at=94.0)))
-        denied = attrs.evolve(sending, status=401)
-        self.assertEqual([], self.check(denied, 0, revoked_at=94.0))
+        self.assertEqual([], self.find_violations(request, 1, revoked_at=96.0))
+        self.assertEqual(
+            1, len(self.find_violations(request, 1, revoked_at=94.0))
+        )
+        denied = attrs.evolve(request, status=401)
+        self.assertEqual([], self.find_violations(denied, 0, revoked_at=94.0))
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -1,4 +1,4 @@
-"""The processes of a soak, with a proxy before each connection kind."""
+"""Processes of the soak test, with proxies on the links between them."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
     from tools import processes
 
 DOMAINS = ('a', 'b')
-GRACE_S = 8.0
+STOP_GRACE_S = 8.0
 STOP_SLACK_S = 1.5
 
 
 class World:
-    """Store, fleet, entries and proxies.
+    """Store, fleet, entries, and the proxies in front of store and entries.
 
     Parameters
     ----------
     running : processes.Processes
-        Starts processes, and ends them by id.
+        Starts processes and stops them by process id.
     source : random.Random
         Source of every random choice.
     entries : int
@@ -39,12 +39,12 @@
 
     def __init__(
         self,
-        running: processes.Processes,
+        scope: processes.Processes,
         source: random.Random,
         entries: int,
     ) -> None:
         self.random = source
-        self.deployment = deployment.Deployment(running)
+        self.deployment = deployment.Deployment(scope)
         self._count = entries
         self.to_store: dict[str, proxies.Proxy] = {}
         self.to_entry: dict[str, proxies.Proxy] = {}
@@ -53,11 +53,11 @@
         self.keys = [kv_fleet.KEY]
         self.revoked_at: float | None = None
         self.problems: list[str] = []
-        self.busy: set[str] = set()
+        self.entries_in_fault: set[str] = set()
 
     async def start(self) -> None:
-        """Start everything and wait until all serve."""
-        self.configure(south=True)
+        """Start entries and proxies and publish a first configuration."""
+        self.configure(include_south=True)
         for number in range(self._count):
             name = f'entry-{number}'
             self.to_store[name] = proxies.Proxy(self.deployment.store_address)
@@ -75,90 +75,103 @@
             await proxy.stop()
 
     def list_entries(self) -> dict[str, str]:
-        """List the addresses for callers, by name."""
+        """Return the addresses of entries for callers, by entry name."""
         return {name: proxy.address for name, proxy in self.to_entry.items()}
 
-    def configure(self, south: bool) -> None:
-        """Write a configuration with or without the second key."""
+    def configure(self, include_south: bool) -> None:
+        """Publish a configuration with or without the second API key."""
         self.version += 1
         document = kv_fleet.build_configuration(self.version)
-        if south:
+        if include_south:
             workspace = {'name': 'south', 'api_keys': [callers.SOUTH_KEY]}
             document['tenants'].append(workspace)
         self.deployment.control(put='op/config', document=document)
-        self.revoked_at = None if south else time.monotonic()
+        self.revoked_at = None if include_south else time.monotonic()
 
     async def wait_until_served(self, timeout_s: float) -> str:
-        """Wait until all entries serve; returns what is missing, or ''."""
+        """Wait until all entries serve.
+
+        Returns
+        -------
+        str
+            Reason why an entry does not serve at the timeout, or empty.
+        """
         end = time.monotonic() + timeout_s
-        missing = ''
+        reason = ''
         while time.monotonic() < end:
-            missing = await asyncio.to_thread(self._find_missing)
-            if not missing:
+            reason = await asyncio.to_thread(self._find_unserved_reason)
+            if not reason:
                 return ''
             await asyncio.sleep(0.1)
-        return missing
+        return reason
 
-    def _find_missing(self) -> str:
+    def _find_unserved_reason(self) -> str:
         for name, entry in self.entries.items():
             if entry.popen.poll() is not None:
-                return f'{name} does not run'
+                return f'{name} is not running'
             if not entry.is_ready():
                 return f'{name} is not ready'
         addresses = {one.callers for one in self.entries.values()}
         for name, entry in self.entries.items():
             try:
-                named = set(entry.look_up(DOMAINS[0]))
-                named |= set(entry.look_up(DOMAINS[1]))
+                returned = set(entry.look_up(DOMAINS[0]))
+                returned |= set(entry.look_up(DOMAINS[1]))
             except OSError as error:
-                return f'{name} answers no lookup: {error}'
-            if named != addresses:
-                return f'{name} names {sorted(named)}'
+                return f'{name} fails a lookup: {error}'
+            if returned != addresses:
+                return f'{name} returns the addresses {sorted(returned)}'
         return ''
 
-    def note_exits(self) -> None:
-        """Note entries that ended by themselves."""
+    def record_exits(self) -> None:
+        """Record entries that exited without a fault, and restart them."""
         for name, entry in self.entries.items():
-            if name not in self.busy and entry.popen.poll() is not None:
+            if (
+                name not in self.entries_in_fault
+                and entry.popen.poll() is not None
+            ):
                 code = entry.popen.returncode
-                self.problems.append(f'{name} ended by itself with {code}')
+                self.problems.append(
+                    f'{name} exited without a fault with code {code}'
+                )
                 self.deployment.restart(entry)
 
     async def kill(self, name: str) -> None:
-        """Kill an entry and start it again."""
-        self.busy.add(name)
+        """Kill an entry and restart it after a delay."""
+        self.entries_in_fault.add(name)
         entry = self.entries[name]
         entry.popen.kill()
         await asyncio.to_thread(entry.popen.wait)
         await asyncio.sleep(self.random.uniform(0.05, 1.0))
         self.deployment.restart(entry)
-        self.busy.discard(name)
+        self.entries_in_fault.discard(name)
 
     async def terminate(self, name: str) -> None:
-        """Stop an entry as planned and start it again."""
-        self.busy.add(name)
+        """Stop an entry with SIGTERM, check its exit and restart it."""
+        self.entries_in_fault.add(name)
         entry = self.entries[name]
         began = time.monotonic()
         entry.popen.terminate()
         try:
             code = await asyncio.to_thread(
-                entry.popen.wait, GRACE_S + STOP_SLACK_S
+                entry.popen.wait, STOP_GRACE_S + STOP_SLACK_S
             )
-            # Before it has started, a signal ends it as it ends any program;
-            # it serves nobody then.
-            early = code == -signal.SIGTERM and not entry.has_started()
-            if code != 0 and not early:
-                self.problems.append(f'{name} stopped with {code}')
+            # During its start an entry has no signal handler yet, and serves
+            # no caller.
+            during_start = code == -signal.SIGTERM and not entry.has_started()
+            if code != 0 and not during_start:
+                self.problems.append(f'{name} stopped with code {code}')
         except subprocess.TimeoutExpired:
-            took = time.monotonic() - began
-            self.problems.append(f'{name} had not stopped after {took:.1f} s')
+            duration_s = time.monotonic() - began
+            self.problems.append(
+                f'{name} was still running {duration_s:.1f} s after SIGTERM'
+            )
             entry.popen.kill()
             await asyncio.to_thread(entry.popen.wait)
         self.deployment.restart(entry)
-        self.busy.discard(name)
+        self.entries_in_fault.discard(name)
 
-    async def pause(self, popen: subprocess.Popen[bytes]) -> None:
-        """Stop a process with a signal and let it go on."""
+    async def suspend(self, popen: subprocess.Popen[bytes]) -> None:
+        """Suspend a process with SIGSTOP and resume it after a delay."""
         with contextlib.suppress(ProcessLookupError):
             popen.send_signal(signal.SIGSTOP)
             try:
