--- a/tests/processes/__init__.py
+++ b/tests/processes/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package processes."""
+"""Tests with entries and back ends as separate processes."""
--- a/tests/processes/builders.py
+++ b/tests/processes/builders.py
@@ -1,4 +1,4 @@
-"""A few entries and engines as processes, with one model between them."""
+"""Clusters of entries and engine processes that serve one model."""
 
 from __future__ import annotations
 
@@ -16,15 +16,19 @@
 LAYERS = 16
 PATH = f'/v1/workspaces/{WORKSPACE}/models/{MODEL}/generate'
 _HALVES = {'head': (0, 8), 'tail': (8, LAYERS)}
-_LIMIT = 100_000
+_HIGH_LIMIT = 100_000
 _DOMAINS = ('perth-a', 'perth-b', 'perth-c')
 _JOIN_TIMEOUT_S = 10.0
-_MOST_SENDS = 30
+_MAX_ATTEMPTS = 30
 _UNAVAILABLE = 503
 
 
 class Cluster:
-    """Entries and engines; an engine's name ends in its half."""
+    """Entries, engines and a platform as processes.
+
+    An engine's name ends in ``head`` or ``tail``, the half of the model's
+    layers that it holds.
+    """
 
     def __init__(self, scope, entries, engines, step_ms=4):
         self.scope = scope
@@ -73,9 +77,9 @@
             'name': WORKSPACE,
             'models': [MODEL],
             'limits': {
-                'requests_per_s': _LIMIT,
-                'tokens_per_s': _LIMIT * 100,
-                'concurrency': _LIMIT,
+                'requests_per_s': _HIGH_LIMIT,
+                'tokens_per_s': _HIGH_LIMIT * 100,
+                'concurrency': _HIGH_LIMIT,
             },
         }
         stages = []
@@ -101,7 +105,7 @@
         }
 
     def wait_joined(self):
-        """Wait until each entry lists all of them."""
+        """Wait until each entry lists all entries."""
         end = time.monotonic() + _JOIN_TIMEOUT_S
         for entry in self.entries:
             while time.monotonic() < end:
@@ -111,30 +115,30 @@
                     break
                 time.sleep(0.1)
 
-    async def order(self, name, **orders):
-        """Give an engine a control order."""
+    async def control(self, name, **settings):
+        """Set faults of an engine through its control endpoint."""
         url = self.engines[name].ready['url'] + '/control'
-        await requester.send_async('POST', url, json.dumps(orders).encode())
+        await requester.send_async('POST', url, json.dumps(settings).encode())
 
     async def read_counts(self, name):
-        """Return what an engine computed."""
+        """Return the requests and token indexes that an engine computed."""
         url = self.engines[name].ready['url'] + '/control/counts'
         answer = await requester.send_async('GET', url)
         return answer.read_json()
 
-    def list_dead(self):
-        """Return the names of the engines whose process ended."""
+    def list_exited(self):
+        """Return the names of the engines whose process has exited."""
         return [
             name
             for name, engine in self.engines.items()
             if engine.popen.poll() is not None
         ]
 
-    async def ask(self, prompt, entry=0, on_chunk=None, **members):
-        """Send one request for text, again when told to come back."""
-        body = {'prompt': prompt, 'max_tokens': 40, **members}
+    async def generate(self, prompt, entry=0, on_chunk=None, **fields):
+        """Send one generate request; retry it when a limit refuses it."""
+        body = {'prompt': prompt, 'max_tokens': 40, **fields}
         url = self.entries[entry % len(self.entries)].ready['callers']
-        for _ in range(_MOST_SENDS):
+        for _ in range(_MAX_ATTEMPTS):
             answer = await requester.send_async(
                 'POST',
                 url + PATH,
@@ -144,39 +148,42 @@
             refused = b'"Refused for its ' in answer.body
             if answer.status != _UNAVAILABLE or not refused:
                 break
-            # An entry gets its share of a limit when it is first used, and
-            # takes less of a model that was slow a moment ago.
+            # An entry receives its share of a limit on first use, and admits
+            # fewer requests to a model that was slow a moment ago.
             wait_ms = answer.read_json()['retry_after_ms']
             await asyncio.sleep(wait_ms / 1000)
         return answer
 
-    async def ask_many(self, prompts, **members):
-        """Send requests at once, spread over the entries."""
+    async def generate_many(self, prompts, **fields):
+        """Send requests concurrently, spread over the entries."""
         return await asyncio.gather(
             *(
-                self.ask(prompt, number, **members)
+                self.generate(prompt, number, **fields)
                 for number, prompt in enumerate(prompts)
             )
         )
 
 
 def open_cluster(add_cleanup, entries, engines, **options):
-    """Start a cluster that ends with its test; not from a running loop."""
+    """Start a cluster that is stopped by the test's cleanup.
+
+    Must not be called from a running event loop.
+    """
     scope = processes.open_processes()
     opened = scope.__enter__()
     add_cleanup(scope.__exit__, None, None, None)
     return Cluster(opened, entries, engines, **options)
 
 
-def compute_text(prompt, count):
-    """Return the tokens that a caller must get."""
+def compute_expected_tokens(prompt, count):
+    """Return the tokens that the caller must receive."""
     return [
         engine_stage.compute_token(prompt, place) for place in range(count)
     ]
 
 
-def check_whole(case, prompt, answer, count=40):
-    """Check that a stream is exactly the answer of its prompt."""
+def check_complete(case, prompt, answer, count=40):
+    """Check that a stream holds exactly the tokens of its prompt."""
     case.assertEqual(answer.status, 200, answer.body)
     events = requester.read_events(answer.body)
     texts = []
@@ -185,4 +192,4 @@
         case.assertEqual(data['first_index'], len(texts))
         texts.extend(data['texts'])
     case.assertEqual(events[-1], ('end', {'count': count}))
-    case.assertEqual(texts, compute_text(prompt, count))
+    case.assertEqual(texts, compute_expected_tokens(prompt, count))
--- a/tests/processes/deployment.py
+++ b/tests/processes/deployment.py
@@ -1,4 +1,4 @@
-"""A small deployment of processes: platform, plain services and entries."""
+"""Deployments of a platform, plain services and entries as processes."""
 
 from __future__ import annotations
 
@@ -41,10 +41,10 @@
 WAIT_S = 15.0
 POLL_S = 0.03
 KEY_AHEAD_MS = 20_000
-"""Keys lie this far ahead, so that none counts as sent before because a busy
-machine took half a second to send it."""
+"""Keys carry a time this far ahead, so that none counts as sent earlier when
+a busy machine takes half a second to send it."""
 
-_APPLIED = re.compile(r'event=configuration_applied.* version=(\d+)')
+_APPLIED_VERSION = re.compile(r'event=configuration_applied.* version=(\d+)')
 _random = random.Random(20)
 
 Document = dict[str, typing.Any]
@@ -52,7 +52,7 @@
 
 @attrs.frozen
 class Reply:
-    """What a caller was told of an action.
+    """Response to an action as its caller received it.
 
     Attributes
     ----------
@@ -61,11 +61,11 @@
     outcome : str
         ``done``, ``not run`` or ``unknown``.
     body : bytes
-        Whole body.
+        Complete body.
     headers : dict of str to str
-        Headers of the answer.
+        Headers of the response.
     key_checked : bool or None
-        As the problem says.
+        ``key_checked`` of the problem; None when it has none.
     """
 
     status: int
@@ -77,14 +77,14 @@
 
 @attrs.define
 class Deployment:
-    """Processes of one test, and what its callers and operators do."""
+    """Processes of one test, with requests of its callers and operators."""
 
     scope: processes.Processes
     platform: processes.Process
     services: tuple[processes.Process, ...]
     entries: list[processes.Process]
 
-    async def act(
+    async def send_action(
         self,
         entry: int,
         key: str,
@@ -97,7 +97,7 @@
         Raises
         ------
         ConnectionError
-            When no whole answer came.
+            When no complete response arrived.
         """
         path = f'/v1/workspaces/{WORKSPACE}/services/{SERVICE}/{operation}'
         headers = {'Idempotency-Key': key}
@@ -110,7 +110,7 @@
             raise ConnectionError(str(error)) from error
         return _read_reply(answer)
 
-    async def mint_key(self, entry: int) -> str:
+    async def create_bound_key(self, entry: int) -> str:
         """Return a key bound to an entry."""
         path = f'/v1/workspaces/{WORKSPACE}/keys'
         url = self.entries[entry].ready['callers'] + path
@@ -118,74 +118,76 @@
         key: str = answer.read_json()['key']
         return key
 
-    async def act_until_done(
+    async def send_until_done(
         self,
         key: str,
-        through: Sequence[int] = (),
+        entry_numbers: Sequence[int] = (),
         **options: typing.Any,
     ) -> Reply:
-        """Send a key again and again, by turns, until it is answered."""
+        """Send a key through entries in rotation until its outcome is done."""
         replies: list[Reply] = []
-        entries = through or range(len(self.entries))
+        entries = entry_numbers or range(len(self.entries))
 
         async def is_done() -> bool:
             entry = entries[len(replies) % len(entries)]
             replies.append(
-                await self.act(entry, key, resent=bool(replies), **options)
+                await self.send_action(
+                    entry, key, resent=bool(replies), **options
+                )
             )
             return replies[-1].outcome == 'done'
 
-        await wait_until(is_done, f'key {key} runs')
+        await wait_until(is_done, f'key {key} is done')
         return replies[-1]
 
     async def set_faults(self, **faults: typing.Any) -> None:
         """Replace the faults of the platform."""
-        await _order(self.platform, 'faults', faults)
+        await _post_control(self.platform, 'faults', faults)
 
     async def set_behaviour(self, **behaviour: typing.Any) -> None:
         """Replace the behaviour of all services."""
         for service in self.services:
-            await _order(service, 'behaviour', behaviour)
+            await _post_control(service, 'behaviour', behaviour)
 
-    async def count_platform(self, kind: str) -> int:
-        """Return the number of the platform's calls of a kind."""
-        counts = await _read(self.platform, '/control/counts')
+    async def count_platform_calls(self, kind: str) -> int:
+        """Return the number of calls of a kind that the platform received."""
+        counts = await _get_json(self.platform, '/control/counts')
         return int(counts.get(kind, 0))
 
     async def count_executions(self, key: str) -> int:
-        """Add up how often the services executed a key."""
+        """Return how often all services together executed a key."""
         return (await self.read_executions())[key]
 
     async def read_executions(self) -> collections.Counter[str]:
-        """Add up how often the services executed each key."""
+        """Return how often all services together executed each key."""
         found: collections.Counter[str] = collections.Counter()
         for one in await self._read_counts():
             found.update(one['executions'])
         return found
 
     async def count_calls(self) -> int:
-        """Add up all calls that reached the services."""
+        """Return the number of calls that reached the services."""
         counts = await self._read_counts()
         return sum(one['calls'] for one in counts)
 
     async def _read_counts(self) -> list[Document]:
-        """Read what the services that still run have counted."""
+        """Return the counts of the services that still run."""
         return [
-            await _read(one, '/control/counts')
+            await _get_json(one, '/control/counts')
             for one in self.services
             if one.popen.poll() is None
         ]
 
-    async def count_running(self) -> int:
-        """Add up the calls that the services carry out now."""
-        loads = [await _read(one, '/v1/load') for one in self.services]
+    async def count_running_calls(self) -> int:
+        """Return the number of calls in flight at the services."""
+        loads = [await _get_json(one, '/v1/load') for one in self.services]
         return sum(one['running'] for one in loads)
 
     async def wait_idle(self) -> None:
-        """Wait until no service carries out a call."""
+        """Wait until no service has a call in flight."""
 
         async def is_idle() -> bool:
-            return await self.count_running() == 0
+            return await self.count_running_calls() == 0
 
         await wait_until(is_idle, 'services are idle')
 
@@ -196,42 +198,44 @@
         documents: list[Document],
         base_version: int = 0,
     ) -> requester.Answer:
-        """Publish documents through an entry under an id of this name."""
+        """Publish documents through an entry under a publication id."""
         body = {
             'id': name,
             'author': 'test',
             'base_version': base_version,
             'documents': documents,
         }
-        return await self._ask_operators(
+        return await self._request_operator_api(
             entry, 'POST', 'publications', json.dumps(body).encode()
         )
 
     async def read_configuration(self, entry: int) -> Document:
-        """Return version and history as an entry knows them."""
-        answer = await self._ask_operators(entry, 'GET', 'configuration')
+        """Return the configuration version and history of an entry."""
+        answer = await self._request_operator_api(
+            entry, 'GET', 'configuration'
+        )
         read: Document = answer.read_json()
         return read
 
     async def read_version(self, entry: int) -> int:
-        """Return the version in force at an entry."""
+        """Return the configuration version that an entry applies."""
         return int((await self.read_configuration(entry))['version'])
 
     async def wait_version(self, entry: int, version: int) -> None:
-        """Wait until an entry has a version in force."""
+        """Wait until an entry applies a version or a later one."""
 
-        async def is_there() -> bool:
+        async def is_applied() -> bool:
             return await self.read_version(entry) >= version
 
-        await wait_until(is_there, f'version {version} at entry {entry}')
+        await wait_until(is_applied, f'version {version} at entry {entry}')
 
     def read_applied(self, entry: int) -> list[int]:
-        """Return the versions that an entry logged as put in force."""
-        found = _APPLIED.findall(self.entries[entry].read_log())
+        """Return the versions that an entry logged as applied, in order."""
+        found = _APPLIED_VERSION.findall(self.entries[entry].read_log())
         return [int(version) for version in found]
 
     async def read_value(self, key: str) -> bytes:
-        """Return what the platform holds under a key; nothing if nothing."""
+        """Return the platform's value of a key; empty when there is none."""
         name = parse.quote(f'{client.PREFIX}{key}', safe='')
         answer = await requester.send_async(
             'GET', f'{self.platform.ready["url"]}/v1/kv-key?key={name}'
@@ -241,10 +245,10 @@
         return base64.b64decode(answer.read_json()['value'])
 
     async def write_value(self, key: str, value: bytes, times: int) -> None:
-        """Write a key, as a restore would.
+        """Write a key as a restore from a backup does.
 
-        Each further write raises the platform's version of it by one, so
-        that the watches of entries end.
+        Each further write raises the platform's version of the key by one,
+        so that the watches of entries return.
         """
         text = base64.b64encode(value).decode()
         body = {'puts': [{'key': f'{client.PREFIX}{key}', 'value': text}]}
@@ -256,16 +260,18 @@
             )
 
     async def wait_joined(self) -> None:
-        """Wait until every entry holds all of them for alive."""
+        """Wait until every entry lists all entries as alive."""
         for number in range(len(self.entries)):
 
-            async def knows_all(entry: int = number) -> bool:
-                answer = await self._ask_operators(entry, 'GET', 'status')
+            async def lists_all(entry: int = number) -> bool:
+                answer = await self._request_operator_api(
+                    entry, 'GET', 'status'
+                )
                 members = answer.read_json()['members']
                 alive = [one for one in members if one['state'] == 'alive']
                 return len(alive) >= len(self.entries)
 
-            await wait_until(knows_all, f'entry {number} knows all')
+            await wait_until(lists_all, f'entry {number} lists all as alive')
 
     async def start_entry(self) -> int:
         """Start another entry and return its number."""
@@ -279,7 +285,7 @@
         self.entries.append(entry)
         return len(self.entries) - 1
 
-    async def _ask_operators(
+    async def _request_operator_api(
         self, entry: int, method: str, path: str, body: bytes | None = None
     ) -> requester.Answer:
         return await requester.send_async(
@@ -290,8 +296,8 @@
         )
 
 
-class FreshCase(unittest.IsolatedAsyncioTestCase):
-    """Tests that each have a deployment of their own."""
+class FreshDeploymentCase(unittest.IsolatedAsyncioTestCase):
+    """Base of tests that each start a separate deployment."""
 
     services = SERVICES
 
@@ -302,11 +308,11 @@
         self.deployment = await asyncio.to_thread(
             start_deployment, scope, self.services
         )
-        self.version = await prepare(self.deployment)
+        self.version = await publish_documents(self.deployment)
 
 
-class SharedCase(unittest.IsolatedAsyncioTestCase):
-    """Tests that end no entry and share one deployment."""
+class SharedDeploymentCase(unittest.IsolatedAsyncioTestCase):
+    """Base of tests that stop no entry and share one deployment."""
 
     deployment: Deployment
 
@@ -316,7 +322,7 @@
         scope = opened.__enter__()
         cls.addClassCleanup(opened.__exit__, None, None, None)
         cls.deployment = start_deployment(scope)
-        asyncio.run(prepare(cls.deployment))
+        asyncio.run(publish_documents(cls.deployment))
 
     async def asyncSetUp(self) -> None:
         await self.deployment.set_faults()
@@ -348,8 +354,8 @@
         return Deployment(scope, platform, tuple(services), [first, *others])
 
 
-async def prepare(deployment: Deployment) -> int:
-    """Publish the documents and return their version, in force everywhere."""
+async def publish_documents(deployment: Deployment) -> int:
+    """Publish the documents; return their version, applied at all entries."""
     await deployment.wait_joined()
     answer = await deployment.publish(0, 'first', make_documents(deployment))
     version = int(answer.read_json()['version'])
@@ -359,7 +365,7 @@
 
 
 def make_documents(deployment: Deployment) -> list[Document]:
-    """Make one workspace with one service of all targets."""
+    """Make documents of one workspace with one service on all targets."""
     targets = [
         {
             'kind': 'target',
@@ -386,41 +392,43 @@
 
 
 def make_workspace(name: str, requests_per_s: int = 10_000) -> Document:
-    """Make a workspace with a limit."""
+    """Make a workspace document with a request limit."""
     limits = {'requests_per_s': requests_per_s}
     return {'kind': 'workspace', 'name': name, 'limits': limits}
 
 
 def make_key(ahead_ms: int = KEY_AHEAD_MS) -> str:
-    """Make an idempotency key that lies ahead of now."""
-    wall = clock.Clock().wall() + ahead_ms
-    return str(identifiers.make_uuid7(wall, _random.getrandbits(74)))
+    """Make an idempotency key whose time lies ahead of the clock."""
+    time_ms = clock.Clock().wall() + ahead_ms
+    return str(identifiers.make_uuid7(time_ms, _random.getrandbits(74)))
 
 
 def locate_page(key: str) -> keys.PageAddress:
-    """Return the ledger page of a key."""
+    """Return the address of the ledger page that holds a key."""
     parsed = keys.parse_key(WORKSPACE, key, clock.Clock().wall())
     return keys.locate_page(parsed, keys.Layout())
 
 
 async def wait_until(
     condition: Callable[[], Awaitable[bool]],
-    what: str,
-    wait_s: float = WAIT_S,
+    description: str,
+    timeout_s: float = WAIT_S,
 ) -> None:
-    """Poll a condition.
+    """Poll a condition until it holds.
 
     Raises
     ------
     AssertionError
-        When it does not hold in time.
+        When it does not hold within the timeout.
     """
     try:
-        async with asyncio.timeout(wait_s):
+        async with asyncio.timeout(timeout_s):
             while not await condition():
                 await asyncio.sleep(POLL_S)
     except TimeoutError:
-        raise AssertionError(f'Waited in vain until {what}.') from None
+        raise AssertionError(
+            f'Timed out waiting until {description}.'
+        ) from None
 
 
 def _start_entry(
@@ -451,17 +459,17 @@
     )
 
 
-async def _order(
+async def _post_control(
     process: processes.Process, name: str, values: Document
 ) -> None:
     url = f'{process.ready["url"]}/control/{name}'
     body = json.dumps(values).encode()
     answer = await requester.send_async('POST', url, body)
     if answer.status != 200:
-        raise AssertionError(f'{process.name} refused {values}.')
+        raise AssertionError(f'{process.name} rejected {values}.')
 
 
-async def _read(process: processes.Process, path: str) -> Document:
+async def _get_json(process: processes.Process, path: str) -> Document:
     url = process.ready['url'] + path
     read: Document = (await requester.send_async('GET', url)).read_json()
     return read
--- a/tests/processes/load.py
+++ b/tests/processes/load.py
@@ -1,4 +1,4 @@
-"""Fleets of real processes, and a bounded load that checks every answer."""
+"""Fleets of processes, and callers that check every response."""
 
 from __future__ import annotations
 
@@ -35,29 +35,30 @@
 SLOW_MS = 300
 WAIT_S = 30.0
 CLIENTS = 200
-_CHECK_S = 0.05
-_BEARER = {'Authorization': f'Bearer {processes.OPERATOR_TOKEN}'}
+_POLL_S = 0.05
+_OPERATOR_HEADERS = {'Authorization': f'Bearer {processes.OPERATOR_TOKEN}'}
 
-Json = dict[str, typing.Any]
+JsonObject = dict[str, typing.Any]
 
 
 @attrs.frozen
-class Seen:
-    """What a caller saw of one request.
+class RequestRecord:
+    """One request as its caller saw it.
 
     Attributes
     ----------
     kind : str
         ``stream``, ``call`` or ``action``.
     url : str
-        Entry that was asked.
+        Base URL of the entry.
     began, ended : float
         Seconds of the monotonic clock.
-    verdict : str
-        ``whole``, ``refused`` (not run, with other entries to use) or
-        ``cut``: anything else.
+    result : str
+        ``complete``, ``refused`` (not run, with other entries to use) or
+        ``broken`` for anything else.
     detail : str
-        What came, where it was cut.
+        What arrived, when the result is ``broken``; the request id of a
+        complete stream; the other entries, as JSON, of a refusal.
     targets : tuple of str
         Target that answered.
     """
@@ -66,7 +67,7 @@
     url: str
     began: float
     ended: float
-    verdict: str
+    result: str
     detail: str = ''
     targets: tuple[str, ...] = ()
 
@@ -84,7 +85,7 @@
         self._publications = 0
 
     def start_target(self, name: str) -> processes.Process:
-        """Start an engine or a service, as its name says."""
+        """Start an engine or a service, by the prefix of its name."""
         options = ['--name', name]
         if name.startswith('engine'):
             options += ['--end-layer', str(LAYERS), '--step-ms', str(STEP_MS)]
@@ -93,7 +94,7 @@
         return self.targets[name]
 
     def start_entry(self) -> processes.Process:
-        """Start an entry that joins those that run."""
+        """Start an entry that joins the running ones."""
         number = len(self.entries) + 1
         entry = self.scope.start_entry(
             f'entry-{number}',
@@ -109,29 +110,29 @@
 
     def publish(
         self,
-        through: processes.Process,
+        publisher: processes.Process,
         *leaving: str,
         operation: str = 'read',
     ) -> int:
-        """Publish all targets, some of them leaving; returns the version."""
+        """Publish all targets, some as leaving; return the version."""
         self._publications += 1
         body = {
             'id': f'publication-{self._publications}-{time.time_ns()}',
-            'base_version': read_status(through)['version'],
+            'base_version': read_status(publisher)['version'],
             'documents': make_documents(self.targets, leaving, operation),
         }
         answer = requester.send(
             'POST',
-            f'{through.ready["operators"]}/v1/publications',
+            f'{publisher.ready["operators"]}/v1/publications',
             json.dumps(body).encode(),
-            _BEARER,
+            _OPERATOR_HEADERS,
         )
         if answer.status != 200:
             raise AssertionError(answer.body.decode())
         return int(answer.read_json()['version'])
 
     def set_hosts_leaving(self, *names: str) -> None:
-        """Have the platform's list, which lags, say that targets leave."""
+        """Mark targets as leaving in the platform's host list, which lags."""
         puts = []
         for name in self.targets:
             entry = {
@@ -149,14 +150,14 @@
             {'Standin-Writer': 'list'},
         )
 
-    def count_work(self, name: str) -> int:
-        """Return how many attempts or calls a target has been sent."""
+    def count_received(self, name: str) -> int:
+        """Return how many attempts or calls a target has received."""
         url = f'{self.targets[name].ready["url"]}/control/counts'
         counts = requester.send('GET', url).read_json()
         return len(counts) if isinstance(counts, list) else counts['calls']
 
-    def list_attempts(self) -> dict[tuple[str, int], int]:
-        """Return the number of tokens computed for each attempt."""
+    def count_tokens_by_attempt(self) -> dict[tuple[str, int], int]:
+        """Return the number of tokens computed, by request and attempt."""
         found: dict[tuple[str, int], int] = {}
         for name, process in self.targets.items():
             if name.startswith('engine'):
@@ -166,26 +167,26 @@
                     found[attempt] = len(set(one['indexes']))
         return found
 
-    def order_leave(self, *names: str) -> None:
-        """Tell stand-ins to answer that they leave."""
+    def set_targets_leaving(self, *names: str) -> None:
+        """Make stand-ins report that they are leaving."""
         for name in names:
             url = self.targets[name].ready['url']
             if name.startswith('engine'):
                 post(f'{url}/control', {'leave': True})
             else:
-                order = {'leaving': True, 'slow_ms': SLOW_MS}
-                post(f'{url}/control/behaviour', order)
+                behaviour = {'leaving': True, 'slow_ms': SLOW_MS}
+                post(f'{url}/control/behaviour', behaviour)
 
 
 def make_documents(
     targets: dict[str, processes.Process],
     leaving: tuple[str, ...],
     operation: str,
-) -> list[Json]:
-    """Make a workspace, one model and one service over some targets."""
+) -> list[JsonObject]:
+    """Make documents of a workspace, a model and a service on targets."""
     engines = [name for name in targets if name.startswith('engine')]
     services = [name for name in targets if name.startswith('service')]
-    documents: list[Json] = [
+    documents: list[JsonObject] = [
         {
             'kind': 'target',
             'name': name,
@@ -225,15 +226,15 @@
     ]
 
 
-class Load:
-    """Callers that keep sending requests until they are told to stop.
+class Callers:
+    """Callers that send requests continuously until they are stopped.
 
-    Each holds one entry and moves when it is told to use others, as
-    docs/api.md asks of callers.
+    Each caller uses one entry, and changes to another when a refusal names
+    others, as docs/api.md requires of callers.
     """
 
     def __init__(self) -> None:
-        self.seen: list[Seen] = []
+        self.records: list[RequestRecord] = []
         self.keys: list[str] = []
         self._random = random.Random(7)
         self._tasks: list[concurrent.futures.Future[typing.Any]] = []
@@ -241,50 +242,54 @@
         self._loop = asyncio.new_event_loop()
         self._thread = threading.Thread(target=self._loop.run_forever)
         self._thread.start()
-        made = asyncio.run_coroutine_threadsafe(_make_client(), self._loop)
-        self._client = made.result(WAIT_S)
+        future = asyncio.run_coroutine_threadsafe(_make_client(), self._loop)
+        self._client = future.result(WAIT_S)
 
-    def start(self, url: str, **workers: int) -> None:
-        """Start callers of an entry: so many of each kind."""
+    def start(self, url: str, **counts: int) -> None:
+        """Start callers of an entry; keywords give the number per kind."""
         senders = {
-            'stream': self._stream,
-            'call': self._call,
-            'action': self._act,
+            'stream': self._send_stream,
+            'call': self._send_call,
+            'action': self._send_action,
         }
-        for kind, count in workers.items():
+        for kind, count in counts.items():
             for _ in range(count):
-                work = self._run(kind, url, senders[kind])
+                coroutine = self._run(kind, url, senders[kind])
                 self._tasks.append(
-                    asyncio.run_coroutine_threadsafe(work, self._loop)
+                    asyncio.run_coroutine_threadsafe(coroutine, self._loop)
                 )
 
     def start_long_stream(
         self, url: str
     ) -> concurrent.futures.Future[tuple[str, str, str]]:
-        """Start one stream that takes longer than an entry lingers."""
-        long = asyncio.run_coroutine_threadsafe(
-            self._stream(url, LONG_TOKENS), self._loop
+        """Start one stream that takes longer than the linger of an entry."""
+        stream = asyncio.run_coroutine_threadsafe(
+            self._send_stream(url, LONG_TOKENS), self._loop
         )
-        self._tasks.append(long)
-        return long
+        self._tasks.append(stream)
+        return stream
 
     def start_call(
         self, url: str
     ) -> concurrent.futures.Future[tuple[str, str, str]]:
         """Start one call of the operation "read"."""
-        return asyncio.run_coroutine_threadsafe(self._call(url), self._loop)
+        return asyncio.run_coroutine_threadsafe(
+            self._send_call(url), self._loop
+        )
 
-    def start_list(self, url: str) -> concurrent.futures.Future[Json]:
-        """Start to ask an entry which addresses to use."""
-        return asyncio.run_coroutine_threadsafe(self._list(url), self._loop)
+    def start_list(self, url: str) -> concurrent.futures.Future[JsonObject]:
+        """Start a request for the entry's list of entries."""
+        return asyncio.run_coroutine_threadsafe(
+            self._list_entries(url), self._loop
+        )
 
-    async def _list(self, url: str) -> Json:
+    async def _list_entries(self, url: str) -> JsonObject:
         response = await self._client.fetch(f'{url}/v1/entries')
-        answer: Json = json.loads(response.body)
+        answer: JsonObject = json.loads(response.body)
         return answer
 
     def stop(self) -> None:
-        """Let every caller get its last answer."""
+        """Stop callers after their last response."""
         self._stopping = True
         try:
             concurrent.futures.wait(self._tasks, 2 * WAIT_S)
@@ -294,12 +299,14 @@
             self._thread.join(WAIT_S)
             self._loop.close()
 
-    def list_verdicts(self, verdict: str, kind: str = '') -> list[Seen]:
-        """Return what was seen with a verdict."""
+    def list_by_result(
+        self, result: str, kind: str = ''
+    ) -> list[RequestRecord]:
+        """Return the requests with a result, of one kind or of all."""
         return [
             one
-            for one in self.seen
-            if one.verdict == verdict and kind in ('', one.kind)
+            for one in self.records
+            if one.result == result and kind in ('', one.kind)
         ]
 
     async def _run(
@@ -311,25 +318,25 @@
         while not self._stopping:
             began = time.monotonic()
             try:
-                verdict, detail, target = await send(url)
+                result, detail, target = await send(url)
             except (OSError, httpclient.HTTPError) as error:
-                verdict, detail, target = 'cut', repr(error), ''
-            self.seen.append(
-                Seen(
+                result, detail, target = 'broken', repr(error), ''
+            self.records.append(
+                RequestRecord(
                     kind,
                     url,
                     began,
                     time.monotonic(),
-                    verdict,
+                    result,
                     detail,
                     (target,) if target else (),
                 )
             )
-            if verdict == 'refused':
+            if result == 'refused':
                 url = self._random.choice(json.loads(detail))
             await asyncio.sleep(0.02)
 
-    async def _stream(
+    async def _send_stream(
         self, url: str, tokens: int = TOKENS
     ) -> tuple[str, str, str]:
         prompt = f'prompt {self._random.getrandbits(64)}'
@@ -338,7 +345,7 @@
             f'{url}/v1/workspaces/{WORKSPACE}/models/model/generate', body
         )
         if response.code != 200:
-            return describe_refusal(response)
+            return classify_refusal(response)
         events = requester.read_events(response.body)
         texts = [
             text
@@ -346,31 +353,35 @@
             if name == 'tokens'
             for text in data['texts']
         ]
-        wanted = [engine_stage.compute_token(prompt, i) for i in range(tokens)]
-        if texts != wanted or events[-1] != ('end', {'count': tokens}):
-            return 'cut', f'{len(texts)} tokens, then {events[-1]}', ''
-        return 'whole', response.headers['X-Request-Id'], ''
+        expected = [
+            engine_stage.compute_token(prompt, i) for i in range(tokens)
+        ]
+        if texts != expected or events[-1] != ('end', {'count': tokens}):
+            return 'broken', f'{len(texts)} tokens, then {events[-1]}', ''
+        return 'complete', response.headers['X-Request-Id'], ''
 
-    async def _call(self, url: str) -> tuple[str, str, str]:
+    async def _send_call(self, url: str) -> tuple[str, str, str]:
         number = self._random.getrandbits(32)
-        response = await self._post(_name_operation(url, 'read'), [number])
-        return _judge(response, [number], '')
+        response = await self._post(
+            _format_operation_url(url, 'read'), [number]
+        )
+        return _check_response(response, [number], '')
 
-    async def _act(self, url: str) -> tuple[str, str, str]:
-        wall = clock.Clock().wall()
+    async def _send_action(self, url: str) -> tuple[str, str, str]:
+        now_ms = clock.Clock().wall()
         bits = self._random.getrandbits(74)
-        key = str(identifiers.make_uuid7(wall, bits))
+        key = str(identifiers.make_uuid7(now_ms, bits))
         headers = {'Idempotency-Key': key}
         response = await self._post(
-            _name_operation(url, 'book'), [key], headers
+            _format_operation_url(url, 'book'), [key], headers
         )
-        judged = _judge(response, [key], key)
-        if judged[0] == 'whole':
+        checked = _check_response(response, [key], key)
+        if checked[0] == 'complete':
             self.keys.append(key)
-        return judged
+        return checked
 
     async def _post(
-        self, url: str, body: typing.Any, headers: Json | None = None
+        self, url: str, body: typing.Any, headers: JsonObject | None = None
     ) -> httpclient.HTTPResponse:
         return await self._client.fetch(
             httpclient.HTTPRequest(
@@ -391,81 +402,88 @@
 
 
 @contextlib.contextmanager
-def run_load() -> Iterator[Load]:
-    """Run a load in a thread; its callers end when the scope is left."""
-    work = Load()
+def run_callers() -> Iterator[Callers]:
+    """Run callers in a thread; they stop when the context ends."""
+    callers = Callers()
     try:
-        yield work
+        yield callers
     finally:
-        work.stop()
+        callers.stop()
 
 
-def _name_operation(url: str, operation: str) -> str:
+def _format_operation_url(url: str, operation: str) -> str:
     return f'{url}/v1/workspaces/{WORKSPACE}/services/service/{operation}'
 
 
-def _judge(
+def _check_response(
     response: httpclient.HTTPResponse, body: list[typing.Any], key: str
 ) -> tuple[str, str, str]:
-    """Judge the answer of a service, which tells the body that it got."""
+    """Check the response of a service, which echoes the request body."""
     if response.code != 200:
-        return describe_refusal(response)
+        return classify_refusal(response)
     answer = json.loads(response.body)
     if answer['body'] != body or answer['key'] != key:
-        return 'cut', response.body.decode(), ''
-    return 'whole', '', answer['target']
+        return 'broken', response.body.decode(), ''
+    return 'complete', '', answer['target']
 
 
-def describe_refusal(
+def classify_refusal(
     response: httpclient.HTTPResponse,
 ) -> tuple[str, str, str]:
-    """Tell a refusal that names other entries from anything else."""
+    """Classify a response that is not a success.
+
+    Only a 503 that says ``not run`` and names other entries is a refusal.
+    """
     detail = f'{response.code} {response.error} {response.body!r}'
     if response.code != 503:
-        return 'cut', detail, ''
+        return 'broken', detail, ''
     problem = json.loads(response.body)
     if problem['outcome'] != 'not run' or not problem.get('instead'):
-        return 'cut', detail, ''
+        return 'broken', detail, ''
     return 'refused', json.dumps(problem['instead']), ''
 
 
 def post(url: str, body: typing.Any) -> requester.Answer:
-    """Post JSON with the operators' token."""
-    return requester.send('POST', url, json.dumps(body).encode(), _BEARER)
+    """Send JSON with the operator token."""
+    return requester.send(
+        'POST', url, json.dumps(body).encode(), _OPERATOR_HEADERS
+    )
 
 
 def read_entries(entry: processes.Process) -> tuple[list[str], list[str]]:
-    """Return the URLs that an entry lists, and those that leave."""
+    """Return the URLs that an entry lists, and those that are leaving."""
     url = f'{entry.ready["callers"]}/v1/entries'
     body = requester.send('GET', url).read_json()
     return [one['url'] for one in body['entries']], body['leaving']
 
 
-def read_status(entry: processes.Process) -> Json:
-    """Return what an entry tells operators."""
+def read_status(entry: processes.Process) -> JsonObject:
+    """Return the status that an entry reports to operators."""
     url = f'{entry.ready["operators"]}/v1/status'
-    status: Json = requester.send('GET', url, headers=_BEARER).read_json()
+    status: JsonObject = requester.send(
+        'GET', url, headers=_OPERATOR_HEADERS
+    ).read_json()
     return status
 
 
-def wait_until(what: str, condition: Callable[[], bool]) -> float:
-    """Poll a condition; returns the seconds that it took.
+def wait_until(description: str, condition: Callable[[], bool]) -> float:
+    """Poll a condition and return the seconds until it holds.
 
     Raises
     ------
     AssertionError
-        When it does not come true within the bound.
+        When it does not hold within ``WAIT_S``.
     """
     began = time.monotonic()
     while time.monotonic() < began + WAIT_S:
         if condition():
             return time.monotonic() - began
-        time.sleep(_CHECK_S)
-    raise AssertionError(f'never seen: {what}')
+        time.sleep(_POLL_S)
+    raise AssertionError(f'Timed out waiting for: {description}')
 
 
 def count_executions(fleet: Fleet) -> dict[str, int]:
-    """Return how often the services executed each key, added up."""
+    """Return how often all services together executed each key."""
     total: dict[str, int] = {}
     for name, process in fleet.targets.items():
         if not name.startswith('service'):
--- a/tests/processes/partitions.py
+++ b/tests/processes/partitions.py
@@ -1,4 +1,4 @@
-"""Entries of two regions whose links to each other can be cut."""
+"""Deployments in two regions whose network links can be cut."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import typing
 
 from tests.processes import deployment as deployments
-from tests.processes import relays as relaying
+from tests.processes import relays as relay_module
 from tools import processes
 from tools import requester
 
@@ -26,15 +26,15 @@
 NAMES = tuple(itertools.chain.from_iterable(REGIONS.values()))
 ALL = tuple(range(len(NAMES)))
 HALVES = (ALL[:2], ALL[2:])
-HEAL_S = 60.0
-"""After a cut, comparisons with dead members are 10 s apart at an entry, and
-half of them go to others."""
-PAUSE_S = 0.05
+CONVERGENCE_TIMEOUT_S = 60.0
+"""An entry compares its member list with a dead member every 10 s after a cut,
+and half of these comparisons go to other members."""
+SEND_INTERVAL_S = 0.05
 
 
-def join_both_ways(ones, others) -> Iterator[Link]:
+def make_links(group, other_group) -> Iterator[Link]:
     """Return the links between two groups of names, in both directions."""
-    for one, other in itertools.product(ones, others):
+    for one, other in itertools.product(group, other_group):
         yield one, other
         yield other, one
 
@@ -42,64 +42,66 @@
 async def list_entries(
     deployment: deployments.Deployment, entry: int
 ) -> set[str]:
-    """Return the URLs that an entry tells callers to use."""
+    """Return the URLs of the entries that an entry lists for callers."""
     url = deployment.entries[entry].ready['callers']
     answer = await requester.send_async('GET', f'{url}/v1/entries')
     return {one['url'] for one in answer.read_json()['entries']}
 
 
-class PartitionCase(deployments.SharedCase):
-    """Tests that cut links between the same four entries and heal them."""
+class PartitionCase(deployments.SharedDeploymentCase):
+    """Base of tests that cut links between four entries and restore them."""
 
     @classmethod
     def setUpClass(cls) -> None:
         opened = processes.open_processes()
         scope = opened.__enter__()
         cls.addClassCleanup(opened.__exit__, None, None, None)
-        cls.relays = relaying.Relays()
+        cls.relays = relay_module.Relays()
         cls.addClassCleanup(cls.relays.stop)
         cls.deployment = _start(scope, cls.relays)
-        asyncio.run(deployments.prepare(cls.deployment))
+        asyncio.run(deployments.publish_documents(cls.deployment))
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
         await self.deployment.set_behaviour()
-        self.addAsyncCleanup(self.heal)
+        self.addAsyncCleanup(self.restore_links)
 
-    async def heal(self) -> None:
-        """Pass everything again and wait until all lists are whole."""
+    async def restore_links(self) -> None:
+        """Restore all links and wait until every entry lists all entries."""
         self.relays.cut(())
         await self.wait_listed(ALL, ALL)
 
     async def list_entries(self, entry: int) -> set[str]:
-        """Return the URLs that an entry tells callers to use."""
+        """Return the URLs of the entries that an entry lists for callers."""
         return await list_entries(self.deployment, entry)
 
-    async def wait_listed(self, asked, listed) -> None:
-        """Wait until entries list exactly some entries."""
+    async def wait_listed(self, observers, listed) -> None:
+        """Wait until each observer lists exactly the given entries."""
         entries = self.deployment.entries
         urls = {entries[number].ready['callers'] for number in listed}
 
         async def is_listed() -> bool:
-            found = [await self.list_entries(number) for number in asked]
+            found = [await self.list_entries(number) for number in observers]
             return all(one == urls for one in found)
 
-        what = f'entries {asked} list {listed}'
-        await deployments.wait_until(is_listed, what, HEAL_S)
+        description = f'entries {observers} list {listed}'
+        await deployments.wait_until(
+            is_listed, description, CONVERGENCE_TIMEOUT_S
+        )
 
 
-class Senders:
-    """Callers that send each key through several entries at once.
+class ActionSenders:
+    """Callers that send each key through several entries concurrently.
 
     Parameters
     ----------
     deployment : deployments.Deployment
-        What they call.
+        Deployment that receives the requests.
 
     Attributes
     ----------
     replies : dict of str to list of deployments.Reply
-        What each key was answered.
+        Replies by key.
     """
 
     def __init__(self, deployment: deployments.Deployment) -> None:
@@ -109,26 +111,26 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self, *entries: int) -> None:
-        """Start a caller that sends key after key through these entries."""
+        """Start a caller that sends new keys through these entries."""
         self._tasks.append(asyncio.create_task(self._run(entries)))
 
     async def stop(self) -> None:
-        """Wait for the last answers."""
+        """Stop the callers after their last replies."""
         self._stopping = True
         await asyncio.gather(*self._tasks)
 
     async def send(self, key: str, entries, resent: bool = False) -> None:
-        """Send a key through some entries at once."""
+        """Send a key through some entries concurrently."""
         replies = await asyncio.gather(
             *(
-                self._deployment.act(entry, key, resent=resent)
+                self._deployment.send_action(entry, key, resent=resent)
                 for entry in entries
             )
         )
         self.replies.setdefault(key, []).extend(replies)
 
     def list_not_run(self) -> list[str]:
-        """Return the keys of which nothing but "not run" was said."""
+        """Return the keys for which every reply was "not run"."""
         return [
             key
             for key, replies in self.replies.items()
@@ -136,7 +138,7 @@
         ]
 
     def count_outcomes(self) -> dict[str, int]:
-        """Return how many keys were answered in each way."""
+        """Return the number of keys by the set of outcomes received."""
         found = [
             ', '.join(sorted({reply.outcome for reply in replies}))
             for replies in self.replies.values()
@@ -144,7 +146,7 @@
         return dict(collections.Counter(found))
 
     async def check(self, case) -> None:
-        """Compare executions with what callers were told of each key."""
+        """Compare the executions of each key with the outcomes received."""
         await self._deployment.wait_idle()
         executions = await self._deployment.read_executions()
         print(json.dumps(self.count_outcomes()))
@@ -160,11 +162,11 @@
     async def _run(self, entries) -> None:
         while not self._stopping:
             await self.send(deployments.make_key(), entries)
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(SEND_INTERVAL_S)
 
 
 def _start(
-    scope: processes.Processes, relays: relaying.Relays
+    scope: processes.Processes, relays: relay_module.Relays
 ) -> deployments.Deployment:
     platform = scope.start('platform', 'standins.kv_store')
     services = tuple(
@@ -177,7 +179,7 @@
         for name in names:
             peer = relays.open(name)
             store = relays.open(PLATFORM, name)
-            store.lead_to(platform.ready['url'])
+            store.set_target(platform.ready['url'])
             entry = scope.start_entry(
                 name,
                 failure_domain=name,
@@ -189,7 +191,7 @@
                 },
                 platform={'kind': 'http', 'url': f'http://{store.address}'},
             )
-            peer.lead_to(entry.ready['peers'])
+            peer.set_target(entry.ready['peers'])
             seeds.append(f'tcp://{peer.address}')
             entries.append(entry)
     return deployments.Deployment(scope, platform, services, entries)
--- a/tests/processes/relays.py
+++ b/tests/processes/relays.py
@@ -1,8 +1,8 @@
-"""TCP relays before the addresses of entries and of the platform.
+"""TCP relays in front of the addresses of entries and of the platform.
 
-A cut link passes no byte and closes nothing, as where a route is lost. What
-was sent meanwhile comes late after a short cut; after a long one it is lost
-with its connection. Links have a direction, from sender to receiver.
+A cut link passes no byte and closes no connection, as when a network route
+is lost. Bytes sent during a short cut arrive late; after a long cut they are
+lost with their connection. Links have a direction, from sender to receiver.
 """
 
 from __future__ import annotations
@@ -27,22 +27,22 @@
 
 LOOPBACK = '127.0.0.1'
 CHUNK_BYTES = 65_536
-CHECK_S = 0.01
-GIVE_UP_S = 2.0
-STOP_S = 5.0
+POLL_S = 0.01
+MAX_DELAY_S = 2.0
+STOP_TIMEOUT_S = 5.0
 
 
 class Relays:
-    """Relays in a thread of their own, and the links that are cut.
+    """Relays that run in a separate thread, and the links that are cut.
 
     Attributes
     ----------
-    held : set of (str, str)
-        Links of sender and receiver that had something to pass while cut.
+    blocked : set of (str, str)
+        Links, as sender and receiver, that had bytes to pass while cut.
     """
 
     def __init__(self) -> None:
-        self.held: set[tuple[str, str]] = set()
+        self.blocked: set[tuple[str, str]] = set()
         self._cut: frozenset[tuple[str, str]] = frozenset()
         self._addresses: dict[bytes, str] = {}
         self._loop = asyncio.new_event_loop()
@@ -50,46 +50,52 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """End all relays with what still waits in them."""
-        self._run(self._cancel_all())
+        """Stop all relays and drop the bytes that they hold."""
+        self._run_in_loop(self._cancel_all())
         self._loop.call_soon_threadsafe(self._loop.stop)
-        self._thread.join(STOP_S)
+        self._thread.join(STOP_TIMEOUT_S)
         self._loop.close()
 
     def open(self, receiver: str, sender: str = '') -> Relay:
-        """Open a relay before what is named receiver.
+        """Open a relay in front of a named receiver.
 
-        Without a sender it is an entry's. Those that connect are told apart
-        by the first message, in which they give their own address.
+        Without a sender, the receiver is an entry, and the senders are
+        identified by the address in their first message.
         """
-        relay: Relay = self._run(self._open(receiver, sender))
+        relay: Relay = self._run_in_loop(self._open(receiver, sender))
         if not sender:
             packed = packing.pack_address(relay.address)
             self._addresses[packed] = receiver
         return relay
 
     def cut(self, links: Iterable[tuple[str, str]]) -> None:
-        """Cut these links, of sender and receiver, and no others."""
+        """Cut exactly these links, each a sender and a receiver."""
         self._cut = frozenset(links)
 
-    async def wait_whole(self, sender: str, receiver: str) -> None:
-        """Wait while a link is cut; raise if that took too long."""
+    async def wait_restored(self, sender: str, receiver: str) -> None:
+        """Wait while a link is cut.
+
+        Raises
+        ------
+        iostream.StreamClosedError
+            When the link was cut for longer than ``MAX_DELAY_S``.
+        """
         began = time.monotonic()
         while (sender, receiver) in self._cut:
-            self.held.add((sender, receiver))
-            await asyncio.sleep(CHECK_S)
-        if time.monotonic() - began > GIVE_UP_S:
+            self.blocked.add((sender, receiver))
+            await asyncio.sleep(POLL_S)
+        if time.monotonic() - began > MAX_DELAY_S:
             raise iostream.StreamClosedError
 
     def find_sender(self, data: bytes) -> str:
-        """Return whose address comes first in a message; empty if none."""
-        places = {data.find(one): one for one in self._addresses}
-        places.pop(-1, None)
-        return self._addresses[places[min(places)]] if places else ''
+        """Return the entry whose address is first in a message, or empty."""
+        offsets = {data.find(one): one for one in self._addresses}
+        offsets.pop(-1, None)
+        return self._addresses[offsets[min(offsets)]] if offsets else ''
 
-    def _run(self, work: typing.Any) -> typing.Any:
-        running = asyncio.run_coroutine_threadsafe(work, self._loop)
-        return running.result(STOP_S)
+    def _run_in_loop(self, coroutine: typing.Any) -> typing.Any:
+        future = asyncio.run_coroutine_threadsafe(coroutine, self._loop)
+        return future.result(STOP_TIMEOUT_S)
 
     async def _open(self, receiver: str, sender: str) -> Relay:
         return Relay(self, receiver, sender)
@@ -102,7 +108,7 @@
 
 
 class Relay(tcpserver.TCPServer):
-    """Passes bytes between those that connect and one port."""
+    """Passes bytes between incoming connections and one local port."""
 
     def __init__(self, relays: Relays, receiver: str, sender: str) -> None:
         super().__init__()
@@ -114,14 +120,17 @@
         self.add_sockets(sockets)
         self.address = f'{LOOPBACK}:{sockets[0].getsockname()[1]}'
 
-    def lead_to(self, url: str) -> None:
-        """Pass what comes to a port of this host; nothing passes before."""
+    def set_target(self, url: str) -> None:
+        """Pass connections to the port of a URL on this host.
+
+        Before this call the relay passes nothing.
+        """
         self._port = int(url.rpartition(':')[2])
 
     async def handle_stream(
         self, stream: iostream.IOStream, address: typing.Any
     ) -> None:
-        """Pass bytes both ways until one side closes."""
+        """Pass bytes in both directions until one side closes."""
         try:
             target = await tcpclient.TCPClient().connect(LOOPBACK, self._port)
         except OSError:
@@ -129,27 +138,30 @@
             return
         sender = self._sender
 
-        async def pass_on(data: bytes) -> None:
+        async def forward(data: bytes) -> None:
             nonlocal sender
             sender = sender or self._relays.find_sender(data)
-            await self._relays.wait_whole(sender, self._receiver)
+            await self._relays.wait_restored(sender, self._receiver)
             await target.write(data)
 
-        async def pass_back(data: bytes) -> None:
-            await self._relays.wait_whole(self._receiver, sender)
+        async def forward_back(data: bytes) -> None:
+            await self._relays.wait_restored(self._receiver, sender)
             await stream.write(data)
 
         await asyncio.gather(
-            _pump(stream, target, pass_on), _pump(target, stream, pass_back)
+            _copy_stream(stream, target, forward),
+            _copy_stream(target, stream, forward_back),
         )
 
 
-async def _pump(
+async def _copy_stream(
     source: iostream.IOStream,
     sink: iostream.IOStream,
-    handle: Callable[[bytes], Awaitable[None]],
+    forward_chunk: Callable[[bytes], Awaitable[None]],
 ) -> None:
     with contextlib.suppress(iostream.StreamClosedError):
         while True:
-            await handle(await source.read_bytes(CHUNK_BYTES, partial=True))
+            await forward_chunk(
+                await source.read_bytes(CHUNK_BYTES, partial=True)
+            )
     sink.close()
--- a/tests/processes/test_actions.py
+++ b/tests/processes/test_actions.py
@@ -1,6 +1,6 @@
-"""Non-idempotent actions under faults of real processes.
+"""Non-idempotent actions while entries, platform or services fail.
 
-Executions are counted where they happen, at the stand-ins of the service.
+The stand-ins of the service count the executions.
 """
 
 from __future__ import annotations
@@ -14,53 +14,55 @@
 from thornspool.domain.actions import keys
 
 BURST = 60
-CANDIDATES = 400
-AHEAD_MS = range(20_000, 55_000, 2_500)
-"""One for each slot, since a slot may have no page of the wanted writer."""
+CANDIDATE_KEYS = 400
+KEY_OFFSETS_MS = range(20_000, 55_000, 2_500)
+"""One per time slot, since the writer may write no page of a given slot."""
 SLOW_MS = 100
-"""Long enough to freeze a writer during its write; short enough that its
-write is not past its timeout when it wakes after another's call."""
+"""Long enough to suspend a writer during its write, and short enough that the
+write has not timed out when the writer resumes after another entry's call."""
 ALL = (0, 1, 2)
 
 
-class Actions:
-    """What the tests of shared and of fresh deployments have in common."""
+class ActionMixin:
+    """Steps shared by the tests of actions."""
 
     check_fencing = True
 
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
-        await self.behave()
+        await self.set_behaviour()
         self.calls_before = await self.deployment.count_calls()
 
-    async def behave(self, **behaviour) -> None:
+    async def set_behaviour(self, **behaviour) -> None:
         await self.deployment.set_behaviour(
             check_fencing=self.check_fencing, **behaviour
         )
 
     async def count_calls(self) -> int:
-        """Return the number of calls that reached the services in a test."""
+        """Return the number of calls that reached services in this test."""
         return await self.deployment.count_calls() - self.calls_before
 
-    async def wait_called(self) -> None:
+    async def wait_call_in_flight(self) -> None:
         async def is_called():
-            return await self.deployment.count_running() == 1
+            return await self.deployment.count_running_calls() == 1
 
-        await deployments.wait_until(is_called, 'the service is called')
+        await deployments.wait_until(
+            is_called, 'a call is in flight at the service'
+        )
 
-    async def wait_written(self, before: int) -> None:
+    async def wait_page_written(self, before: int) -> None:
         async def is_written():
-            return await self.deployment.count_platform('put') > before
+            return await self.deployment.count_platform_calls('put') > before
 
         await deployments.wait_until(is_written, 'a page is written')
 
-    def make_keys_of(self, writer: int) -> list[str]:
-        """Make keys of one page that an entry is asked first to write."""
+    def make_keys_for_writer(self, writer: int) -> list[str]:
+        """Make keys of one page whose preferred writer is this entry."""
         names = [one.ready['incarnation'] for one in self.deployment.entries]
         members = [ports.Member(name, '', '', '', '', '') for name in names]
-        for ahead_ms in AHEAD_MS:
+        for ahead_ms in KEY_OFFSETS_MS:
             found: dict[keys.PageAddress, list[str]] = {}
-            for _ in range(CANDIDATES):
+            for _ in range(CANDIDATE_KEYS):
                 key = deployments.make_key(ahead_ms)
                 page = deployments.locate_page(key)
                 found.setdefault(page, []).append(key)
@@ -70,20 +72,20 @@
                 )
                 if chosen.incarnation == names[writer] and group[BURST:]:
                     return group[:BURST]
-        raise AssertionError('No page is written by this entry.')
+        raise AssertionError('No page has this entry as preferred writer.')
 
     async def wait_granted(self, key) -> None:
-        """Wait until the page of a key stands in the platform."""
+        """Wait until the platform stores the ledger page of a key."""
         page = deployments.locate_page(key)
         path = keys.format_page_key(page, keys.Layout())
 
         async def is_granted():
             return bool(await self.deployment.read_value(path))
 
-        await deployments.wait_until(is_granted, 'the grant stands')
+        await deployments.wait_until(is_granted, 'the grant is stored')
 
-    async def check_ran_once_at_most(self, key, replies) -> None:
-        """Compare executions with everything that callers were told."""
+    async def check_at_most_once(self, key, replies) -> None:
+        """Check executions, at most one, against the outcomes received."""
         await self.deployment.wait_idle()
         executions = await self.deployment.count_executions(key)
         calls = await self.count_calls()
@@ -96,83 +98,94 @@
             self.assertEqual(1, calls)
 
 
-class RunnersTest(Actions, deployments.FreshCase):
-    """Runners that die or freeze, with fencing tokens checked."""
+class RunnersTest(ActionMixin, deployments.FreshDeploymentCase):
+    """Entries that are killed or suspended while they run an action.
+
+    The service checks fencing tokens.
+    """
 
-    async def test_a_runner_killed_in_mid_call_is_not_replaced(self) -> None:
-        """The entry dies while the service works on the action.
+    async def test_a_runner_killed_during_its_call_is_not_replaced(
+        self,
+    ) -> None:
+        """The entry is killed while the service executes the action.
 
-        Its caller sees a broken connection and sends the key elsewhere,
-        where nobody can know how far the call came.
+        The caller sees a broken connection and sends the key through
+        another entry, which cannot determine how far the call went.
         """
         key = deployments.make_key()
-        await self.behave(slow_ms=1_000)
-        first = asyncio.create_task(self.deployment.act(0, key))
-        await self.wait_called()
+        await self.set_behaviour(slow_ms=1_000)
+        first = asyncio.create_task(self.deployment.send_action(0, key))
+        await self.wait_call_in_flight()
         self.deployment.entries[0].kill()
         with self.assertRaises(ConnectionError):
             await first
         replies = [
-            await self.deployment.act(entry, key, resent=True)
+            await self.deployment.send_action(entry, key, resent=True)
             for entry in (1, 2)
         ]
         await self.deployment.wait_idle()
-        replies.append(await self.deployment.act(1, key, resent=True))
+        replies.append(await self.deployment.send_action(1, key, resent=True))
         self.assertEqual(['unknown'] * 3, [one.outcome for one in replies])
         self.assertEqual(1, await self.count_calls())
         self.assertEqual(1, await self.deployment.count_executions(key))
 
-    async def test_a_runner_frozen_before_its_call_runs_nothing_twice(self):
-        """A host freezes between the grant and the call, and wakes.
+    async def test_a_runner_suspended_before_its_call_runs_at_most_once(self):
+        """A host is suspended between the grant and the call.
 
-        Its caller has long sent the key through another entry; the woken
-        process must not run it as well.
+        By the time it resumes, the caller has sent the key through another
+        entry. The resumed process must not run the action as well.
         """
-        await self.freeze_runner(deployments.HOLD)
+        await self.check_suspended_runner(deployments.HOLD)
 
-    async def test_a_runner_frozen_past_its_deadline_runs_nothing_twice(self):
-        """The same, and the process sleeps past every timeout."""
-        await self.freeze_runner(deployments.QUICK)
+    async def test_a_runner_suspended_past_its_deadline_runs_at_most_once(
+        self,
+    ):
+        """A host is suspended in the same place beyond every timeout."""
+        await self.check_suspended_runner(deployments.QUICK)
 
-    async def freeze_runner(self, operation: str) -> None:
-        deployment, key = self.deployment, self.make_keys_of(0)[0]
-        before = await deployment.count_platform('put')
+    async def check_suspended_runner(self, operation: str) -> None:
+        deployment, key = self.deployment, self.make_keys_for_writer(0)[0]
+        before = await deployment.count_platform_calls('put')
         await deployment.set_faults(slow_ms=SLOW_MS)
         first = asyncio.create_task(
-            deployment.act(0, key, operation=operation)
+            deployment.send_action(0, key, operation=operation)
         )
-        await self.wait_written(before)
+        await self.wait_page_written(before)
         deployment.entries[0].send_signal(signal.SIGSTOP)
         await deployment.set_faults()
         await self.wait_granted(key)
-        again = [
-            await deployment.act(1, key, operation=operation, resent=True)
+        resent_replies = [
+            await deployment.send_action(
+                1, key, operation=operation, resent=True
+            )
         ]
         if operation == deployments.QUICK:
             timeout_ms = deployments.TIMEOUTS_MS[operation]
             await asyncio.sleep(timeout_ms / 1000)
         deployment.entries[0].send_signal(signal.SIGCONT)
-        replies = [await first, *again]
+        replies = [await first, *resent_replies]
         replies += [
-            await deployment.act(entry, key, operation=operation, resent=True)
+            await deployment.send_action(
+                entry, key, operation=operation, resent=True
+            )
             for entry in ALL
         ]
-        await self.check_ran_once_at_most(key, replies)
+        await self.check_at_most_once(key, replies)
 
 
 class UnfencedRunnersTest(RunnersTest):
-    """The same with a service that ignores fencing tokens."""
+    """The same failures with a service that ignores fencing tokens."""
 
     check_fencing = False
 
 
-class FaultsTest(Actions, deployments.SharedCase):
+class FaultsTest(ActionMixin, deployments.SharedDeploymentCase):
     """Faults of callers, the platform and the service."""
 
-    async def test_one_key_through_three_entries_at_once_runs_once(self):
-        """A caller's client sends an action through three entries at once.
+    async def test_same_key_through_three_entries_runs_once(self):
+        """A client sends an action through three entries concurrently.
 
-        Without agreement each would run it, and three slots are held.
+        Without coordination each entry would run it and hold three slots.
         """
         for check_fencing in (True, False):
             with self.subTest(check_fencing=check_fencing):
@@ -182,39 +195,41 @@
                 )
                 before = await self.count_calls()
                 replies = await asyncio.gather(
-                    *(self.deployment.act(entry, key) for entry in ALL)
+                    *(self.deployment.send_action(entry, key) for entry in ALL)
                 )
                 self.assertEqual([200] * 3, [one.status for one in replies])
                 self.assertEqual(1, len({one.body for one in replies}))
                 self.assertEqual(before + 1, await self.count_calls())
 
-    async def test_an_outage_of_the_platform_costs_no_key(self) -> None:
-        """The platform is away, and comes back.
+    async def test_platform_outage_consumes_no_key(self) -> None:
+        """The platform is unavailable and then recovers.
 
-        Callers are told at once that nothing ran and when to come back; a
-        key that is bound to its entry runs even so.
+        Callers receive "not run" and a time to retry without delay. A key
+        that is bound to its entry runs during the outage.
         """
         deployment, key = self.deployment, deployments.make_key()
         await deployment.set_faults(down=True)
-        reply = await deployment.act(0, key)
+        reply = await deployment.send_action(0, key)
         self.assertEqual((503, 'not run'), (reply.status, reply.outcome))
         self.assertIs(False, reply.key_checked)
         self.assertIn('Retry-After', reply.headers)
         self.assertEqual(0, await self.count_calls())
-        bound = await deployment.mint_key(0)
-        self.assertEqual(422, (await deployment.act(1, bound)).status)
-        self.assertEqual('done', (await deployment.act(0, bound)).outcome)
+        bound = await deployment.create_bound_key(0)
+        self.assertEqual(422, (await deployment.send_action(1, bound)).status)
+        self.assertEqual(
+            'done', (await deployment.send_action(0, bound)).outcome
+        )
         self.assertEqual(1, await deployment.count_executions(bound))
         await deployment.set_faults()
-        await deployment.act_until_done(key)
+        await deployment.send_until_done(key)
         self.assertEqual(1, await deployment.count_executions(key))
         self.assertEqual(2, await self.count_calls())
 
-    async def test_lost_and_late_writes_run_nothing_twice(self) -> None:
-        """The platform takes a write and its answer is lost, or is late.
+    async def test_platform_writes_lost_or_late_run_a_key_once(self) -> None:
+        """A write to the platform, or the response to it, is lost or late.
 
-        An entry that took silence for "not written" would give the key to
-        another attempt as well.
+        An entry that took a missing response for "not written" would grant
+        the key to another attempt as well.
         """
         for faults in (
             {'lose_writes': 3},
@@ -226,55 +241,57 @@
                 key = deployments.make_key()
                 await self.deployment.set_faults(**faults)
                 await asyncio.gather(
-                    *(self.deployment.act(entry, key) for entry in ALL)
+                    *(self.deployment.send_action(entry, key) for entry in ALL)
                 )
-                await self.deployment.act_until_done(key)
+                await self.deployment.send_until_done(key)
                 executions = await self.deployment.count_executions(key)
                 self.assertEqual(1, executions)
 
-    async def test_a_lost_answer_of_the_service_is_never_asked_again(self):
-        """The service executes an action and its connection breaks.
+    async def test_lost_service_response_is_never_retried(self):
+        """The service executes an action and the connection breaks.
 
-        Nobody can tell that from a call that was not executed.
+        An entry cannot distinguish this from a call that was not executed.
         """
         key = deployments.make_key()
-        await self.behave(lose_answers=10)
+        await self.set_behaviour(lose_answers=10)
         replies = [
-            await self.deployment.act(entry, key, resent=entry > 0)
+            await self.deployment.send_action(entry, key, resent=entry > 0)
             for entry in (*ALL, *ALL)
         ]
         self.assertEqual([504] * 6, [reply.status for reply in replies])
         self.assertEqual({'unknown'}, {reply.outcome for reply in replies})
         self.assertEqual(1, await self.count_calls())
 
-    async def test_a_key_used_for_another_body_is_refused(self) -> None:
-        """A caller's fault gives two actions one key.
+    async def test_key_reused_with_another_body_is_refused(self) -> None:
+        """A faulty caller uses one key for two actions.
 
-        Replaying the first answer would tell it that the second was done.
+        Replaying the first response would report the second action as done.
         """
         key = deployments.make_key()
-        await self.deployment.act(0, key)
+        await self.deployment.send_action(0, key)
         for entry in ALL:
-            reply = await self.deployment.act(entry, key, b'{"slot": 8}')
+            reply = await self.deployment.send_action(
+                entry, key, b'{"slot": 8}'
+            )
             self.assertEqual((422, 'not run'), (reply.status, reply.outcome))
         self.assertEqual(1, await self.count_calls())
 
 
-class WritersTest(Actions, deployments.FreshCase):
-    """Writers of pages that die or freeze."""
+class WritersTest(ActionMixin, deployments.FreshDeploymentCase):
+    """Entries that are killed or suspended while they write a page."""
 
-    async def test_the_writer_of_a_page_dies_under_a_burst(self) -> None:
-        """The entry that writes a page dies while keys of it come in.
+    async def test_a_page_writer_killed_during_a_burst(self) -> None:
+        """The writer of a page is killed while keys of the page arrive.
 
-        The others write the page themselves; a grant that it had written
-        and not answered must be found again.
+        The other entries write the page themselves. They must find a grant
+        that the writer had stored without a response.
         """
-        deployment, burst = self.deployment, self.make_keys_of(2)
+        deployment, burst = self.deployment, self.make_keys_for_writer(2)
         sending = [
-            asyncio.create_task(deployment.act(number % 2, key))
+            asyncio.create_task(deployment.send_action(number % 2, key))
             for number, key in enumerate(burst)
         ]
-        await self.wait_called_first()
+        await self.wait_first_call()
         deployment.entries[2].kill()
         replies = dict(zip(burst, await asyncio.gather(*sending), strict=True))
         deployment.entries.pop()
@@ -283,42 +300,45 @@
         for key, reply in replies.items():
             ran = await deployment.count_executions(key)
             self.assertEqual(int(reply.outcome == 'done'), ran)
-            await deployment.act_until_done(key)
+            await deployment.send_until_done(key)
             self.assertEqual(1, await deployment.count_executions(key))
 
-    async def test_a_writer_wakes_and_believes_it_still_writes(self) -> None:
-        """The writer of a page freezes with a write under way, and wakes.
+    async def test_a_page_writer_suspended_during_a_write(self) -> None:
+        """The writer of a page is suspended during a write and resumes.
 
-        Two entries write one page then, each from what it last knew.
+        Two entries then write one page, each from its local copy.
         """
-        deployment, burst = self.deployment, self.make_keys_of(2)
-        before = await deployment.count_platform('put')
+        deployment, burst = self.deployment, self.make_keys_for_writer(2)
+        before = await deployment.count_platform_calls('put')
         await deployment.set_faults(slow_ms=250)
         sending = [
-            asyncio.create_task(deployment.act(number % 2, key))
+            asyncio.create_task(deployment.send_action(number % 2, key))
             for number, key in enumerate(burst[:20])
         ]
-        await self.wait_written(before)
+        await self.wait_page_written(before)
         deployment.entries[2].send_signal(signal.SIGSTOP)
         await deployment.set_faults()
         replies = await asyncio.gather(*sending)
         deployment.entries[2].send_signal(signal.SIGCONT)
         replies += await asyncio.gather(
-            *(deployment.act(2, key, resent=True) for key in burst[:20])
+            *(
+                deployment.send_action(2, key, resent=True)
+                for key in burst[:20]
+            )
         )
         replies += await asyncio.gather(
             *(
-                deployment.act(entry, key)
+                deployment.send_action(entry, key)
                 for key in burst[20:30]
                 for entry in ALL
             )
         )
         for key in burst[:30]:
-            await deployment.act_until_done(key)
+            await deployment.send_until_done(key)
             self.assertEqual(1, await deployment.count_executions(key))
         self.assertEqual(30, await self.count_calls())
 
-    async def wait_called_first(self) -> None:
+    async def wait_first_call(self) -> None:
         async def is_called():
             return await self.count_calls() > 0
 
--- a/tests/processes/test_domains.py
+++ b/tests/processes/test_domains.py
@@ -1,4 +1,4 @@
-"""A failure domain that is lost at once."""
+"""Loss of all processes of a failure domain at the same time."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 )
 ENTRIES = 5
 DOMAINS = {'a': (0, 3), 'b': (1, 4)}
-"""Entries are spread over three domains in turn."""
-THIRD = 2
-"""Its domain has no engine, so it uses those of both others."""
+"""Entries by domain; they are assigned to three domains in rotation."""
+ENTRY_WITHOUT_ENGINES = 2
+"""Its domain has no engine, so it uses the engines of both others."""
 STREAMS = 5
-CUT_STREAMS = 2
+BROKEN_STREAMS = 2
 HOLDS = 10
-CUT_HOLDS = 4
-COUNT = 300
-MOST_SENDS = 20
+BROKEN_HOLDS = 4
+TOKENS = 300
+MAX_ATTEMPTS = 20
 STEP_MS = 4
 SLOW_MS = 2_500
 REFUSED = 503
 
 
 class DomainCluster(builders.Cluster):
-    """Engines in two of three domains, and services in none of them."""
+    """Engines in two of three domains, and services in a fourth."""
 
     def __init__(self, scope):
         self.services = tuple(
@@ -66,85 +66,90 @@
             self.cluster.services,
             self.cluster.entries,
         )
-        self.senders = partitions.Senders(self.deployment)
+        self.senders = partitions.ActionSenders(self.deployment)
         self.streams = {}
-        self.cut = {'streams': 0, 'holds': 0}
+        self.broken = {'streams': 0, 'holds': 0}
 
-    async def test_a_failure_domain_is_lost_in_the_middle_of_work(self):
-        """Power fails in one domain: its entries and engines end at once.
+    async def test_loss_of_a_failure_domain_with_requests_in_flight(self):
+        """Power fails in one domain: its entries and engines are killed.
 
-        Streams through the others go on where they were. Callers of a dead
-        entry see a broken connection and send again elsewhere, where a
-        stream must be whole and a hold must not run a second time. Nobody
-        may be sent to the dead entries for long.
+        Streams through other entries must resume at their position. Callers
+        of a killed entry see a broken connection and retry through another
+        entry, where a stream must be complete and a hold must not run a
+        second time. The other entries must soon stop listing killed ones.
         """
         await self.deployment.set_behaviour(slow_ms=SLOW_MS)
-        domain = await self.find_domain()
-        left = sorted(set(range(ENTRIES)) - set(DOMAINS[domain]))
-        self.others = itertools.cycle(left)
+        domain = await self.find_used_domain()
+        remaining = sorted(set(range(ENTRIES)) - set(DOMAINS[domain]))
+        self.others = itertools.cycle(remaining)
         for number in range(STREAMS):
             self.start_stream(number % ENTRIES)
         holds = [
-            asyncio.create_task(self.hold(number % ENTRIES))
+            asyncio.create_task(self.send_hold(number % ENTRIES))
             for number in range(HOLDS)
         ]
-        await deployments.wait_until(self.is_busy, 'all holds run')
-        self.lose_domain(domain)
-        for prompt, asked in self.streams.items():
-            builders.check_whole(self, prompt, await asked, COUNT)
-        logs = [self.cluster.entries[one].read_log() for one in left]
+        await deployments.wait_until(
+            self.all_holds_run, 'all holds are in flight'
+        )
+        self.kill_domain(domain)
+        for prompt, generation in self.streams.items():
+            builders.check_complete(self, prompt, await generation, TOKENS)
+        logs = [self.cluster.entries[one].read_log() for one in remaining]
         self.assertTrue(any('reason=STAGE_LOST' in log for log in logs))
         await asyncio.gather(*holds)
         await self.senders.check(self)
-        print(self.cut)
+        print(self.broken)
         self.assertEqual(
-            {'streams': CUT_STREAMS, 'holds': CUT_HOLDS}, self.cut
+            {'streams': BROKEN_STREAMS, 'holds': BROKEN_HOLDS}, self.broken
         )
-        await self.wait_unlisted(left)
+        await self.wait_unlisted(remaining)
         await self.deployment.set_behaviour()
-        for entry in left:
+        for entry in remaining:
             key = deployments.make_key()
-            await self.deployment.act_until_done(key, [entry])
-            answer = await self.cluster.ask('Later', entry)
-            builders.check_whole(self, 'Later', answer)
+            await self.deployment.send_until_done(key, [entry])
+            answer = await self.cluster.generate('Later', entry)
+            builders.check_complete(self, 'Later', answer)
 
     def start_stream(self, entry):
-        """Start a stream with a prompt of its own."""
+        """Start a stream with a unique prompt."""
         prompt = f'Lost {len(self.streams)}'
-        asked = asyncio.create_task(self.stream(prompt, entry))
-        self.streams[prompt] = asked
+        generation = asyncio.create_task(self.run_stream(prompt, entry))
+        self.streams[prompt] = generation
 
-    async def stream(self, prompt, entry):
-        """Ask for a text until it is begun, elsewhere after a cut."""
-        for _ in range(MOST_SENDS):
+    async def run_stream(self, prompt, entry):
+        """Generate a text; retry refusals, and use another entry if broken."""
+        for _ in range(MAX_ATTEMPTS):
             try:
-                answer = await self.cluster.ask(
-                    prompt, entry, max_tokens=COUNT
+                answer = await self.cluster.generate(
+                    prompt, entry, max_tokens=TOKENS
                 )
             except ConnectionError:
-                self.cut['streams'] += 1
+                self.broken['streams'] += 1
                 entry = next(self.others)
                 continue
             if answer.status != REFUSED:
                 break
         return answer
 
-    async def hold(self, entry):
-        """Send a key until it may have run, elsewhere after a cut."""
+    async def send_hold(self, entry):
+        """Send a key until it may have run.
+
+        After a broken connection, another entry is used.
+        """
         key = deployments.make_key()
-        for number in range(MOST_SENDS):
+        for number in range(MAX_ATTEMPTS):
             try:
                 await self.senders.send(key, [entry], resent=number > 0)
             except ConnectionError:
-                self.cut['holds'] += 1
+                self.broken['holds'] += 1
                 entry = next(self.others)
                 continue
             if self.senders.replies[key][-1].outcome != 'not run':
                 return
-            await asyncio.sleep(partitions.PAUSE_S)
+            await asyncio.sleep(partitions.SEND_INTERVAL_S)
 
-    async def find_domain(self):
-        """Return the domain whose engines the third domain's entry uses."""
+    async def find_used_domain(self):
+        """Return the domain whose engines the entry without engines uses."""
         found = []
 
         async def is_used():
@@ -153,35 +158,39 @@
             found.extend(name[0] for name, count in used if count)
             return bool(found)
 
-        self.start_stream(THIRD)
-        await deployments.wait_until(is_used, 'an engine works')
+        self.start_stream(ENTRY_WITHOUT_ENGINES)
+        await deployments.wait_until(is_used, 'an engine computes')
         return found[0]
 
-    async def is_busy(self):
-        """Tell whether all holds run."""
-        return await self.deployment.count_running() == HOLDS
+    async def all_holds_run(self):
+        """Return whether all holds are in flight."""
+        return await self.deployment.count_running_calls() == HOLDS
 
-    def lose_domain(self, domain):
-        """End the entries and engines of one domain, then wait for each."""
-        lost = [self.cluster.entries[number] for number in DOMAINS[domain]]
+    def kill_domain(self, domain):
+        """Kill the entries and engines of one domain, then wait for each."""
+        killed = [self.cluster.entries[number] for number in DOMAINS[domain]]
         for name, engine in self.cluster.engines.items():
             if name.startswith(domain):
-                lost.append(engine)
-        for process in lost:
+                killed.append(engine)
+        for process in killed:
             process.popen.kill()
-        for process in lost:
+        for process in killed:
             process.kill()
 
-    async def wait_unlisted(self, left):
-        """Wait until the entries that are left list each other only."""
-        urls = {self.cluster.entries[one].ready['callers'] for one in left}
+    async def wait_unlisted(self, remaining):
+        """Wait until the remaining entries list only each other."""
+        urls = {
+            self.cluster.entries[one].ready['callers'] for one in remaining
+        }
 
         async def is_unlisted():
             listed = [
                 await partitions.list_entries(self.deployment, one)
-                for one in left
+                for one in remaining
             ]
             return all(found == urls for found in listed)
 
-        what = 'the dead are unlisted'
-        await deployments.wait_until(is_unlisted, what, partitions.HEAL_S)
+        description = 'killed entries are unlisted'
+        await deployments.wait_until(
+            is_unlisted, description, partitions.CONVERGENCE_TIMEOUT_S
+        )
--- a/tests/processes/test_joining.py
+++ b/tests/processes/test_joining.py
@@ -1,4 +1,4 @@
-"""Entries that find each other through the store alone."""
+"""Entries that discover each other only through the store."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class JoiningTest(unittest.TestCase):
-    def test_an_entry_joins_without_being_told_of_another(self) -> None:
-        """A host is set up from a settings file that names no other entry.
+    def test_an_entry_without_seeds_joins_through_the_store(self) -> None:
+        """The settings of an entry name no seed.
 
-        Left alone, it would serve callers an old list of addresses and hear
-        of changes only when it asks the store.
+        Unless it joins, it serves callers an old list of addresses and
+        receives changes only when it polls the store.
         """
         with processes.open_processes() as scope:
             store = scope.start('store', 'standins.kv_store')
@@ -24,7 +24,7 @@
             ]
             urls = {one.ready['callers'] for one in entries}
             load.wait_until(
-                'both entries listed by both',
+                'both entries list both',
                 lambda: all(
                     set(load.read_entries(one)[0]) == urls for one in entries
                 ),
--- a/tests/processes/test_leaving.py
+++ b/tests/processes/test_leaving.py
@@ -1,4 +1,4 @@
-"""Entries and targets that leave and join, as processes under load."""
+"""Entries and targets that leave and join under load."""
 
 from __future__ import annotations
 
@@ -21,81 +21,86 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Iterator
 
-EXIT_S = 45.0
-EACH = 2
-"""Calls and actions of the callers of each entry."""
+EXIT_TIMEOUT_S = 45.0
+CALLERS_PER_KIND = 2
+"""Callers of each kind, calls and actions, per entry."""
 
-MUCH = 10
-SHOWN = 5
-LOG_SHOWN = 4000
-Leave = typing.Callable[..., None]
+MIN_REQUESTS = 10
+MAX_SHOWN = 5
+LOG_TAIL_CHARS = 4000
+LeaveFunction = typing.Callable[..., None]
 
 
 class PlannedStopTest(unittest.TestCase):
-    """Operators stop entries on purpose, every day."""
+    """Planned stops of entries, which operators do every day."""
 
-    def test_entries_leave_under_load_without_a_cut(self) -> None:
+    def test_entries_leave_under_load_without_broken_requests(self) -> None:
         """Two of four entries are stopped while callers use all of them.
 
-        An entry that exits at once cuts off streams and calls in flight and
-        leaves callers that still hold its address with a refused
-        connection. One entry gets signals, the other an operator's request.
+        An entry that exits without draining breaks streams and calls in
+        flight, and callers that still use its address get a refused
+        connection. One entry receives signals, the other an operator's
+        request.
         """
         with open_fleet(entries=4) as fleet:
-            with load.run_load() as work:
-                figures = self.stop_two(fleet, work)
-            self.check(work, fleet)
-            show(figures)
-            show_load(work)
-
-    def stop_two(self, fleet: load.Fleet, work: load.Load) -> dict[str, float]:
-        """Stop two entries; returns seconds until each thing was seen."""
-        stopped, left = fleet.entries[:2], fleet.entries[2:]
-        # All callers may come to one entry, and each refusal without other
-        # entries to use is a fault here.
+            with load.run_callers() as callers:
+                figures = self.stop_two(fleet, callers)
+            self.check(callers, fleet)
+            print_durations(figures)
+            print_results(callers)
+
+    def stop_two(
+        self, fleet: load.Fleet, callers: load.Callers
+    ) -> dict[str, float]:
+        """Stop two entries; return the seconds until each observed event."""
+        stopped, remaining = fleet.entries[:2], fleet.entries[2:]
+        # All callers may gather at one entry, and a refusal that names no
+        # other entry fails this test.
         for entry in fleet.entries:
             url = entry.ready['callers']
-            work.start(url, stream=2, call=EACH, action=EACH)
+            callers.start(
+                url, stream=2, call=CALLERS_PER_KIND, action=CALLERS_PER_KIND
+            )
         time.sleep(1.0)
-        kept = Kept(stopped[0])
-        self.assertNotIn('close', kept.ask())
-        longest = work.start_long_stream(stopped[0].ready['callers'])
+        connection = PersistentConnection(stopped[0])
+        self.assertNotIn('close', connection.request())
+        long_stream = callers.start_long_stream(stopped[0].ready['callers'])
         time.sleep(0.2)
         began = time.monotonic()
         stopped[0].send_signal(signal.SIGTERM)
         load.post(f'{stopped[1].ready["operators"]}/v1/drain', {})
         urls = {one.ready['callers'] for one in stopped}
         unlisted = load.wait_until(
-            'both unlisted everywhere',
+            'both unlisted by all others',
             lambda: all(
                 not urls & set(load.read_entries(one)[0])
                 and urls <= set(load.read_entries(one)[1])
-                for one in left
+                for one in remaining
             ),
         )
-        self.assertIn('close', kept.ask())
-        self.assertTrue(kept.is_at_end())
+        self.assertIn('close', connection.request())
+        self.assertTrue(connection.is_closed())
         stopped[0].send_signal(signal.SIGTERM)
-        joined = self.join(fleet, work)
-        self.ask_until_exit(stopped)
+        joined = self.join(fleet, callers)
+        self.send_until_exit(stopped)
         exited = time.monotonic() - began
-        verdict, detail, _ = longest.result(load.WAIT_S)
-        self.assertEqual(verdict, 'whole', detail)
-        forgotten = load.wait_until(
-            'both forgotten', lambda: agree(fleet.entries[2:])
+        result, detail, _ = long_stream.result(load.WAIT_S)
+        self.assertEqual(result, 'complete', detail)
+        removed = load.wait_until(
+            'both removed', lambda: lists_agree(fleet.entries[2:])
         )
-        for entry in left:
+        for entry in remaining:
             self.assertEqual(load.read_entries(entry)[1], [])
         time.sleep(1.0)
         return {
             'unlisted': unlisted,
             'joined': joined,
             'exited': exited,
-            'forgotten after exit': forgotten,
+            'removed after exit': removed,
         }
 
-    def join(self, fleet: load.Fleet, work: load.Load) -> float:
-        """Start an entry meanwhile; it is listed and takes work."""
+    def join(self, fleet: load.Fleet, callers: load.Callers) -> float:
+        """Start an entry and wait until it is listed and serves requests."""
         began = time.monotonic()
         entry = fleet.start_entry()
         url = entry.ready['callers']
@@ -110,20 +115,24 @@
                 and load.read_status(entry)['version'] == version
             ),
         )
-        show({'new entry listed, configured': time.monotonic() - began})
-        work.start(url, stream=1, call=EACH, action=EACH)
+        print_durations(
+            {'new entry listed, configured': time.monotonic() - began}
+        )
+        callers.start(
+            url, stream=1, call=CALLERS_PER_KIND, action=CALLERS_PER_KIND
+        )
         load.wait_until(
-            'new entry takes each kind of work',
+            'new entry serves each kind of request',
             lambda: (
-                {one.kind for one in work.seen if one.url == url}
+                {one.kind for one in callers.records if one.url == url}
                 == {'stream', 'call', 'action'}
             ),
         )
         return time.monotonic() - began
 
-    def ask_until_exit(self, stopped: list[processes.Process]) -> None:
-        """Ask like callers that hold a retired address, to the end."""
-        asked = dict.fromkeys((one.name for one in stopped), 0)
+    def send_until_exit(self, stopped: list[processes.Process]) -> None:
+        """Send requests to stopping entries until they exit."""
+        refusals = dict.fromkeys((one.name for one in stopped), 0)
         paths = itertools.cycle(
             f'/v1/workspaces/{load.WORKSPACE}/{path}'
             for path in (
@@ -134,7 +143,7 @@
         )
         body = b'{"prompt": "late"}'
         began = time.monotonic()
-        end = began + EXIT_S
+        end = began + EXIT_TIMEOUT_S
         running = list(stopped)
         while running and time.monotonic() < end:
             for entry in list(running):
@@ -143,178 +152,201 @@
                         'POST', entry.ready['callers'] + next(paths), body
                     )
                 except (OSError, httpclient.HTTPError):
-                    # Only an entry that has drained may refuse.
+                    # Only a drained entry may refuse connections.
                     self.assertIn('drain_done', entry.read_log())
                     running.remove(entry)
-                    show({f'{entry.name} refuses': time.monotonic() - began})
+                    print_durations(
+                        {f'{entry.name} refuses': time.monotonic() - began}
+                    )
                     continue
                 problem = answer.read_json()
-                # What the entry logged tells why, and is gone with it.
-                seen = f'{problem}\n{entry.read_log()[-LOG_SHOWN:]}'
-                self.assertEqual(answer.status, 503, seen)
+                # The log shows the cause, and is deleted with the entry.
+                message = f'{problem}\n{entry.read_log()[-LOG_TAIL_CHARS:]}'
+                self.assertEqual(answer.status, 503, message)
                 self.assertEqual(problem['outcome'], 'not run')
                 self.assertTrue(problem['instead'])
-                asked[entry.name] += 1
+                refusals[entry.name] += 1
             time.sleep(0.1)
         for entry in stopped:
-            code = entry.popen.wait(EXIT_S)
+            code = entry.popen.wait(EXIT_TIMEOUT_S)
             self.assertEqual(code, 0, entry.read_log())
-        self.assertGreater(min(asked.values()), 50)
+        self.assertGreater(min(refusals.values()), 50)
 
     def check(
         self,
-        work: load.Load,
+        callers: load.Callers,
         fleet: load.Fleet,
     ) -> None:
-        """No request was cut, each kind was in flight, keys ran once."""
-        self.assertEqual(work.list_verdicts('cut')[:SHOWN], [])
+        """Check that no request broke and that each key ran once.
+
+        Each kind of request must have been both served and refused.
+        """
+        self.assertEqual(callers.list_by_result('broken')[:MAX_SHOWN], [])
         for kind in ('stream', 'call', 'action'):
-            self.assertTrue(work.list_verdicts('whole', kind))
-            self.assertTrue(work.list_verdicts('refused', kind))
+            self.assertTrue(callers.list_by_result('complete', kind))
+            self.assertTrue(callers.list_by_result('refused', kind))
         runs = load.count_executions(fleet)
-        self.assertEqual([k for k in work.keys if runs.get(k) != 1], [])
+        self.assertEqual([k for k in callers.keys if runs.get(k) != 1], [])
         self.assertEqual({k for k, n in runs.items() if k and n > 1}, set())
         for entry in fleet.entries[:2]:
             self.assertIn('drain_done', entry.read_log())
 
 
 class TargetTest(unittest.TestCase):
-    """Hosts of targets are restarted or replaced, 400 on an ordinary day."""
+    """Restarts and replacements of target hosts, 400 on an ordinary day."""
 
-    def test_targets_leave_under_load_without_a_cut(self) -> None:
-        """Targets begin to leave while each of them runs requests.
+    def test_targets_leave_under_load_without_broken_requests(self) -> None:
+        """Targets start to leave while each of them runs requests.
 
-        Work that they are still given is refused or lost with them, and
-        streams that are moved for no reason cost a second computation.
+        New requests sent to them would be refused or lost, and streams
+        rerouted without need cost a second computation.
         """
         with open_fleet(entries=2, targets=4, host_lag_s=2) as fleet:
-            with load.run_load() as work:
+            with load.run_callers() as callers:
                 for entry in fleet.entries:
-                    work.start(
+                    callers.start(
                         entry.ready['callers'], stream=5, call=3, action=3
                     )
-                for way, leave in self.list_ways(fleet).items():
-                    with self.subTest(way):
-                        self.leave(fleet, work, way, leave)
-                self.join(fleet, work)
-            show_load(work)
-            self.assertEqual(work.list_verdicts('cut')[:SHOWN], [])
-            self.assertEqual(work.list_verdicts('refused')[:SHOWN], [])
+                for source, leave in self.list_sources(fleet).items():
+                    with self.subTest(source):
+                        self.leave(fleet, callers, source, leave)
+                self.join(fleet, callers)
+            print_results(callers)
+            self.assertEqual(callers.list_by_result('broken')[:MAX_SHOWN], [])
+            self.assertEqual(callers.list_by_result('refused')[:MAX_SHOWN], [])
             runs = load.count_executions(fleet)
-            self.assertEqual([k for k in work.keys if runs.get(k) != 1], [])
-            # An attempt that began on a target that leaves is finished
-            # there, so none is left half-way.
-            short = {
+            self.assertEqual([k for k in callers.keys if runs.get(k) != 1], [])
+            # An attempt that started on a leaving target completes there, so
+            # no attempt is partial.
+            partial = {
                 attempt: count
-                for attempt, count in fleet.list_attempts().items()
+                for attempt, count in fleet.count_tokens_by_attempt().items()
                 if count != load.TOKENS
             }
-            self.assertEqual(short, {})
+            self.assertEqual(partial, {})
 
-    def list_ways(self, fleet: load.Fleet) -> dict[str, Leave]:
-        """Return who may know first that targets leave."""
+    def list_sources(self, fleet: load.Fleet) -> dict[str, LeaveFunction]:
+        """Return the sources that may first report targets as leaving."""
 
         def publish(*names: str) -> None:
             fleet.publish(fleet.entries[0], *names)
 
         return {
-            'its own word': fleet.order_leave,
+            'target': fleet.set_targets_leaving,
             'host list, lagging': fleet.set_hosts_leaving,
             'configuration': publish,
         }
 
     def leave(
-        self, fleet: load.Fleet, work: load.Load, way: str, leave: Leave
+        self,
+        fleet: load.Fleet,
+        callers: load.Callers,
+        source: str,
+        leave: LeaveFunction,
     ) -> None:
-        """Let one engine and one service leave; they get no new work."""
-        number = 1 + list(self.list_ways(fleet)).index(way)
+        """Make one engine and one service leave.
+
+        Wait until they receive no new requests.
+        """
+        number = 1 + list(self.list_sources(fleet)).index(source)
         names = (f'engine-{number}', f'service-{number}')
         load.wait_until(
-            f'{names} at work', lambda: all(map(fleet.count_work, names))
+            f'{names} serve requests',
+            lambda: all(map(fleet.count_received, names)),
         )
         ordered = time.monotonic()
         leave(*names)
-        last = wait_without_work(fleet, work, names)
-        show({f'last work, {way}': last - ordered})
+        last = wait_without_requests(fleet, callers, names)
+        print_durations({f'last request, {source}': last - ordered})
 
-    def join(self, fleet: load.Fleet, work: load.Load) -> None:
-        """Publish a new engine and a new service; both take work."""
+    def join(self, fleet: load.Fleet, callers: load.Callers) -> None:
+        """Publish a new engine and service; wait until both serve."""
         for name in ('engine-5', 'service-5'):
             fleet.start_target(name)
         began = time.monotonic()
         fleet.publish(fleet.entries[1], 'engine-3', 'service-3')
         load.wait_until(
-            'new targets take work',
+            'new targets serve requests',
             lambda: all(
-                fleet.count_work(name) for name in ('engine-5', 'service-5')
+                fleet.count_received(name)
+                for name in ('engine-5', 'service-5')
             ),
         )
-        show({'new targets take work': time.monotonic() - began})
+        print_durations(
+            {'new targets serve requests': time.monotonic() - began}
+        )
 
 
 class AgreementTest(unittest.TestCase):
-    """Hosts crash, freeze and come back."""
+    """Hosts that crash, are suspended and return."""
 
-    def test_lists_agree_after_a_kill_and_a_freeze(self) -> None:
-        """One entry is killed and one stops for longer than any timeout.
+    def test_lists_agree_after_a_kill_and_a_suspension(self) -> None:
+        """One entry is killed and one is suspended beyond every timeout.
 
-        Callers would be sent to the dead one for ever, or never again to
-        the one that woke. The one that woke holds an old configuration, and
-        a request that waited in its sockets is the first thing that it
-        sees: run at once, it would use what operators took away meanwhile.
+        Entries might list the killed one forever, or never list the resumed
+        one again. The resumed entry holds an old configuration, and first
+        reads requests that waited in its sockets. Run without a check, they
+        would use what operators have removed since.
         """
         with open_fleet(entries=4) as fleet:
-            first, second, frozen, killed = fleet.entries
-            frozen.send_signal(signal.SIGSTOP)
+            first, second, suspended, killed = fleet.entries
+            suspended.send_signal(signal.SIGSTOP)
             killed.kill()
-            gone = load.wait_until(
-                'two entries left', lambda: agree([first, second])
+            unlisted = load.wait_until(
+                'two entries listed', lambda: lists_agree([first, second])
             )
             for one in (first, second):
                 listed, leaving = load.read_entries(one)
                 self.assertNotIn(killed.ready['callers'], listed + leaving)
             version = fleet.publish(second, operation='reread')
-            with load.run_load() as work:
-                late = [
-                    work.start_call(frozen.ready['callers']) for _ in range(20)
+            with load.run_callers() as callers:
+                queued_calls = [
+                    callers.start_call(suspended.ready['callers'])
+                    for _ in range(20)
                 ]
-                listed = work.start_list(frozen.ready['callers'])
+                listed = callers.start_list(suspended.ready['callers'])
                 time.sleep(0.5)
-                frozen.send_signal(signal.SIGCONT)
+                suspended.send_signal(signal.SIGCONT)
                 began = time.monotonic()
-                old = listed.result(load.WAIT_S)
-                answers = [one.result(load.WAIT_S) for one in late]
-            self.assertEqual([a for a in answers if a[0] == 'whole'], [])
-            urls = [one['url'] for one in old['entries']]
+                queued_list = listed.result(load.WAIT_S)
+                answers = [one.result(load.WAIT_S) for one in queued_calls]
+            self.assertEqual([a for a in answers if a[0] == 'complete'], [])
+            urls = [one['url'] for one in queued_list['entries']]
             if killed.ready['callers'] in urls:
-                self.assertEqual(old['keep_ms'], 0)
-            back = load.wait_until(
-                'woken entry listed', lambda: agree(fleet.entries[:3])
+                self.assertEqual(queued_list['keep_ms'], 0)
+            listed_again = load.wait_until(
+                'resumed entry listed', lambda: lists_agree(fleet.entries[:3])
             )
-            self.assertEqual(load.read_status(frozen)['version'], version)
+            self.assertEqual(load.read_status(suspended)['version'], version)
             caught_up = time.monotonic() - began
-            show({'gone': gone, 'back': back, 'caught up': caught_up})
+            print_durations(
+                {
+                    'unlisted': unlisted,
+                    'listed again': listed_again,
+                    'caught up': caught_up,
+                }
+            )
             print(sorted({one[1][:60] for one in answers}))
 
 
 @attrs.define
-class Quiet:
-    """Work that targets were sent, and since when it has not changed."""
+class LastChange:
+    """Request counts of targets and the time of their last change."""
 
     counts: list[int] = attrs.field(factory=list)
     since: float = 0.0
 
 
-class Kept:
-    """One connection that a caller keeps open."""
+class PersistentConnection:
+    """Persistent connection of a caller to an entry."""
 
     def __init__(self, entry: processes.Process) -> None:
         host, _, port = entry.ready['callers'][7:].partition(':')
         self._socket = socket.create_connection((host, int(port)), load.WAIT_S)
         self._file = self._socket.makefile('rb')
 
-    def ask(self) -> str:
-        """Send one request; returns the Connection header of its answer."""
+    def request(self) -> str:
+        """Send one request; return the Connection header of the response."""
         self._socket.sendall(b'GET /v1/entries HTTP/1.1\r\nHost: x\r\n\r\n')
         headers: dict[str, str] = {}
         self._file.readline()
@@ -324,8 +356,8 @@
         self._file.read(int(headers['content-length']))
         return headers.get('connection', '')
 
-    def is_at_end(self) -> bool:
-        """Tell whether the entry closes the connection."""
+    def is_closed(self) -> bool:
+        """Return whether the entry closed the connection."""
         at_end = self._file.read(1) == b''
         self._file.close()
         self._socket.close()
@@ -349,10 +381,10 @@
             )
         for _ in range(entries):
             fleet.start_entry()
-        load.wait_until('all listed', lambda: agree(fleet.entries))
+        load.wait_until('all listed', lambda: lists_agree(fleet.entries))
         version = fleet.publish(fleet.entries[0])
         load.wait_until(
-            'in force everywhere',
+            'applied by all entries',
             lambda: all(
                 load.read_status(one)['version'] == version
                 for one in fleet.entries
@@ -361,41 +393,41 @@
         yield fleet
 
 
-def wait_without_work(
-    fleet: load.Fleet, work: load.Load, names: tuple[str, ...]
+def wait_without_requests(
+    fleet: load.Fleet, callers: load.Callers, names: tuple[str, ...]
 ) -> float:
-    """Wait until targets got nothing while the others got much.
+    """Wait until targets receive no request while others receive many.
 
     Returns
     -------
     float
-        When the last work was seen to come, on the monotonic clock.
+        Time of the last received request, in seconds of the monotonic clock.
     """
-    state = Quiet()
+    state = LastChange()
 
-    def look() -> bool:
+    def is_idle() -> bool:
         now = time.monotonic()
-        counts = [fleet.count_work(name) for name in names]
+        counts = [fleet.count_received(name) for name in names]
         if counts != state.counts:
             state.counts, state.since = counts, now
         return all(
             len(
                 [
                     o
-                    for o in work.list_verdicts('whole', kind)
+                    for o in callers.list_by_result('complete', kind)
                     if o.began > state.since
                 ]
             )
-            >= MUCH
+            >= MIN_REQUESTS
             for kind in ('stream', 'call', 'action')
         )
 
-    load.wait_until(f'{names} without new work', look)
+    load.wait_until(f'{names} receive no requests', is_idle)
     return state.since
 
 
-def agree(entries: list[processes.Process]) -> bool:
-    """Tell whether some entries list exactly each other, and status too."""
+def lists_agree(entries: list[processes.Process]) -> bool:
+    """Return whether entries list exactly each other, also in status."""
     urls = sorted(one.ready['callers'] for one in entries)
     names = {one.ready['incarnation'] for one in entries}
     return all(
@@ -410,15 +442,15 @@
     )
 
 
-def show(seconds: dict[str, float]) -> None:
-    """Print what was measured; nothing is asserted on it."""
+def print_durations(seconds: dict[str, float]) -> None:
+    """Print measured durations, which no test asserts."""
     print(json.dumps({name: round(s, 2) for name, s in seconds.items()}))
 
 
-def show_load(work: load.Load) -> None:
-    """Print how many requests of each kind ended in which way."""
+def print_results(callers: load.Callers) -> None:
+    """Print the number of requests by kind and result."""
     counts: dict[str, int] = {}
-    for one in work.seen:
-        name = f'{one.kind} {one.verdict}'
+    for one in callers.records:
+        name = f'{one.kind} {one.result}'
         counts[name] = counts.get(name, 0) + 1
     print(json.dumps(counts))
--- a/tests/processes/test_limits.py
+++ b/tests/processes/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits of a workspace across entries, and calls over capacity."""
+"""Workspace limits across entries, and calls above the capacity."""
 
 from __future__ import annotations
 
@@ -18,26 +18,26 @@
 READ = f'/v1/workspaces/{WORKSPACE}/services/pricing/read'
 ALL = (0, 1, 2)
 CLIENTS = 400
-REFUSED = 503
-DONE = 200
+UNAVAILABLE = 503
+OK = 200
 LIMIT = 40
-AGREED_S = 10.0
-"""After a change of view the bound of a limit is higher for so long."""
-SHARE_S = 5.0
+MEMBERSHIP_SETTLE_S = 10.0
+"""The bound of a limit is higher for this long after membership changes."""
+GRANT_TTL_S = 5.0
 CALLERS = 12
-PAUSE_S = 0.05
+CALL_INTERVAL_S = 0.05
 PHASE_S = 5.0
-WORKERS = 4
+WORKERS_PER_SERVICE = 4
 SLOW_MS = 100
 TIMEOUT_MS = 1_000
-OVER = 2
+OVERLOAD_FACTOR = 2
 OVERLOAD_S = 10.0
-LEAST_GOODPUT = 1 / 3
-LEAST_IN_TIME = 3 / 4
+MIN_GOODPUT_RATIO = 1 / 3
+MIN_IN_TIME_RATIO = 3 / 4
 
 
-class LoadCase(deployments.FreshCase):
-    """Tests that publish a service of reads and call it many times."""
+class LoadCase(deployments.FreshDeploymentCase):
+    """Base of tests that publish a service and send it many calls."""
 
     limits: typing.ClassVar[dict[str, int]] = {}
 
@@ -52,7 +52,7 @@
         answer = await self.deployment.publish(
             0, 'offers', documents, self.version
         )
-        self.assertEqual(DONE, answer.status, answer.body)
+        self.assertEqual(OK, answer.status, answer.body)
         for entry in ALL:
             await self.deployment.wait_version(entry, self.version + 1)
 
@@ -74,7 +74,7 @@
         ]
 
     async def call(self, entry):
-        """Send one call and return its answer."""
+        """Send one call and return its response."""
         url = self.deployment.entries[entry].ready['callers'] + READ
         return await self.client.fetch(
             httpclient.HTTPRequest(
@@ -84,7 +84,7 @@
         )
 
     def check_refusal(self, answer):
-        """Check that a refusal says that nothing ran, and when to return."""
+        """Check that a refusal says "not run" and gives a retry delay."""
         problem = json.loads(answer.body)
         self.assertEqual('not run', problem['outcome'])
         self.assertGreater(problem['retry_after_ms'], 0)
@@ -94,28 +94,36 @@
 class LimitTest(LoadCase):
     limits: typing.ClassVar = {'requests_per_s': LIMIT}
 
-    async def test_a_limit_holds_over_all_entries_and_over_one(self):
-        """Callers of one workspace use all entries, then all use one.
+    async def test_a_limit_applies_across_all_entries_and_at_one(self):
+        """Callers of one workspace use all entries, and then a single one.
 
-        With the limit at each entry they would get three times what was
-        agreed, and others who use the same targets would wait for them.
+        With the full limit at each entry, the workspace would exceed its
+        limit threefold and delay others that use the same targets.
         """
-        # Lists of members may differ while entries find each other, and
-        # former grants count until they lapse.
-        await asyncio.sleep(self.joined_at + AGREED_S - time.monotonic())
+        # Member lists may differ while entries join, and earlier grants
+        # count until they expire.
+        await asyncio.sleep(
+            self.joined_at + MEMBERSHIP_SETTLE_S - time.monotonic()
+        )
         began = time.monotonic()
         spread = await self.run_phase(ALL)
-        gathered = await self.run_phase(ALL[:1])
-        took_s = time.monotonic() - began
-        most = LIMIT * (took_s + 1) + len(ALL) + self.count_lost() * LIMIT
-        print(json.dumps({'spread': spread, 'one': gathered, 'most': most}))
-        self.assertLessEqual(spread[DONE] + gathered[DONE], most)
-        for phase in (spread, gathered):
-            self.assertGreater(phase[REFUSED], 0)
-            self.assertGreater(phase[DONE], LIMIT)
+        single = await self.run_phase(ALL[:1])
+        duration_s = time.monotonic() - began
+        max_served = (
+            LIMIT * (duration_s + 1)
+            + len(ALL)
+            + self.sum_owner_absence_s() * LIMIT
+        )
+        print(
+            json.dumps({'spread': spread, 'one': single, 'most': max_served})
+        )
+        self.assertLessEqual(spread[OK] + single[OK], max_served)
+        for phase in (spread, single):
+            self.assertGreater(phase[UNAVAILABLE], 0)
+            self.assertGreater(phase[OK], LIMIT)
 
     async def run_phase(self, entries):
-        """Have callers send without a rest; returns how often each status."""
+        """Run callers that send continuously; return counts by status."""
         statuses = collections.Counter()
         end = time.monotonic() + PHASE_S
 
@@ -123,57 +131,69 @@
             while time.monotonic() < end:
                 answer = await self.call(entry)
                 statuses[answer.code] += 1
-                if answer.code != DONE:
+                if answer.code != OK:
                     self.check_refusal(answer)
-                await asyncio.sleep(PAUSE_S)
+                await asyncio.sleep(CALL_INTERVAL_S)
 
         await asyncio.gather(
             *(send_all(entries[one % len(entries)]) for one in range(CALLERS))
         )
         return statuses
 
-    def count_lost(self):
-        """Return the seconds in which an owner may have been silent."""
+    def sum_owner_absence_s(self):
+        """Return the seconds in which a limit owner may have been absent."""
         logs = [entry.read_log() for entry in self.deployment.entries]
-        return SHARE_S * sum(log.count('limits_owner_lost') for log in logs)
+        return GRANT_TTL_S * sum(
+            log.count('limits_owner_lost') for log in logs
+        )
 
 
 class OverloadTest(LoadCase):
-    async def test_goodput_lasts_at_twice_the_capacity(self):
-        """Many more calls come in than the services can answer.
+    async def test_goodput_at_twice_the_capacity(self):
+        """Twice as many calls arrive as the services can execute.
 
-        Let in, all would wait until each answer is late and the caller has
-        left, and nobody would be served. Some must be refused at once, and
-        the rest served in time.
+        If all were admitted, each response would be late and its caller
+        gone. Some calls must be refused without delay and the others served
+        in time.
         """
-        await self.deployment.set_behaviour(slow_ms=SLOW_MS, workers=WORKERS)
-        capacity = len(deployments.SERVICES) * WORKERS * 1000 / SLOW_MS
-        seen, took_s = await self.send_steadily(OVER * capacity)
-        answers = [one for one in seen if one.code == DONE]
-        refused = [one for one in seen if one.code == REFUSED]
+        await self.deployment.set_behaviour(
+            slow_ms=SLOW_MS, workers=WORKERS_PER_SERVICE
+        )
+        capacity = (
+            len(deployments.SERVICES) * WORKERS_PER_SERVICE * 1000 / SLOW_MS
+        )
+        responses, duration_s = await self.send_steadily(
+            OVERLOAD_FACTOR * capacity
+        )
+        answers = [one for one in responses if one.code == OK]
+        refused = [one for one in responses if one.code == UNAVAILABLE]
         for one in refused:
             self.check_refusal(one)
-        statuses = collections.Counter(one.code for one in seen)
+        statuses = collections.Counter(one.code for one in responses)
         refused_s = statistics.median(one.request_time for one in refused)
-        print(json.dumps({**statuses, 'took': took_s, 'refused': refused_s}))
-        self.assertGreater(len(answers), capacity * took_s * LEAST_GOODPUT)
-        admitted = len(seen) - len(refused)
-        self.assertGreater(len(answers), admitted * LEAST_IN_TIME)
+        print(
+            json.dumps({**statuses, 'took': duration_s, 'refused': refused_s})
+        )
+        self.assertGreater(
+            len(answers), capacity * duration_s * MIN_GOODPUT_RATIO
+        )
+        admitted = len(responses) - len(refused)
+        self.assertGreater(len(answers), admitted * MIN_IN_TIME_RATIO)
         self.assertLess(refused_s, TIMEOUT_MS / 1000 / 2)
 
     async def send_steadily(self, rate_per_s):
-        """Send calls at a rate, whatever becomes of them.
+        """Send calls at a fixed rate, independent of the responses.
 
         Returns
         -------
         tuple of list of HTTPResponse and float
-            All answers, and the seconds until the last was sent.
+            All responses, and the seconds until all have arrived.
         """
         began = time.monotonic()
         sent = []
         while (now := time.monotonic() - began) < OVERLOAD_S:
             while len(sent) < now * rate_per_s:
-                work = self.call(len(sent) % len(ALL))
-                sent.append(asyncio.create_task(work))
+                call = self.call(len(sent) % len(ALL))
+                sent.append(asyncio.create_task(call))
             await asyncio.sleep(1 / rate_per_s)
         return await asyncio.gather(*sent), time.monotonic() - began
--- a/tests/processes/test_metrics.py
+++ b/tests/processes/test_metrics.py
@@ -1,4 +1,4 @@
-"""What a collector of metrics reads from real entries."""
+"""Metrics scraped from running entries."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 class MetricsTest(unittest.TestCase):
     def _scrape(self, entry: processes.Process) -> dict[str, float]:
-        """Return the value of each sample, and check each family's type."""
+        """Return the value of each sample, and store the family types."""
         answer = requester.send('GET', f'{entry.ready["operators"]}/metrics')
         self.assertEqual(200, answer.status)
         text = answer.body.decode()
@@ -62,17 +62,17 @@
         samples = re.findall(r'^(thornspool\S*(?:{.*})?) (\S+)$', text, re.M)
         return {name: float(value) for name, value in samples}
 
-    def _wait_for(
+    def _wait_for_samples(
         self, entry: processes.Process, expected: dict[str, float]
     ) -> dict[str, float]:
-        """Scrape until some samples have the values that are waited for."""
+        """Scrape until the given samples have the expected values."""
         end = time.monotonic() + WAIT_S
         while True:
-            read = self._scrape(entry)
-            seen = {name: read.get(name) for name in expected}
-            if seen == expected:
-                return read
-            self.assertLess(time.monotonic(), end, f'{seen} != {expected}')
+            samples = self._scrape(entry)
+            current = {name: samples.get(name) for name in expected}
+            if current == expected:
+                return samples
+            self.assertLess(time.monotonic(), end, f'{current} != {expected}')
             time.sleep(0.1)
 
     def _publish(self, entry: processes.Process) -> None:
@@ -85,10 +85,10 @@
         )
         self.assertEqual(200, answer.status, answer.body)
 
-    def test_the_state_of_an_entry_can_be_watched(self) -> None:
-        """An entry is lost, and then the platform.
+    def test_samples_show_the_loss_of_an_entry_and_the_platform(self) -> None:
+        """An entry and the platform are killed.
 
-        Alerts go by these samples alone, so that each has to change.
+        Alerts use only these samples, so each must show the change.
         """
         with processes.open_processes() as scope:
             platform = scope.start('platform', 'standins.kv_store')
@@ -97,7 +97,9 @@
             seeds = [one.ready['peers']]
             peers = {'listen': '127.0.0.1:0', 'seeds': seeds}
             two = scope.start_entry('two', platform=url, peers=peers)
-            self._wait_for(one, {'thornspool_members{state="alive"}': 2})
+            self._wait_for_samples(
+                one, {'thornspool_members{state="alive"}': 2}
+            )
             self._publish(one)
             answer = requester.send(
                 'POST',
@@ -106,7 +108,7 @@
                 b'{}',
             )
             self.assertEqual(503, answer.status, answer.body)
-            read = self._wait_for(
+            samples = self._wait_for_samples(
                 one,
                 {
                     'thornspool_configuration_version': 1,
@@ -121,22 +123,30 @@
                     '"condemned"}': 0,
                 },
             )
-            self.assertLess(read['thornspool_configuration_age_seconds'], 60)
+            self.assertLess(
+                samples['thornspool_configuration_age_seconds'], 60
+            )
             for start in (
                 'thornspool_peer_bytes_total{direction="sent",kind=',
                 'thornspool_peer_bytes_total{direction="received",kind=',
                 'thornspool_platform_calls_total{kind=',
             ):
-                found = [read[name] for name in read if name.startswith(start)]
+                found = [
+                    samples[name] for name in samples if name.startswith(start)
+                ]
                 self.assertGreater(sum(found), 0, start)
             two.kill()
             platform.kill()
-            self._wait_for(one, {'thornspool_members{state="alive"}': 1})
-            read = self._wait_for(
+            self._wait_for_samples(
+                one, {'thornspool_members{state="alive"}': 1}
+            )
+            samples = self._wait_for_samples(
                 one, {'thornspool_isolated': 1, 'thornspool_ready': 0}
             )
-            failed = [name for name in read if 'platform_errors_' in name]
-            self.assertTrue(failed)
+            error_samples = [
+                name for name in samples if 'platform_errors_' in name
+            ]
+            self.assertTrue(error_samples)
             for name, kind in FAMILIES.items():
                 with self.subTest(name):
                     self.assertEqual(kind, self.types.get(name))
--- a/tests/processes/test_quarantine.py
+++ b/tests/processes/test_quarantine.py
@@ -1,4 +1,4 @@
-"""A prompt that crashes engines, through entries and engines as processes."""
+"""Quarantine of a prompt that crashes engine processes."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 HEADS = tuple(f'e{number}-head' for number in range(5))
 TAILS = tuple(f'e{number}-tail' for number in range(3))
-CRASHING = f'Sum up the cargo. {engine_stage.CRASH_MARKER}'
-SENT_AGAIN = 9
-INNOCENTS = 20
-COUNT = 400
+CRASHING_PROMPT = f'Sum up the cargo. {engine_stage.CRASH_MARKER}'
+CRASHING_REQUESTS = 9
+OTHER_CALLERS = 20
+TOKENS = 400
 REFUSED = 503
 
 
@@ -23,8 +23,8 @@
     def setUp(self):
         self.cluster = builders.open_cluster(self.addCleanup, 3, HEADS + TAILS)
 
-    def list_left(self):
-        """Return the requests that an engine died under, by the logs."""
+    def list_failed_requests(self):
+        """Return the requests whose engine exited, according to the logs."""
         lines = [
             line
             for entry in self.cluster.entries
@@ -33,62 +33,70 @@
         ]
         return {line.partition('request=')[2].split()[0] for line in lines}
 
-    async def wait_shared(self):
-        """Wait until each first engine has a quarter of a request left.
+    async def wait_engines_shared(self):
+        """Wait until each first engine has a quarter of a request to compute.
 
-        After a fixed time, on a busy machine, the others had not begun or
-        were done when the engine crashed, and nobody shared it.
+        With a fixed delay on a busy machine, the other requests had not
+        started or were complete when the engine crashed, so that none shared
+        it.
         """
 
         async def is_shared():
             counts = [await self.cluster.read_counts(one) for one in HEADS]
             return all(
-                any(0 < len(one['indexes']) < 3 * COUNT // 4 for one in found)
+                any(0 < len(one['indexes']) < 3 * TOKENS // 4 for one in found)
                 for found in counts
             )
 
-        await deployments.wait_until(is_shared, 'all first engines work')
+        await deployments.wait_until(is_shared, 'all first engines compute')
 
-    async def keep_asking(self, number, enough):
-        """Send one request after the other; returns prompts and answers.
+    async def send_until_set(self, number, stop):
+        """Send requests in sequence; return prompts and responses.
 
-        A fixed number of them may be spread so, or end so soon on a busy
-        machine, that there is no moment at which every engine has one.
+        With a fixed number of requests, their placement, or their early end
+        on a busy machine, may leave no moment at which every engine has one.
         """
-        asked = []
-        while not enough.is_set():
-            prompt = f'Innocent {number} {len(asked)}'
-            answer = await self.cluster.ask(prompt, number, max_tokens=COUNT)
-            asked.append((prompt, answer))
-        return asked
+        answered = []
+        while not stop.is_set():
+            prompt = f'Innocent {number} {len(answered)}'
+            answer = await self.cluster.generate(
+                prompt, number, max_tokens=TOKENS
+            )
+            answered.append((prompt, answer))
+        return answered
 
     async def test_prompt_that_crashes_engines_costs_two_at_most(self):
-        """Guards against a prompt that takes down one engine after another."""
+        """A prompt crashes each engine that runs it, and is sent repeatedly.
+
+        Without quarantine each retry would crash one more engine.
+        """
         cluster = self.cluster
-        # An entry that came to own a name keeps nothing for so long.
+        # An entry records nothing under a name before it has owned the name
+        # for this long.
         await asyncio.sleep(quarantine.SETTLE_MS / 1000 + 1)
-        enough = asyncio.Event()
-        innocents = asyncio.gather(
-            *(self.keep_asking(one, enough) for one in range(INNOCENTS))
+        stop = asyncio.Event()
+        others = asyncio.gather(
+            *(self.send_until_set(one, stop) for one in range(OTHER_CALLERS))
         )
-        await self.wait_shared()
+        await self.wait_engines_shared()
         answers = [
-            await cluster.ask(CRASHING, entry) for entry in range(SENT_AGAIN)
+            await cluster.generate(CRASHING_PROMPT, entry)
+            for entry in range(CRASHING_REQUESTS)
         ]
-        enough.set()
-        whole = [pair for asked in await innocents for pair in asked]
-        dead = cluster.list_dead()
-        self.assertGreaterEqual(len(dead), 1)
-        self.assertLessEqual(len(dead), 2, dead)
-        self.assertGreaterEqual(len(whole), INNOCENTS)
-        for prompt, answer in whole:
-            builders.check_whole(self, prompt, answer, COUNT)
+        stop.set()
+        completed = [pair for answered in await others for pair in answered]
+        exited = cluster.list_exited()
+        self.assertGreaterEqual(len(exited), 1)
+        self.assertLessEqual(len(exited), 2, exited)
+        self.assertGreaterEqual(len(completed), OTHER_CALLERS)
+        for prompt, answer in completed:
+            builders.check_complete(self, prompt, answer, TOKENS)
         for answer in answers:
             self.assertEqual(answer.status, REFUSED, answer.body)
         problem = answers[-1].read_json()
         self.assertIn('crashed', problem['detail'])
         self.assertGreater(problem['retry_after_ms'], 60_000)
-        self.assertGreaterEqual(len(self.list_left()), 2)
-        # What runs on says that the rest of the engines still serves.
-        later = await cluster.ask('Later', 1)
-        builders.check_whole(self, 'Later', later)
+        self.assertGreaterEqual(len(self.list_failed_requests()), 2)
+        # A later request shows that the remaining engines serve.
+        later = await cluster.generate('Later', 1)
+        builders.check_complete(self, 'Later', later)
--- a/tests/processes/test_streams.py
+++ b/tests/processes/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams to callers through entries and engines as processes."""
+"""Streams to callers while engines, links or callers fail."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 ENGINES = tuple(
     f'e{number}-{half}' for number in range(4) for half in ('head', 'tail')
 )
-COUNT = 160
-LONG = 5_000
+TOKENS = 160
+MAX_LONG_TOKENS = 5_000
 LINK_MS = 15
 POLLS = 50
 POLL_S = 0.2
@@ -27,20 +27,20 @@
             cls.addClassCleanup, 3, ENGINES, step_ms=2
         )
 
-    def list_alive(self):
-        dead = self.cluster.list_dead()
-        return [name for name in ENGINES if name not in dead]
+    def list_running(self):
+        exited = self.cluster.list_exited()
+        return [name for name in ENGINES if name not in exited]
 
-    async def find_engine(self, half, most=POLLS):
-        """Return an engine of a half that works on something just now."""
-        for _ in range(most):
-            names = [one for one in self.list_alive() if one.endswith(half)]
+    async def find_busy_engine(self, half, max_polls=POLLS):
+        """Return an engine of a half that is computing tokens."""
+        for _ in range(max_polls):
+            names = [one for one in self.list_running() if one.endswith(half)]
             before = {name: await self.count_tokens(name) for name in names}
             await asyncio.sleep(POLL_S / 10)
             for name in names:
                 if await self.count_tokens(name) > before[name]:
                     return name
-        raise AssertionError(f'No {half} works.')
+        raise AssertionError(f'No {half} engine computes tokens.')
 
     def count_reason(self, reason):
         return sum(
@@ -53,14 +53,17 @@
         counts = await self.cluster.read_counts(name)
         return sum(len(count['indexes']) for count in counts)
 
-    async def check_all(self, prompts, answers, count=COUNT):
+    async def check_all_complete(self, prompts, answers, count=TOKENS):
         for prompt, answer in zip(prompts, answers, strict=True):
-            builders.check_whole(self, prompt, answer, count)
+            builders.check_complete(self, prompt, answer, count)
 
     async def check_receipts(self, answers, count):
-        """In each attempt, each half ran each token once, in one engine."""
+        """Check that each half ran each token once per attempt.
+
+        Each attempt of a half must have run in one engine.
+        """
         ran = collections.defaultdict(list)
-        for name in self.list_alive():
+        for name in self.list_running():
             for done in await self.cluster.read_counts(name):
                 half = name.rpartition('-')[2]
                 ran[done['request'], half].append(done)
@@ -81,135 +84,144 @@
 
 
 class EngineFailureTest(StreamCase):
-    async def test_engine_that_dies_around_a_token(self):
-        """An engine's process ends before, during or after a token's work.
+    async def test_engine_that_exits_around_a_token(self):
+        """An engine exits before, while or after it computes a token.
 
-        Its callers see a pause and then the rest of their own answer.
+        Callers must receive the rest of their own response after a delay.
         """
-        for place, moment in enumerate(('before', 'during', 'after')):
-            half = ('head', 'tail')[place % 2]
+        for number, moment in enumerate(('before', 'during', 'after')):
+            half = ('head', 'tail')[number % 2]
             with self.subTest(moment=moment, half=half):
                 prompts = [f'{moment} {one}' for one in range(9)]
-                asked = asyncio.create_task(
-                    self.cluster.ask_many(prompts, max_tokens=COUNT)
+                generation = asyncio.create_task(
+                    self.cluster.generate_many(prompts, max_tokens=TOKENS)
+                )
+                name = await self.find_busy_engine(half)
+                await self.cluster.control(name, die_after=5, die_when=moment)
+                await self.check_all_complete(
+                    prompts, await generation, TOKENS
                 )
-                name = await self.find_engine(half)
-                await self.cluster.order(name, die_after=5, die_when=moment)
-                await self.check_all(prompts, await asked, COUNT)
-                self.assertIn(name, self.cluster.list_dead())
+                self.assertIn(name, self.cluster.list_exited())
 
-    async def test_engine_killed_and_one_stopped_and_woken(self):
-        """An engine is killed outright; another stops and wakes later.
+    async def test_engine_killed_and_another_suspended(self):
+        """An engine is killed; another is suspended and resumes later.
 
-        What the woken one still sends belongs to an attempt that was given
-        up. Handed on, its tokens would come to the caller twice.
+        The resumed engine sends tokens of an abandoned attempt. Forwarded,
+        they would reach the caller twice.
         """
         prompts = [f'Killed {one}' for one in range(12)]
-        asked = asyncio.create_task(
-            self.cluster.ask_many(prompts, max_tokens=COUNT)
+        generation = asyncio.create_task(
+            self.cluster.generate_many(prompts, max_tokens=TOKENS)
         )
-        killed = await self.find_engine('tail')
+        killed = await self.find_busy_engine('tail')
         self.cluster.engines[killed].kill()
-        stopped = await self.find_engine('head')
+        stopped = await self.find_busy_engine('head')
         self.cluster.engines[stopped].send_signal(signal.SIGSTOP)
         await asyncio.sleep(STALL_S)
         self.cluster.engines[stopped].send_signal(signal.SIGCONT)
-        await self.check_all(prompts, await asked, COUNT)
-        self.assertEqual(self.cluster.list_dead(), [killed])
-        waits = ('STALLED', 'SLOWED', 'SILENT')
-        self.assertTrue(sum(map(self.count_reason, waits)))
+        await self.check_all_complete(prompts, await generation, TOKENS)
+        self.assertEqual(self.cluster.list_exited(), [killed])
+        reasons = ('STALLED', 'SLOWED', 'SILENT')
+        self.assertTrue(sum(map(self.count_reason, reasons)))
 
 
 class StreamTest(StreamCase):
     async def test_link_that_slows_a_hundredfold(self):
-        """Messages of one engine to all others take a hundred times longer.
+        """The links of one engine become a hundred times slower.
 
-        Nothing is lost, so no error shows; the callers would only wait.
+        No message is lost, so no error appears and callers would only wait.
         """
         tails = [one for one in ENGINES if one.endswith('tail')]
         for name in ENGINES:
             if name not in tails:
                 await self.set_links(name, tails, LINK_MS)
         prompts = [f'Slowed {one}' for one in range(9)]
-        asked = asyncio.create_task(
-            self.cluster.ask_many(prompts, max_tokens=COUNT)
+        generation = asyncio.create_task(
+            self.cluster.generate_many(prompts, max_tokens=TOKENS)
         )
-        name = await self.find_engine('head')
+        name = await self.find_busy_engine('head')
         await self.set_links(name, tails, LINK_MS * 100)
-        await self.check_all(prompts, await asked, COUNT)
+        await self.check_all_complete(prompts, await generation, TOKENS)
         for name in ENGINES:
             await self.set_links(name, tails, 0)
 
-    async def test_link_that_slows_within_the_bound(self):
-        """A link goes from no delay to 500 ms, under the bound on a stall.
+    async def test_link_that_slows_below_the_stall_bound(self):
+        """A link goes from no delay to 500 ms, below the stall bound.
 
-        Every token still comes, so nothing seems wrong but the time: 400
-        tokens take minutes unless the route is left.
+        Every token still arrives, but 400 tokens take minutes unless the
+        stream is rerouted.
         """
         tails = [one for one in ENGINES if one.endswith('tail')]
-        asked = asyncio.create_task(
-            self.cluster.ask_many(['Slowed a little'], max_tokens=400)
+        generation = asyncio.create_task(
+            self.cluster.generate_many(['Slowed a little'], max_tokens=400)
         )
-        name = await self.find_engine('head')
+        name = await self.find_busy_engine('head')
         await self.set_links(name, tails, 500)
-        await self.check_all(['Slowed a little'], await asked, 400)
+        await self.check_all_complete(
+            ['Slowed a little'], await generation, 400
+        )
         self.assertTrue(self.count_reason('SLOWED'))
         await self.set_links(name, tails, 0)
 
     async def set_links(self, name, targets, link_ms):
         links = dict.fromkeys(targets, link_ms)
-        await self.cluster.order(name, link_ms=links)
+        await self.cluster.control(name, link_ms=links)
 
-    async def test_caller_that_leaves_stops_every_stage(self):
-        """A caller closes its connection in mid-answer.
+    async def test_caller_that_disconnects_stops_every_stage(self):
+        """A caller closes its connection during the stream.
 
-        Engines that went on would spend their time on text for nobody.
+        Engines that continued would compute tokens that nobody receives.
         """
-        begun = asyncio.Event()
-        asked = asyncio.create_task(
-            self.cluster.ask(
+        started = asyncio.Event()
+        generation = asyncio.create_task(
+            self.cluster.generate(
                 'Leaving',
-                on_chunk=lambda _: begun.set(),
-                max_tokens=LONG,
+                on_chunk=lambda _: started.set(),
+                max_tokens=MAX_LONG_TOKENS,
             )
         )
         async with asyncio.timeout(POLLS * POLL_S):
-            await begun.wait()
-        asked.cancel()
-        await asyncio.gather(asked, return_exceptions=True)
+            await started.wait()
+        generation.cancel()
+        await asyncio.gather(generation, return_exceptions=True)
         before = -1
         for _ in range(POLLS):
             await asyncio.sleep(POLL_S)
-            now = sum([await self.count_tokens(name) for name in ENGINES])
-            if now == before:
+            current = sum([await self.count_tokens(name) for name in ENGINES])
+            if current == before:
                 break
-            before = now
+            before = current
         else:
-            self.fail(f'Engines still work: {now} tokens.')
+            self.fail(f'Engines still compute: {current} tokens.')
+
+    async def test_many_streams_with_corrupt_frames(self):
+        """Engines send corrupt frames in concurrent streams.
 
-    async def test_many_streams_with_spoilt_frames(self):
-        """Many callers at once; engines cross, double and delay frames.
+        Frames belong to another request, arrive twice, repeat an earlier
+        attempt or carry wrong receipts.
 
-        Each caller must get the answer of its own prompt, and each half of
-        the model must have run once for each token, and not in two engines.
+        Each caller must receive the response to its own prompt, and each
+        half of the model must run each token once, in one engine.
         """
-        clean = [f'Clean {one}' for one in range(30)]
-        answers = await self.cluster.ask_many(clean, max_tokens=COUNT)
-        await self.check_all(clean, answers)
-        await self.check_receipts(answers, COUNT)
+        clean_prompts = [f'Clean {one}' for one in range(30)]
+        answers = await self.cluster.generate_many(
+            clean_prompts, max_tokens=TOKENS
+        )
+        await self.check_all_complete(clean_prompts, answers)
+        await self.check_receipts(answers, TOKENS)
         prompts = [f'Spoilt {one}' for one in range(36)]
-        asked = asyncio.create_task(
-            self.cluster.ask_many(prompts, max_tokens=COUNT)
+        generation = asyncio.create_task(
+            self.cluster.generate_many(prompts, max_tokens=TOKENS)
         )
         heads = [one for one in ENGINES if one.endswith('head')]
         for name, kind in zip(
             heads, ('cross', 'double', 'late', 'receipts'), strict=True
         ):
             for index in (30, 90, 150):
-                await self.cluster.order(
+                await self.cluster.control(
                     name, corrupt=kind, corrupt_index=index
                 )
                 await asyncio.sleep(POLL_S)
-        spoilt = await asked
-        await self.check_all(prompts, spoilt, COUNT)
-        await self.check_receipts(spoilt, COUNT)
+        corrupt_answers = await generation
+        await self.check_all_complete(prompts, corrupt_answers, TOKENS)
+        await self.check_receipts(corrupt_answers, TOKENS)
