--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the outside systems, each a process of its own."""
+"""Stand-ins for external systems, each run as a separate process."""
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,8 +1,8 @@
 """Stand-in of a model engine that holds a range of layers.
 
-It takes the place of a real engine in tests and measurements: it batches
-continuously, passes work along the route, streams numbered tokens that a
-test can foretell, and fails in the ways that it is told to.
+It replaces a real engine in tests and benchmarks: it batches continuously,
+forwards work along the route, streams deterministic numbered tokens, and
+injects the faults that a test requests.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Sequence
 
-_FAST_BURST = 64
+_DEFAULT_FAST_BURST_TOKENS = 64
 
 
 def read_arguments(arguments: Sequence[str] | None) -> argparse.Namespace:
-    """Read the command line."""
+    """Parse the command line."""
     parser = argparse.ArgumentParser(prog='engine', description=__doc__)
     parser.add_argument('--guarded', action='store_true')
     parser.add_argument('--port', type=int, default=0)
@@ -46,8 +46,8 @@
 
 
 def build_settings(options: argparse.Namespace) -> engine_batch.Settings:
-    """Build settings; without a step time, steps make many tokens."""
-    default = 1 if options.step_ms else _FAST_BURST
+    """Build settings; a step time of 0 defaults to many tokens a step."""
+    default_burst = 1 if options.step_ms else _DEFAULT_FAST_BURST_TOKENS
     return engine_batch.Settings(
         name=options.name,
         kind=options.kind,
@@ -55,34 +55,34 @@
         end_layer=options.end_layer,
         step_ms=options.step_ms,
         max_batch=options.max_batch,
-        burst=options.burst or default,
+        burst=options.burst or default_burst,
         load_lag_ms=options.load_lag_ms,
         cache_size=options.cache_size,
-        pace_ms=options.pace_ms,
+        token_interval_ms=options.pace_ms,
     )
 
 
-def _end_with_parent() -> None:
-    """End when standard input closes, as it does when a test is killed."""
+def _exit_with_parent() -> None:
+    """Exit when standard input closes, as it does when a test is killed."""
 
-    def read() -> None:
+    def exit_on_eof() -> None:
         if not os.read(sys.stdin.fileno(), 1):
             os._exit(0)
 
-    asyncio.get_running_loop().add_reader(sys.stdin.fileno(), read)
+    asyncio.get_running_loop().add_reader(sys.stdin.fileno(), exit_on_eof)
 
 
 async def serve(options: argparse.Namespace) -> None:
-    """Serve until the process is ended."""
+    """Serve until the process is terminated."""
     engine = engine_stage.Engine(build_settings(options))
     sockets = netutil.bind_sockets(options.port, '127.0.0.1')
     server = httpserver.HTTPServer(engine_handlers.build_application(engine))
     server.add_sockets(sockets)
     port = sockets[0].getsockname()[1]
     if options.guarded:
-        _end_with_parent()
+        _exit_with_parent()
     print(json.dumps({'url': f'http://127.0.0.1:{port}'}), flush=True)
-    await asyncio.gather(engine.batch.run(), engine.report())
+    await asyncio.gather(engine.batch.run(), engine.refresh_load())
 
 
 def main(arguments: Sequence[str] | None = None) -> None:
--- a/standins/engine_faults.py
+++ b/standins/engine_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the frames that the stand-in engine streams."""
+"""Fault injection into the frames that the stand-in engine streams."""
 
 from __future__ import annotations
 
@@ -11,60 +11,72 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Callable
 
-_CROSSED = 'crossed '
-_LATE = 'late '
+_OTHER_REQUEST_TEXT = 'crossed '
+_OLD_ATTEMPT_TEXT = 'late '
 
 Frames = list[engine_messages.Frame]
 
 
 class FrameFaults:
-    """The fault that was ordered, done once."""
+    """A fault that is injected once into a stream of frames."""
 
     def __init__(self) -> None:
         self._kind = ''
         self._index = 0
-        self._held: Frames = []
-
-    def order(self, kind: str, index: int) -> None:
-        """Order a fault of the frame with an index."""
+        self._delayed: Frames = []
+
+    def schedule(self, kind: str, index: int) -> None:
+        """Set the fault to inject.
+
+        Parameters
+        ----------
+        kind : str
+            Key of the table of faults, such as ``drop`` or ``reorder``.
+        index : int
+            Token index of the affected frame.
+        """
         self._kind, self._index = kind, index
 
-    def spoil(self, frames: Frames) -> Frames:
-        """Return the frames to send in place of some frames."""
-        if self._held:
-            frames, self._held = [*frames, *self._held], []
-        spoilt = [
-            frame for frame in frames if self._kind and self._hits(frame)
+    def apply(self, frames: Frames) -> Frames:
+        """Return the frames to send instead of the given frames."""
+        if self._delayed:
+            frames, self._delayed = [*frames, *self._delayed], []
+        affected = [
+            frame for frame in frames if self._kind and self._matches(frame)
         ]
-        if not spoilt:
+        if not affected:
             return frames
-        position = frames.index(spoilt[0])
-        changed = _FAULTS[self._kind](spoilt[0])
+        position = frames.index(affected[0])
+        replacement = _FAULTS[self._kind](affected[0])
         if self._kind == 'reorder':
-            self._held = changed
-            changed = []
+            self._delayed = replacement
+            replacement = []
         self._kind = ''
-        return frames[:position] + changed + frames[position + 1 :]
+        return frames[:position] + replacement + frames[position + 1 :]
 
-    def _hits(self, frame: engine_messages.Frame) -> bool:
+    def _matches(self, frame: engine_messages.Frame) -> bool:
         return frame.index == self._index
 
 
-def _cross(frame: engine_messages.Frame) -> Frames:
-    # With a text of its own: were it taken, the caller's text would be wrong.
+def _change_request(frame: engine_messages.Frame) -> Frames:
+    # A distinct text makes an accepted frame visible in the caller's text.
     return [
         attrs.evolve(
-            frame, request='request-of-another-caller', token=_CROSSED
+            frame,
+            request='request-of-another-caller',
+            token=_OTHER_REQUEST_TEXT,
         )
     ]
 
 
-def _repeat_late(frame: engine_messages.Frame) -> Frames:
-    late = attrs.evolve(frame, attempt=frame.attempt - 1, token=_LATE)
-    return [late, frame]
+def _prepend_old_attempt(frame: engine_messages.Frame) -> Frames:
+    old_frame = attrs.evolve(
+        frame, attempt=frame.attempt - 1, token=_OLD_ATTEMPT_TEXT
+    )
+    return [old_frame, frame]
 
 
-def _forge(frame: engine_messages.Frame) -> Frames:
+def _corrupt_receipt(frame: engine_messages.Frame) -> Frames:
     first, end, target = frame.receipts[-1]
     receipts = [*frame.receipts[:-1], (first + 1, end, target)]
     return [attrs.evolve(frame, receipts=receipts)]
@@ -73,8 +85,8 @@
 _FAULTS: dict[str, Callable[[engine_messages.Frame], Frames]] = {
     'drop': lambda frame: [],
     'double': lambda frame: [frame, frame],
-    'cross': _cross,
-    'late': _repeat_late,
+    'cross': _change_request,
+    'late': _prepend_old_attempt,
     'reorder': lambda frame: [frame],
-    'receipts': _forge,
+    'receipts': _corrupt_receipt,
 }
--- a/standins/engine_handlers.py
+++ b/standins/engine_handlers.py
@@ -22,115 +22,129 @@
 
 
 class _Handler(web.RequestHandler):
-    """Base of the handlers: typed bodies and answers."""
+    """Base class of the handlers with JSON responses."""
 
     def initialize(self, engine: engine_stage.Engine) -> None:
         self.engine = engine
 
-    def answer(self, message: typing.Any, status: int = 200) -> None:
-        """Answer with a message."""
+    def respond(self, body: typing.Any, status: int = 200) -> None:
+        """Send a message as a JSON response."""
         self.set_status(status)
         self.set_header('Content-Type', 'application/json')
-        self.finish(msgspec.json.encode(message))
+        self.finish(msgspec.json.encode(body))
 
-    def refuse(self, refused: engine_batch.Refused) -> None:
-        """Answer that the work is not done."""
-        message = engine_messages.Refusal(refused.state, refused.target)
-        self.answer(message, engine_stage.CONFLICT)
+    def send_refusal(self, error: engine_batch.RefusedError) -> None:
+        """Send status 409 for work that was refused."""
+        body = engine_messages.Refusal(error.state, error.target)
+        self.respond(body, engine_stage.CONFLICT)
 
 
 class GenerateHandler(_Handler):
     """``POST /v1/generate``: run an attempt and stream its tokens."""
 
-    order: engine_messages.Generate | None = None
-    over = False
+    generate_request: engine_messages.Generate | None = None
+    is_complete = False
 
     async def post(self) -> None:
         """Run an attempt."""
-        order = msgspec.json.decode(
+        generate_request = msgspec.json.decode(
             self.request.body, type=engine_messages.Generate
         )
         try:
-            self.engine.batch.admit(order.request, order.attempt, False)
-        except engine_batch.Refused as refused:
-            self.refuse(refused)
+            self.engine.batch.admit(
+                generate_request.request, generate_request.attempt, False
+            )
+        except engine_batch.RefusedError as error:
+            self.send_refusal(error)
             return
-        self.order = order
+        self.generate_request = generate_request
         self.set_header('Content-Type', 'application/x-ndjson')
         await self.flush()
         try:
-            await self._stream(order)
-        except engine_batch.Refused as refused:
-            await self._fail(order, refused)
+            await self._stream(generate_request)
+        except engine_batch.RefusedError as error:
+            await self._fail(generate_request, error)
         except iostream.StreamClosedError:
             pass
-        self.over = True
+        self.is_complete = True
 
     def on_connection_close(self) -> None:
-        """Stop the attempt when whoever wanted it has gone."""
-        if self.order is None or self.over:
+        """Cancel the attempt when the client disconnects."""
+        if self.generate_request is None or self.is_complete:
             return
-        self.over = True
-        task = asyncio.ensure_future(self.engine.cancel_behind(self.order))
-        self.cancelling = task
+        self.is_complete = True
+        task = asyncio.ensure_future(
+            self.engine.cancel_route(self.generate_request)
+        )
+        self.cancellation = task
 
-    async def _stream(self, order: engine_messages.Generate) -> None:
-        index = len(order.resume)
+    async def _stream(
+        self, generate_request: engine_messages.Generate
+    ) -> None:
+        index = len(generate_request.resume)
         loads: list[engine_messages.Load] = []
-        known = False
-        # The first token may wait for connections to be opened.
-        hops_at = index + 1 if 'hops' in order.tell else order.max_tokens
-        while index < order.max_tokens:
-            count = min(self.engine.settings.burst, order.max_tokens - index)
+        is_admitted = False
+        # The first token is skipped: it may include the time to connect.
+        hops_index = (
+            index + 1
+            if 'hops' in generate_request.tell
+            else generate_request.max_tokens
+        )
+        while index < generate_request.max_tokens:
+            count = min(
+                self.engine.settings.burst, generate_request.max_tokens - index
+            )
             work = engine_messages.Forward(
-                order.request,
-                order.attempt,
+                generate_request.request,
+                generate_request.attempt,
                 index,
                 count,
-                known,
-                order.route,
-                order.prompt,
-                order.priority,
+                is_admitted,
+                generate_request.route,
+                generate_request.prompt,
+                generate_request.priority,
             )
-            passed = await self.engine.pass_on(work)
-            known, loads = True, passed.loads
+            forwarded = await self.engine.forward(work)
+            is_admitted, loads = True, forwarded.loads
             frames = [
                 engine_messages.Frame(
-                    order.request,
-                    order.attempt,
+                    generate_request.request,
+                    generate_request.attempt,
                     position,
-                    engine_stage.compute_token(order.prompt, position),
-                    passed.receipts,
+                    engine_stage.compute_token(
+                        generate_request.prompt, position
+                    ),
+                    forwarded.receipts,
                 )
                 for position in range(index, index + count)
             ]
-            if index >= hops_at:
-                hops_at = order.max_tokens
-                hops = [round(hop, _HOPS_DIGITS) for hop in passed.hops]
+            if index >= hops_index:
+                hops_index = generate_request.max_tokens
+                hops = [round(hop, _HOPS_DIGITS) for hop in forwarded.hops]
                 frames[-1] = attrs.evolve(frames[-1], hops=hops)
-            await self._write(self.engine.faults.spoil(frames))
+            await self._write(self.engine.faults.apply(frames))
             index += count
         end = engine_messages.End(
-            order.request,
-            order.attempt,
+            generate_request.request,
+            generate_request.attempt,
             index,
-            loads if 'loads' in order.tell else msgspec.UNSET,
+            loads if 'loads' in generate_request.tell else msgspec.UNSET,
         )
         await self._write([end])
 
     async def _fail(
         self,
-        order: engine_messages.Generate,
-        refused: engine_batch.Refused,
+        generate_request: engine_messages.Generate,
+        error: engine_batch.RefusedError,
     ) -> None:
         failure = engine_messages.Failure(
-            order.request,
-            order.attempt,
-            refused.state,
-            refused.target,
+            generate_request.request,
+            generate_request.attempt,
+            error.state,
+            error.target,
             [self.engine.batch.read_load()],
         )
-        if not self.over:
+        if not self.is_complete:
             await self._write([failure])
 
     async def _write(self, frames: Sequence[typing.Any]) -> None:
@@ -139,62 +153,62 @@
 
 
 class ForwardHandler(_Handler):
-    """``POST /v1/forward``: work that another stage passes on."""
+    """``POST /v1/forward``: work that the previous stage forwards."""
 
     async def post(self) -> None:
-        """Run tokens through this stage and those behind it."""
+        """Run tokens through this stage and the stages after it."""
         work = msgspec.json.decode(
             self.request.body, type=engine_messages.Forward
         )
         try:
-            self.answer(await self.engine.pass_on(work))
-        except engine_batch.Refused as refused:
-            self.refuse(refused)
+            self.respond(await self.engine.forward(work))
+        except engine_batch.RefusedError as error:
+            self.send_refusal(error)
 
 
 class CancelHandler(_Handler):
-    """``POST /v1/cancel``: stop an attempt."""
+    """``POST /v1/cancel``: cancel an attempt."""
 
     def post(self) -> None:
-        """Stop an attempt."""
-        order = msgspec.json.decode(
+        """Cancel an attempt."""
+        cancel = msgspec.json.decode(
             self.request.body, type=engine_messages.Cancel
         )
-        self.engine.batch.cancel(order.request, order.attempt)
-        self.answer(self.engine.load)
+        self.engine.batch.cancel(cancel.request, cancel.attempt)
+        self.respond(self.engine.published_load)
 
 
 class LoadHandler(_Handler):
-    """``GET /v1/load``: the load some time ago."""
+    """``GET /v1/load``: the last published load, which lags."""
 
     def get(self) -> None:
-        """Return the load."""
-        if self.engine.batch.leaving:
-            load = attrs.evolve(self.engine.load, state='leaving')
-            self.answer(load, engine_stage.CONFLICT)
+        """Return the load; status 409 while the engine is leaving."""
+        if self.engine.batch.is_leaving:
+            load = attrs.evolve(self.engine.published_load, state='leaving')
+            self.respond(load, engine_stage.CONFLICT)
             return
-        self.answer(self.engine.load)
+        self.respond(self.engine.published_load)
 
 
 class ControlHandler(_Handler):
-    """``POST /control``: orders of a test."""
+    """``POST /control``: fault injection by tests."""
 
     def post(self) -> None:
-        """Take an order."""
-        self.engine.obey(
+        """Apply the requested faults."""
+        self.engine.apply_control(
             msgspec.json.decode(
                 self.request.body, type=engine_messages.Control
             )
         )
-        self.answer(self.engine.batch.read_load())
+        self.respond(self.engine.batch.read_load())
 
 
 class CountsHandler(_Handler):
-    """``GET /control/counts``: what was computed, for oracles."""
+    """``GET /control/counts``: computed tokens, for test oracles."""
 
     def get(self) -> None:
         """Return the counts."""
-        self.answer(self.engine.batch.list_counts())
+        self.respond(self.engine.batch.list_counts())
 
 
 def build_application(engine: engine_stage.Engine) -> web.Application:
--- a/standins/engine_messages.py
+++ b/standins/engine_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the stand-in engine, as ``docs/standins/engine.md`` says."""
+"""Messages of the stand-in engine, see ``docs/standins/engine.md``."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class Attachment:
-    """A file that comes with a prompt; one of the last two is empty."""
+    """A file of a prompt; either ``reference`` or ``data`` is empty."""
 
     kind: str
     media_type: str
@@ -30,8 +30,8 @@
 class Generate:
     """Body of ``POST /v1/generate``.
 
-    ``tell`` names what to tell along with the answer; other names than
-    ``loads`` and ``hops`` are passed over.
+    ``tell`` lists the reports that the response includes; names other than
+    ``loads`` and ``hops`` are ignored.
     """
 
     request: str
@@ -52,8 +52,8 @@
 class Forward:
     """Body of ``POST /v1/forward``, from one stage to the next.
 
-    ``count`` tokens from ``index`` on have passed the stages before;
-    ``known`` says that this stage has worked on the attempt already.
+    The previous stages have computed ``count`` tokens starting at ``index``;
+    ``known`` is set when this stage already ran work of the attempt.
     """
 
     request: str
@@ -76,7 +76,7 @@
 
 @attrs.frozen
 class Load:
-    """Answer of ``GET /v1/load``; it lags."""
+    """Response to ``GET /v1/load``; it lags behind the current load."""
 
     target: str
     state: str
@@ -88,10 +88,11 @@
 
 @attrs.frozen
 class Forwarded:
-    """Answer of ``POST /v1/forward``.
+    """Response to ``POST /v1/forward``.
 
-    ``taken_ms`` is the time from its arrival to this answer, and ``hops``
-    the times of the ways between the stages behind.
+    ``taken_ms`` is the time from the arrival of the request to this
+    response; ``hops`` are the link times in milliseconds between the stages
+    that follow.
     """
 
     receipts: list[tuple[int, int, str]]
@@ -102,7 +103,7 @@
 
 @attrs.frozen
 class Refusal:
-    """Answer with status 409: ``leaving``, ``fenced`` or ``cancelled``."""
+    """Response with status 409: ``leaving``, ``fenced`` or ``cancelled``."""
 
     state: str
     target: str = ''
@@ -110,7 +111,7 @@
 
 @attrs.frozen
 class Frame:
-    """A frame that carries a token."""
+    """A frame with one token."""
 
     request: str
     attempt: int
@@ -122,7 +123,7 @@
 
 @attrs.frozen
 class End:
-    """The last frame of a whole answer."""
+    """The last frame of a complete response."""
 
     request: str
     attempt: int
@@ -132,7 +133,7 @@
 
 @attrs.frozen
 class Failure:
-    """The last frame of an attempt that can't go on."""
+    """The last frame of an attempt that failed."""
 
     request: str
     attempt: int
@@ -143,27 +144,28 @@
 
 @attrs.frozen
 class Control:
-    """Body of ``POST /control``; absent fields change nothing.
+    """Body of ``POST /control``; absent fields leave the setting unchanged.
 
     Attributes
     ----------
     die_after : int
-        Exit the process at the n-th token that is computed from now on.
+        Number of tokens after which the process exits.
     die_when : str
-        ``before``, ``during`` or ``after`` the work on that token.
+        Exit ``before``, ``during`` or ``after`` the step of that token.
     leave : bool
-        Refuse new work from now on.
+        Whether new work is refused.
     fencing : str
-        ``honour`` or ``ignore`` attempts older than the newest one seen.
+        ``honour`` to refuse attempts older than the newest one seen,
+        ``ignore`` to run them.
     slow : float
-        Factor on the time of a step.
+        Factor that multiplies the step time.
     corrupt : str
         ``drop``, ``double``, ``cross``, ``late``, ``reorder`` or
-        ``receipts``: a fault of the frame at ``corrupt_index``, once.
+        ``receipts``: fault injected once, at the frame ``corrupt_index``.
     corrupt_index : int
-        Index of the token whose frame is spoilt.
+        Token index of the affected frame.
     link_ms : dict of str to float
-        Delay of each message to a target, in milliseconds.
+        Delay of each message by target, in milliseconds.
     """
 
     die_after: int | None = None
@@ -178,7 +180,7 @@
 
 @attrs.frozen
 class Count:
-    """Line of ``GET /control/counts``: tokens computed by this stage."""
+    """Line of ``GET /control/counts``: tokens that this stage computed."""
 
     request: str
     attempt: int
--- a/standins/engine_stage.py
+++ b/standins/engine_stage.py
@@ -1,4 +1,4 @@
-"""One stage of the stand-in engine: its batch, neighbours and faults."""
+"""One stage of the stand-in engine, with links to other stages."""
 
 from __future__ import annotations
 
@@ -19,89 +19,100 @@
 
 CONFLICT = 409
 CRASH_MARKER = '<crash>'
-"""A prompt that holds it ends each engine that computes a token of it."""
+"""A prompt that contains it crashes each engine that computes its tokens."""
 
 _OK = 200
 _FORWARD_TIMEOUT_S = 30.0
-_PEERS = 64
+_MAX_CONNECTIONS = 64
 
 
 def compute_token(prompt: str, index: int) -> str:
-    """Return the token that any engine gives for a prompt and a position."""
+    """Return the token that every engine computes at an index of a prompt."""
     digest = hashlib.blake2s(f'{prompt}\0{index}'.encode(), digest_size=3)
     return f'{digest.hexdigest()} '
 
 
-def _read_ms() -> float:
+def _read_now_ms() -> float:
     return time.monotonic() * 1000
 
 
 class Engine:
-    """One engine: its batch, its neighbours, its faults."""
+    """A stage with its batch, its links and its injected faults."""
 
     def __init__(self, settings: engine_batch.Settings) -> None:
         self.settings = settings
         self.batch = engine_batch.Batch(settings)
         self.link_ms: dict[str, float] = {}
         self.faults = engine_faults.FrameFaults()
-        self.load = self.batch.read_load()
+        self.published_load = self.batch.read_load()
         self._client = curl_httpclient.CurlAsyncHTTPClient(
-            force_instance=True, max_clients=_PEERS
+            force_instance=True, max_clients=_MAX_CONNECTIONS
         )
 
-    async def report(self) -> None:
-        """Renew the published load now and then, so that it lags."""
+    async def refresh_load(self) -> None:
+        """Refresh the published load at a fixed interval, so that it lags."""
         while True:
-            self.load = self.batch.read_load()
+            self.published_load = self.batch.read_load()
             await asyncio.sleep(self.settings.load_lag_ms / 1000)
 
-    def obey(self, order: engine_messages.Control) -> None:
-        """Take the orders of a test."""
+    def apply_control(self, control: engine_messages.Control) -> None:
+        """Apply the settings of a control request."""
         batch = self.batch
-        if order.die_after is not None:
-            batch.die_after, batch.die_when = order.die_after, order.die_when
-        if order.leave is not None:
-            batch.leaving = order.leave
-        if order.fencing is not None:
-            batch.honours = order.fencing == 'honour'
-        if order.slow is not None:
-            batch.slow = order.slow
-        if order.link_ms is not None:
-            self.link_ms = dict(order.link_ms)
-        if order.corrupt is not None:
-            self.faults.order(order.corrupt, order.corrupt_index)
-
-    async def pass_on(
+        if control.die_after is not None:
+            batch.crash_after_tokens, batch.crash_phase = (
+                control.die_after,
+                control.die_when,
+            )
+        if control.leave is not None:
+            batch.is_leaving = control.leave
+        if control.fencing is not None:
+            batch.enforces_fencing = control.fencing == 'honour'
+        if control.slow is not None:
+            batch.step_factor = control.slow
+        if control.link_ms is not None:
+            self.link_ms = dict(control.link_ms)
+        if control.corrupt is not None:
+            self.faults.schedule(control.corrupt, control.corrupt_index)
+
+    async def forward(
         self, work: engine_messages.Forward
     ) -> engine_messages.Forwarded:
-        """Run tokens through this stage and those behind it."""
-        begun = _read_ms()
+        """Run tokens through this stage and the stages after it.
+
+        Raises
+        ------
+        RefusedError
+            This stage or a later one refused or lost the work.
+        """
+        started_ms = _read_now_ms()
         self.batch.admit(work.request, work.attempt, work.known)
         if not work.known:
-            await self.batch.warm(work.prompt)
+            await self.batch.process_prompt(work.prompt)
         await self.batch.compute(
             work.request, work.attempt, work.index, work.count, work.priority
         )
         if CRASH_MARKER in work.prompt:
             os._exit(1)
-        own = (
+        receipt = (
             self.settings.first_layer,
             self.settings.end_layer,
             self.settings.name,
         )
-        load = self.batch.read_load()
+        current_load = self.batch.read_load()
         if len(work.route) == 1:
-            taken = _read_ms() - begun
-            return engine_messages.Forwarded([own], [load], taken, [])
-        sent = _read_ms()
-        behind = await self._send(attrs.evolve(work, route=work.route[1:]))
-        answered = _read_ms()
-        hop = answered - sent - behind.taken_ms
+            elapsed_ms = _read_now_ms() - started_ms
+            return engine_messages.Forwarded(
+                [receipt], [current_load], elapsed_ms, []
+            )
+        sent_ms = _read_now_ms()
+        forwarded = await self._send(attrs.evolve(work, route=work.route[1:]))
+        answered_ms = _read_now_ms()
+        hop_ms = answered_ms - sent_ms - forwarded.taken_ms
         return engine_messages.Forwarded(
-            [own, *behind.receipts],
-            [load, *behind.loads],
-            answered - begun,
-            [hop, *behind.hops],
+            [receipt, *forwarded.receipts],
+            [current_load, *forwarded.loads],
+            answered_ms - started_ms,
+            [hop_ms, *forwarded.hops],
         )
 
     async def _send(
@@ -118,26 +129,26 @@
                 raise_error=False,
             )
         except httpclient.HTTPError as error:
-            state = _name_failure(work, error)
-            raise engine_batch.Refused(state, stage.target) from error
+            state = _classify_failure(work, error)
+            raise engine_batch.RefusedError(state, stage.target) from error
         if response.code == CONFLICT:
             refusal = msgspec.json.decode(
                 response.body, type=engine_messages.Refusal
             )
-            raise engine_batch.Refused(refusal.state, refusal.target)
+            raise engine_batch.RefusedError(refusal.state, refusal.target)
         if response.code != _OK:
-            raise engine_batch.Refused('lost', stage.target)
+            raise engine_batch.RefusedError('lost', stage.target)
         return msgspec.json.decode(
             response.body, type=engine_messages.Forwarded
         )
 
-    async def cancel_behind(self, order: engine_messages.Generate) -> None:
-        """Stop an attempt here and at every stage behind."""
-        self.batch.cancel(order.request, order.attempt)
+    async def cancel_route(self, request: engine_messages.Generate) -> None:
+        """Cancel an attempt at this stage and at every stage after it."""
+        self.batch.cancel(request.request, request.attempt)
         body = msgspec.json.encode(
-            engine_messages.Cancel(order.request, order.attempt)
+            engine_messages.Cancel(request.request, request.attempt)
         )
-        for stage in order.route[1:]:
+        for stage in request.route[1:]:
             await self._client.fetch(
                 stage.url + '/v1/cancel',
                 method='POST',
@@ -146,13 +157,13 @@
             )
 
 
-def _name_failure(
+def _classify_failure(
     work: engine_messages.Forward, error: httpclient.HTTPError
 ) -> str:
-    """Tell a stage that was gone before the work from one that died of it.
+    """Distinguish a stage that was already down from one that crashed.
 
-    Were both told as a death, an innocent request sent to a stage that died
-    earlier would be blamed for a death of its own.
+    If both were reported as a crash, the crash would be attributed to a
+    harmless request that was sent to a stage which had crashed earlier.
     """
     errno = getattr(error, 'errno', None)
     if not work.known and errno == pycurl.E_COULDNT_CONNECT:
--- a/standins/kv_fleet.py
+++ b/standins/kv_fleet.py
@@ -1,12 +1,13 @@
 """Stand-in of a small fleet of the platform's servers, in one process.
 
 ``python -m standins.kv_fleet --store ip:port`` starts two replicas of a
-small model, each of three engines in a failure domain of its own, and two
-plain servers, lists them in the store and writes a configuration. It prints
-one line of JSON when all listen. ``POST /control`` takes ``{"kill": ID}``
-(gone without a word), ``{"drain": ID}``, ``{"add": ID}`` (an empty engine) or
-``{"lose_answers": N}``;
-``GET /control`` tells what ran.
+small model, each of three engines in a separate failure domain, and two
+plain servers, registers them in the store and writes a configuration. It
+prints one line of JSON when all servers listen. ``POST /control`` takes
+``{"kill": ID}`` (the server stops and its store entry remains),
+``{"drain": ID}``, ``{"add": ID}`` (an empty engine), ``{"put": KEY,
+"document": DOCUMENT}``, ``{"delete": KEY}`` or ``{"lose_answers": N}``;
+``GET /control`` returns what the servers ran and which layers they hold.
 """
 
 from __future__ import annotations
@@ -37,12 +38,34 @@
 STALL_S = 2.5
 EVENTS = 40
 _LAYER_MB = 1000.0
-_BEAT_MS = 1200
+_HEARTBEAT_INTERVAL_MS = 1200
 
 
 @attrs.define(eq=False)
 class Server:
-    """One engine or plain server."""
+    """An engine or a plain server.
+
+    Attributes
+    ----------
+    id, service, domain : str
+        Identifier, service and failure domain.
+    address : str
+        Address that it listens on, as ``ip:port``.
+    state : str
+        ``ready`` or ``draining``.
+    layers : tuple of int or None
+        First and end layer that an engine holds; None if it holds none.
+    order_sequence : int
+        Number of accepted placement orders.
+    is_alive : bool
+        False after the server was killed.
+    started_at_ms : int
+        Wall-clock time of the start, in milliseconds.
+    listener : HTTPServer or None
+        HTTP server; None before the start.
+    stalled : dict of str to str
+        Address of the server that a stalled run waits for, by attempt.
+    """
 
     id: str
     service: str
@@ -50,14 +73,14 @@
     address: str = ''
     state: str = 'ready'
     layers: tuple[int, int] | None = None
-    orders: int = 0
-    alive: bool = True
-    born: int = 0
+    order_sequence: int = 0
+    is_alive: bool = True
+    started_at_ms: int = 0
     listener: httpserver.HTTPServer | None = None
     stalled: dict[str, str] = attrs.field(factory=dict)
 
     def describe(self) -> dict[str, typing.Any]:
-        """Return its entry in the list."""
+        """Return the document of the server in the store."""
         entry: dict[str, typing.Any] = {
             'service': self.service,
             'address': self.address,
@@ -67,7 +90,7 @@
             'state': self.state,
             'cold_remaining_ms': 0,
             'sequence': 1,
-            'born': self.born,
+            'born': self.started_at_ms,
         }
         if self.service == MODEL_SERVICE:
             entry['kind'] = KIND
@@ -75,14 +98,20 @@
         return entry
 
     def describe_layers(self) -> dict[str, int] | None:
-        """Return the layers that it holds."""
+        """Return the held layers as the protocol writes them."""
         if self.layers is None:
             return None
         return {'from': self.layers[0], 'to': self.layers[1], 'version': 1}
 
 
 class Fleet:
-    """All servers, and what they ran."""
+    """All servers and the counts of their runs.
+
+    Parameters
+    ----------
+    store : str
+        Address of the store, as ``ip:port``.
+    """
 
     def __init__(self, store: str) -> None:
         self._store = store
@@ -91,35 +120,35 @@
         self.wrong_paths = 0
         self.lose_answers = 0
 
-    def find(self, address: str) -> Server | None:
-        """Find a server by its address."""
+    def find_by_address(self, address: str) -> Server | None:
+        """Return the server at an address, or None."""
         for server in self.servers.values():
             if server.address == address:
                 return server
         return None
 
     def put(self, key: str, document: object) -> None:
-        """Write a key as its own writer does."""
+        """Write a key of the store with the rights of its owner."""
         value = base64.b64encode(json.dumps(document).encode()).decode()
-        self._call({'puts': [{'key': key, 'value': value, 'lease': 0}]})
+        self._write({'puts': [{'key': key, 'value': value, 'lease': 0}]})
 
     def delete(self, key: str) -> None:
-        """Delete a key."""
-        self._call({'deletes': [key]})
+        """Delete a key of the store."""
+        self._write({'deletes': [key]})
 
-    def list_server(self, server: Server) -> None:
-        """Write a server's entry."""
+    def publish_server(self, server: Server) -> None:
+        """Write a server's document to the store."""
         self.put(f'servers/{server.id}', server.describe())
 
-    def _call(self, body: dict[str, typing.Any]) -> None:
+    def _write(self, body: dict[str, typing.Any]) -> None:
         request = urllib.request.Request(
             f'http://{self._store}/v1/kv-txn',
             json.dumps(body).encode(),
             {'Standin-Writer': '1'},
         )
         opened = urllib.request.urlopen(request, timeout=5)  # noqa: S310
-        with opened as answer:
-            answer.read()
+        with opened as response:
+            response.read()
 
 
 class _Handler(web.RequestHandler):
@@ -127,31 +156,39 @@
         self.fleet = fleet
         self.server = server
 
-    def refuse(self, status: int, fault: str = '') -> None:
-        """Answer that the request did not run."""
+    def reject(self, status: int, fault: str = '') -> None:
+        """Reject a request that was not executed.
+
+        Parameters
+        ----------
+        status : int
+            HTTP status.
+        fault : str, optional
+            Address of the server that caused the rejection.
+        """
         self.set_status(status)
         self.set_header('Not-Executed', '1')
         if fault:
             self.set_header('At-Server', fault)
         self.finish()
 
-    def sign(self) -> None:
-        """Add what a server adds to its answers."""
+    def add_response_headers(self) -> None:
+        """Set the headers that a server adds to its responses."""
         self.set_header('Response-Seal', f'seal-{self.server.id}')
         self.set_header('Attempt-Id', self.request.headers['Attempt-Id'])
 
 
 class ReportHandler(_Handler):
-    """State of an engine."""
+    """``GET /v1/report``: state of an engine."""
 
     def get(self) -> None:
-        """Answer."""
+        """Return the report."""
         self.finish(
             {
                 'stage': 'hybrid',
                 'models': [],
                 'busy': False,
-                'sequence': self.server.orders,
+                'sequence': self.server.order_sequence,
                 'layers': self.server.describe_layers(),
                 'pace': 1.0,
                 'stalled': [
@@ -163,87 +200,92 @@
 
 
 class OrderHandler(_Handler):
-    """Orders to an engine."""
+    """``POST /v1/order``: placement orders to an engine."""
 
     def post(self) -> None:
-        """Answer."""
+        """Apply an order to place layers."""
         order = json.loads(self.request.body)
         if order['operation'] != 'place':
             self.set_status(400)
             self.finish()
             return
-        if order.get('expected', self.server.orders) != self.server.orders:
+        if (
+            order.get('expected', self.server.order_sequence)
+            != self.server.order_sequence
+        ):
             self.set_status(409)
             self.finish()
             return
-        self.server.orders += 1
+        self.server.order_sequence += 1
         self.server.layers = (order['from'], order['to'])
-        self.fleet.list_server(self.server)
+        self.fleet.publish_server(self.server)
         self.set_status(202)
         self.finish()
 
 
 class StreamHandler(_Handler):
-    """Runs a request over the path that it names."""
+    """Stream the response of a request over the path in its header."""
 
     async def post(self) -> None:
-        """Answer."""
-        hops = self._read_path()
+        """Stream the events; stall and drop when a hop was killed."""
+        hops = self._parse_path()
         if hops is None:
             return
-        name = self.request.headers['Attempt-Id']
-        self.fleet.runs[name] += 1
+        attempt_id = self.request.headers['Attempt-Id']
+        self.fleet.runs[attempt_id] += 1
         first = int(self.request.headers.get('Last-Event-Id', -1)) + 1
-        self.sign()
+        self.add_response_headers()
         self.set_header('Content-Type', 'text/event-stream')
-        for number in range(first, EVENTS):
+        for index in range(first, EVENTS):
             await asyncio.sleep(STEP_S)
-            dead = next((one for one, _, _ in hops if not one.alive), None)
-            if dead is not None:
-                self.server.stalled[name] = dead.address
+            dead_server = next(
+                (hop for hop, _, _ in hops if not hop.is_alive), None
+            )
+            if dead_server is not None:
+                self.server.stalled[attempt_id] = dead_server.address
                 await asyncio.sleep(STALL_S)
-                self.server.stalled.pop(name, None)
+                self.server.stalled.pop(attempt_id, None)
                 common.drop_connection(self)
                 return
-            self.write(f'id: {number}\ndata: word{number}\n\n')
+            self.write(f'id: {index}\ndata: word{index}\n\n')
             await self.flush()
         self.finish()
 
-    def _read_path(self) -> list[tuple[Server, int, int]] | None:
+    def _parse_path(self) -> list[tuple[Server, int, int]] | None:
         hops = []
-        at = 0
+        next_layer = 0
         for part in self.request.headers['Hop-Count'].split(','):
             address, _, layers = part.partition('=')
             first, _, end = layers.partition('-')
-            server = self.fleet.find(address)
-            held = None if server is None else server.layers
-            if server is None or held is None:
-                self.refuse(421, address)
+            server = self.fleet.find_by_address(address)
+            held_layers = None if server is None else server.layers
+            if server is None or held_layers is None:
+                self.reject(421, address)
                 return None
             if server.state == 'draining':
-                self.refuse(503, address)
+                self.reject(503, address)
                 return None
-            if not held[0] <= int(first) < int(end) <= held[1]:
-                self.refuse(421, address)
+            if not held_layers[0] <= int(first) < int(end) <= held_layers[1]:
+                self.reject(421, address)
                 return None
-            if int(first) != at:
+            if int(first) != next_layer:
                 self.fleet.wrong_paths += 1
-            at = int(end)
+            next_layer = int(end)
             hops.append((server, int(first), int(end)))
-        if at != LAYERS or hops[0][0] is not self.server:
+        if next_layer != LAYERS or hops[0][0] is not self.server:
             self.fleet.wrong_paths += 1
         return hops
 
 
 class PlainHandler(_Handler):
-    """Runs calls and actions."""
+    """Run calls and actions of a plain server."""
 
     async def get(self) -> None:
-        """Answer."""
+        """Run a call."""
         await self._run()
 
     async def post(self) -> None:
-        """Answer."""
+        """Run a call or an action."""
         await self._run()
 
     async def _run(self) -> None:
@@ -253,20 +295,20 @@
             self.fleet.lose_answers -= 1
             common.drop_connection(self)
             return
-        self.sign()
+        self.add_response_headers()
         workspace = self.request.headers.get('Tenant', '')
         self.finish(f'{self.server.id} for {workspace}')
 
 
 class ControlHandler(web.RequestHandler):
-    """Orders of a test."""
+    """``/control``: faults that a test injects, and counts of runs."""
 
     def initialize(self, fleet: Fleet) -> None:
-        """Take what the handlers share."""
+        """Set the fleet."""
         self.fleet = fleet
 
     def get(self) -> None:
-        """Answer."""
+        """Return runs by attempt, wrong paths and held layers."""
         self.finish(
             {
                 'runs': dict(self.fleet.runs),
@@ -274,41 +316,41 @@
                 'servers': {
                     name: server.describe_layers()
                     for name, server in self.fleet.servers.items()
-                    if server.alive and server.service == MODEL_SERVICE
+                    if server.is_alive and server.service == MODEL_SERVICE
                 },
             }
         )
 
     async def post(self) -> None:
-        """Answer."""
-        orders = json.loads(self.request.body)
-        if 'kill' in orders:
-            server = self.fleet.servers[orders['kill']]
-            server.alive = False
+        """Apply the commands of a test."""
+        commands = json.loads(self.request.body)
+        if 'kill' in commands:
+            server = self.fleet.servers[commands['kill']]
+            server.is_alive = False
             assert server.listener is not None
             server.listener.stop()
             await server.listener.close_all_connections()
-        if 'drain' in orders:
-            server = self.fleet.servers[orders['drain']]
+        if 'drain' in commands:
+            server = self.fleet.servers[commands['drain']]
             server.state = 'draining'
-            self.fleet.list_server(server)
-        if 'add' in orders:
-            name = orders['add']
+            self.fleet.publish_server(server)
+        if 'add' in commands:
+            name = commands['add']
             domain = name.split('-')[0]
             start_server(self.fleet, Server(name, MODEL_SERVICE, domain))
-        if 'put' in orders:
-            self.fleet.put(orders['put'], orders['document'])
-        if 'delete' in orders:
-            self.fleet.delete(orders['delete'])
-        self.fleet.lose_answers = orders.get('lose_answers', 0)
+        if 'put' in commands:
+            self.fleet.put(commands['put'], commands['document'])
+        if 'delete' in commands:
+            self.fleet.delete(commands['delete'])
+        self.fleet.lose_answers = commands.get('lose_answers', 0)
         self.finish({})
 
 
 def start_server(fleet: Fleet, server: Server) -> None:
-    """Have a server listen, and list it."""
+    """Start a server on a free port and register it in the store."""
     shared = {'fleet': fleet, 'server': server}
-    plain = server.service == PLAIN_SERVICE
-    handler = PlainHandler if plain else StreamHandler
+    is_plain = server.service == PLAIN_SERVICE
+    handler = PlainHandler if is_plain else StreamHandler
     application = web.Application(
         [
             ('/v1/report', ReportHandler, shared),
@@ -319,17 +361,25 @@
     )
     sockets = netutil.bind_sockets(0, common.LOOPBACK)
     server.address = f'{common.LOOPBACK}:{sockets[0].getsockname()[1]}'
-    server.born = time.time_ns() // 1_000_000
+    server.started_at_ms = time.time_ns() // 1_000_000
     server.listener = httpserver.HTTPServer(application)
     server.listener.add_sockets(sockets)
     fleet.servers[server.id] = server
-    fleet.list_server(server)
+    fleet.publish_server(server)
 
 
 def build_configuration(
     version: int, keys: tuple[str, ...] = (KEY,)
 ) -> dict[str, typing.Any]:
-    """Build the operators' configuration."""
+    """Build the configuration that operators write to the store.
+
+    Parameters
+    ----------
+    version : int
+        Version of the configuration.
+    keys : tuple of str, optional
+        API keys of the only tenant.
+    """
     kinds = {
         '/brief/': ('streaming', MODEL_SERVICE),
         '/hold/': ('non_idempotent', PLAIN_SERVICE),
@@ -373,7 +423,7 @@
         'layer_mb': _LAYER_MB,
         'usual': {'prompt': 500, 'answer': 100},
         'models': [{'name': 'm', 'pace': 1.0, 'load_s': 1.0}],
-        # Room for two thirds of the model beside some requests.
+        # Memory for two thirds of the model and some requests.
         'kinds': [
             {'name': KIND, 'size_mb': 14_000.0, 'pace': 1, 'read_factor': 1}
         ],
@@ -381,12 +431,12 @@
 
 
 async def run(store: str) -> None:
-    """Serve until a signal ends the process."""
+    """Start the fleet and serve until SIGTERM or SIGINT."""
     fleet = Fleet(store)
     for domain in ('a', 'b'):
-        for number in range(3):
+        for index in range(3):
             start_server(
-                fleet, Server(f'{domain}-{number}', MODEL_SERVICE, domain)
+                fleet, Server(f'{domain}-{index}', MODEL_SERVICE, domain)
             )
         start_server(fleet, Server(f'{domain}-9', PLAIN_SERVICE, domain))
     fleet.put('op/config', build_configuration(1))
--- a/standins/kv_store.py
+++ b/standins/kv_store.py
@@ -1,10 +1,12 @@
-"""Stand-in of the platform's store, in its published protocol.
+"""Stand-in of the platform's store, with its published protocol.
 
 ``python -m standins.kv_store`` prints its address as one line of JSON when
-it listens. ``POST /control`` takes ``{"mode": "up" | "busy" | "silent"}``,
-``POST /control/faults`` the faults of the in-memory platform, and
-``GET /control/counts`` gives calls by kind. Calls with the header
-``Standin-Writer`` may write what is not the system's.
+it listens. ``POST /control`` takes ``{"mode": "up" | "busy" | "silent"}``
+(``busy`` responds with status 503, ``silent`` does not respond) and
+``{"drop_history": true}``, ``POST /control/faults`` takes the faults of the
+in-memory platform, and ``GET /control/counts`` returns calls by kind. Calls
+with the header ``Standin-Writer`` may write keys that belong to operators
+and servers.
 """
 
 from __future__ import annotations
@@ -28,17 +30,29 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Iterable
 
-_GUARDED = ('op/', 'servers/')
-_PAGE = 500
-_HISTORY = 2_000
-"""Changes that are remembered; a watch from before them gets 410."""
-_SWEEP_S = 0.05
+_PROTECTED_PREFIXES = ('op/', 'servers/')
+_PAGE_SIZE = 500
+_MAX_HISTORY = 2_000
+"""Maximum retained changes; a watch from an earlier revision gets 410."""
+_EXPIRY_INTERVAL_S = 0.05
 _MS_PER_S = 1000
 
 
 @attrs.frozen
 class Item:
-    """A key as it was written; ``value`` None after it was deleted."""
+    """One change of a key.
+
+    Attributes
+    ----------
+    key : str
+        The key.
+    value : str or None
+        Value in base64; None when the key was deleted.
+    revision, created : int
+        Revisions of this change and of the creation of the key.
+    lease : int
+        Lease that the key is bound to; 0 for none.
+    """
 
     key: str
     value: str | None
@@ -47,7 +61,7 @@
     lease: int
 
     def describe(self) -> dict[str, typing.Any]:
-        """Return it as the protocol shows it."""
+        """Return the change as the protocol encodes it."""
         if self.value is None:
             return {
                 'key': self.key,
@@ -63,9 +77,10 @@
     Parameters
     ----------
     clock : thornspool.clock.Clock
-        Time of leases.
+        Clock for the expiry of leases.
     list_lag_s : float, optional
-        Seconds after which changes of the list of servers are seen.
+        Delay in seconds before writes to protected keys, such as the list
+        of servers, are applied.
     """
 
     def __init__(
@@ -88,36 +103,42 @@
         self._random = random.Random(self.faults.seed)
 
     def set_faults(self, faults: memory.Faults) -> None:
-        """Replace the faults and start their chances from the seed."""
+        """Replace the faults and reseed the random source."""
         self.faults = faults
         self._random = random.Random(faults.seed)
 
-    def loses_answer(self) -> bool:
-        """Tell whether the answer to a write is lost."""
+    def drops_response(self) -> bool:
+        """Return whether the response to a write is dropped."""
         if self.faults.use('lose_writes'):
             return True
         return self._random.random() < self.faults.lose_probability
 
     def read_revision(self, key: str) -> int:
-        """Return the revision of a key; 0 for none."""
+        """Return the revision of a key; 0 for a missing key."""
         item = self.items.get(key)
         return 0 if item is None else item.revision
 
     def write(
         self, puts: Iterable[dict[str, typing.Any]], deletes: Iterable[str]
     ) -> int:
-        """Apply a change."""
+        """Apply puts and deletes as one revision.
+
+        Returns
+        -------
+        int
+            The new revision.
+        """
         self.revision += 1
         for put in puts:
             key = put['key']
-            known = self.items.get(key)
-            if known is not None:
-                self.previous[key] = known
+            current = self.items.get(key)
+            if current is not None:
+                self.previous[key] = current
             item = Item(
                 key,
                 put['value'],
                 self.revision,
-                self.revision if known is None else known.created,
+                self.revision if current is None else current.created,
                 put.get('lease', 0),
             )
             self.items[key] = item
@@ -125,20 +146,20 @@
         for key in deletes:
             if self.items.pop(key, None) is not None:
                 self.history.append(Item(key, None, self.revision, 0, 0))
-        while len(self.history) > _HISTORY:
+        while len(self.history) > _MAX_HISTORY:
             self.dropped = self.history.popleft().revision
         self.changed.set()
         self.changed = asyncio.Event()
         return self.revision
 
     def open_lease(self, ttl_ms: int) -> int:
-        """Open a lease."""
+        """Create a lease and return its number."""
         self._next_lease += 1
         self.leases[self._next_lease] = (ttl_ms, self._clock.now() + ttl_ms)
         return self._next_lease
 
     def renew(self, lease: int) -> bool:
-        """Renew a lease."""
+        """Renew a lease; return whether it still exists."""
         if lease not in self.leases:
             return False
         ttl_ms, _ = self.leases[lease]
@@ -146,21 +167,23 @@
         return True
 
     def end_lease(self, lease: int) -> None:
-        """End a lease with its keys."""
+        """End a lease and delete its keys."""
         self.leases.pop(lease, None)
-        keys = [one.key for one in self.items.values() if one.lease == lease]
+        keys = [
+            item.key for item in self.items.values() if item.lease == lease
+        ]
         if lease and keys:
             self.write([], keys)
 
     def sweep(self) -> None:
-        """End the leases that ran out."""
+        """End the leases that expired."""
         now = self._clock.now()
         for lease, (_, end) in list(self.leases.items()):
             if now > end:
                 self.end_lease(lease)
 
     def drop_history(self) -> None:
-        """Forget all changes so far."""
+        """Discard the history, so that earlier watches get 410."""
         self.history.clear()
         self.dropped = self.revision
 
@@ -185,7 +208,7 @@
             await asyncio.sleep(3_600)
 
     def drop(self) -> None:
-        """Close the connection without an answer."""
+        """Close the connection without a response."""
         common.drop_connection(self)
         raise web.Finish
 
@@ -198,12 +221,12 @@
 
 
 class KeyHandler(_Handler):
-    """One key."""
+    """``GET /v1/kv-key``: one key."""
 
     kind = 'get'
 
     def get(self) -> None:
-        """Answer."""
+        """Return the key, or its previous value as a stale read."""
         key = self.get_argument('key')
         item = self.store.items.get(key)
         if self.store.faults.use('stale_reads'):
@@ -214,12 +237,12 @@
 
 
 class RangeHandler(_Handler):
-    """Keys under a prefix."""
+    """``GET /v1/kv-range``: a page of the keys under a prefix."""
 
     kind = 'range'
 
     def get(self) -> None:
-        """Answer."""
+        """Return the keys after a key, in order."""
         prefix = self.get_argument('prefix', '')
         after = self.get_argument('after', '')
         found = [
@@ -229,20 +252,20 @@
         ]
         self.send(
             {
-                'items': [one.describe() for one in found[:_PAGE]],
-                'has_more': len(found) > _PAGE,
+                'items': [item.describe() for item in found[:_PAGE_SIZE]],
+                'has_more': len(found) > _PAGE_SIZE,
                 'as_of': self.store.revision,
             }
         )
 
 
 class WatchHandler(_Handler):
-    """Changes after a revision."""
+    """``GET /v1/kv-watch``: long poll for changes after a revision."""
 
     kind = 'watch'
 
     async def get(self) -> None:
-        """Answer."""
+        """Return changes as soon as there are any, or none at the timeout."""
         prefix = self.get_argument('prefix', '')
         after = int(self.get_argument('after'))
         wait_s = int(self.get_argument('wait_ms')) / _MS_PER_S
@@ -251,34 +274,34 @@
             if after < self.store.dropped:
                 raise web.HTTPError(410)
             events = [
-                one.describe()
-                for one in self.store.history
-                if one.revision > after and one.key.startswith(prefix)
+                item.describe()
+                for item in self.store.history
+                if item.revision > after and item.key.startswith(prefix)
             ]
-            left = end - asyncio.get_running_loop().time()
+            remaining_s = end - asyncio.get_running_loop().time()
             if self.store.faults.down:
                 self.drop()
-            if events or left <= 0:
+            if events or remaining_s <= 0:
                 break
             try:
-                await asyncio.wait_for(self.store.changed.wait(), left)
+                await asyncio.wait_for(self.store.changed.wait(), remaining_s)
             except TimeoutError:
                 continue
         self.send({'events': events, 'as_of': self.store.revision})
 
 
 class TxnHandler(_Handler):
-    """Conditional writes."""
+    """``POST /v1/kv-txn``: conditional writes."""
 
     kind = 'put'
 
     def post(self) -> None:
-        """Answer."""
+        """Apply a transaction, with the injected faults."""
         body = json.loads(self.request.body)
-        keys = [one['key'] for one in body.get('puts', [])]
+        keys = [put['key'] for put in body.get('puts', [])]
         keys += body.get('deletes', [])
-        guarded = any(key.startswith(_GUARDED) for key in keys)
-        if guarded and 'Standin-Writer' not in self.request.headers:
+        is_protected = any(key.startswith(_PROTECTED_PREFIXES) for key in keys)
+        if is_protected and 'Standin-Writer' not in self.request.headers:
             raise web.HTTPError(403)
         values = [
             base64.b64decode(put['value'], validate=True)
@@ -288,28 +311,28 @@
             raise web.HTTPError(413)
         if self.store.faults.use('drop_writes'):
             self.drop()
-        late_ms = self._find_delay(guarded)
-        if late_ms is None:
-            self._answer(body)
+        delay_ms = self._choose_delay_ms(is_protected)
+        if delay_ms is None:
+            self._write_and_respond(body)
             return
         asyncio.get_running_loop().call_later(
-            late_ms / _MS_PER_S, self._apply, body
+            delay_ms / _MS_PER_S, self._apply, body
         )
-        if not guarded:
+        if not is_protected:
             self.drop()
         self.send({'revision': self.store.revision})
 
-    def _find_delay(self, guarded: bool) -> float | None:
-        """Find out how much later a write is carried out, if it is."""
-        if guarded and self.store.list_lag_s:
+    def _choose_delay_ms(self, is_protected: bool) -> float | None:
+        """Return the delay of a write in milliseconds; None for no delay."""
+        if is_protected and self.store.list_lag_s:
             return self.store.list_lag_s * _MS_PER_S
         if self.store.faults.use('late_writes'):
             return self.store.faults.late_ms
         return None
 
-    def _answer(self, body: dict[str, typing.Any]) -> None:
+    def _write_and_respond(self, body: dict[str, typing.Any]) -> None:
         revision = self._apply(body)
-        if revision is not None and self.store.loses_answer():
+        if revision is not None and self.store.drops_response():
             self.drop()
         if revision is None:
             self.send({'items': []}, 412)
@@ -317,105 +340,105 @@
             self.send({'revision': revision})
 
     def _apply(self, body: dict[str, typing.Any]) -> int | None:
-        """Write if the conditions hold; returns the revision, if they do."""
+        """Return the new revision; None when a condition does not hold."""
         if any(
-            self.store.read_revision(one['key']) != one['revision']
-            for one in body.get('expected', [])
+            self.store.read_revision(condition['key']) != condition['revision']
+            for condition in body.get('expected', [])
         ):
             return None
-        leases = {one.get('lease', 0) for one in body.get('puts', [])} - {0}
+        leases = {put.get('lease', 0) for put in body.get('puts', [])} - {0}
         if any(lease not in self.store.leases for lease in leases):
             raise web.HTTPError(404)
         return self.store.write(body.get('puts', []), body.get('deletes', []))
 
 
 class LeaseHandler(_Handler):
-    """New leases."""
+    """``POST /v1/kv-lease``: create a lease."""
 
     kind = 'lease'
 
     def post(self) -> None:
-        """Answer."""
+        """Create a lease."""
         ttl_ms = json.loads(self.request.body)['ttl_ms']
         lease = self.store.open_lease(ttl_ms)
         self.send({'lease': lease, 'ttl_ms': ttl_ms})
 
 
 class KeepHandler(_Handler):
-    """Renewals."""
+    """``POST /v1/kv-keep/LEASE``: renew a lease."""
 
     kind = 'keep'
 
     def post(self, lease: str) -> None:
-        """Answer."""
+        """Renew a lease."""
         if not self.store.renew(int(lease)):
             raise web.HTTPError(404)
         self.send({'ttl_ms': self.store.leases[int(lease)][0]})
 
 
 class EndHandler(_Handler):
-    """Ends of leases."""
+    """``DELETE /v1/kv-lease-end/LEASE``: end a lease."""
 
     kind = 'end'
 
     def delete(self, lease: str) -> None:
-        """Answer."""
+        """End a lease."""
         self.store.end_lease(int(lease))
         self.send({})
 
 
 class ControlHandler(web.RequestHandler):
-    """Orders of a test."""
+    """``/control``: mode of the store and number of calls."""
 
     def initialize(self, store: Store) -> None:
-        """Take what the handlers share."""
+        """Set the store."""
         self.store = store
 
     def get(self) -> None:
-        """Answer."""
+        """Return the number of calls."""
         self.finish({'calls': self.store.calls})
 
     def post(self) -> None:
-        """Answer."""
-        orders = json.loads(self.request.body)
-        self.store.mode = orders.get('mode', self.store.mode)
-        if orders.get('drop_history'):
+        """Apply the commands of a test."""
+        commands = json.loads(self.request.body)
+        self.store.mode = commands.get('mode', self.store.mode)
+        if commands.get('drop_history'):
             self.store.drop_history()
         self.finish({})
 
 
 class FaultsHandler(web.RequestHandler):
-    """Faults as tests want them."""
+    """``/control/faults``: faults that tests inject."""
 
     def initialize(self, store: Store) -> None:
         """Take the store."""
         self.store = store
 
     def get(self) -> None:
-        """Answer with what is left of them."""
+        """Return the remaining faults."""
         self.finish(msgspec.json.encode(self.store.faults))
 
     def post(self) -> None:
-        """Replace them; fields left out are off."""
+        """Replace the faults; absent fields are off."""
         self.store.set_faults(
             msgspec.json.decode(self.request.body, type=memory.Faults)
         )
 
 
 class CountsHandler(web.RequestHandler):
-    """Calls by kind."""
+    """``GET /control/counts``: calls by kind."""
 
     def initialize(self, store: Store) -> None:
         """Take the store."""
         self.store = store
 
     def get(self) -> None:
-        """Answer."""
+        """Return the counts."""
         self.finish(dict(self.store.counts))
 
 
 def make_application(store: Store) -> web.Application:
-    """Make the application of the stand-in."""
+    """Build the HTTP application of the stand-in."""
     shared = {'store': store}
     return web.Application(
         [
@@ -434,18 +457,26 @@
     )
 
 
-async def _sweep_forever(store: Store) -> None:
+async def _expire_leases_forever(store: Store) -> None:
     while True:
         store.sweep()
-        await asyncio.sleep(_SWEEP_S)
+        await asyncio.sleep(_EXPIRY_INTERVAL_S)
 
 
 async def run(port: int, list_lag_s: float = 0.0) -> None:
-    """Serve until a signal ends the process."""
+    """Serve until SIGTERM or SIGINT.
+
+    Parameters
+    ----------
+    port : int
+        TCP port; 0 for a port that the system chooses.
+    list_lag_s : float, optional
+        Delay of writes to protected keys, in seconds.
+    """
     store = Store(clock_module.Clock(), list_lag_s)
-    sweeping = asyncio.create_task(_sweep_forever(store))
+    expiry_task = asyncio.create_task(_expire_leases_forever(store))
     await common.run(make_application(store), port)
-    sweeping.cancel()
+    expiry_task.cancel()
 
 
 def main() -> None:
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,7 +1,9 @@
 """Stand-in of a plain service.
 
 ``python -m standins.service --port 0 --name slots-1`` prints its address
-as one line of JSON when it listens.
+as one line of JSON when it listens. ``POST /control/behaviour`` sets how it
+treats calls and ``GET /control/counts`` returns how often it executed each
+idempotency key.
 """
 
 from __future__ import annotations
@@ -21,32 +23,32 @@
 
 DEFAULT_CRASH_MARKER = 'crash-this-target'
 _UNBOUNDED_SLOTS = 64
-_EXIT_STATUS = 70
+_CRASH_EXIT_STATUS = 70
 _MS_PER_S = 1000.0
 
 
 @attrs.define
 class Behaviour:
-    """How the service behaves from now on.
+    """How the service treats calls.
 
     Attributes
     ----------
     lose_answers : int
-        The next calls are executed and their connection is closed.
+        Number of next calls that are executed without a response.
     refuse_connections : int
-        The next calls are not executed and their connection is closed.
+        Number of next calls that are dropped without being executed.
     slow_ms : int
-        Wait before each execution, in milliseconds.
+        Delay of each execution, in milliseconds.
     workers : int
-        Most executions at once; the others wait. 0 for any number.
+        Maximum concurrent executions, others queue; 0 for no limit.
     leaving : bool
-        Refuse new calls with 409 and say so in the load report.
+        Refuse calls with status 409 and report the state ``leaving``.
     deduplicate : bool
-        Execute a key once and give its first answer again.
+        Execute a key once and replay its first response.
     check_fencing : bool
-        Refuse a fencing token lower than the highest one seen of the key.
+        Refuse a fencing token below the highest one seen for the key.
     crash_marker : str
-        A body that contains it ends the process; empty for none.
+        A body that contains it crashes the process; empty for none.
     """
 
     lose_answers: int = 0
@@ -60,19 +62,19 @@
 
 
 class State:
-    """What the handlers share.
+    """State that the handlers share.
 
     Parameters
     ----------
     name : str
-        Name of the target, part of each answer.
+        Name of the target, included in each response.
     """
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.behaviour = Behaviour()
         self.executions: collections.Counter[str] = collections.Counter()
-        self.answers: dict[str, bytes] = {}
+        self.responses: dict[str, bytes] = {}
         self.fencing_tokens: dict[str, int] = {}
         self.workers: contextlib.AbstractAsyncContextManager[typing.Any]
         self.workers = contextlib.nullcontext()
@@ -98,22 +100,25 @@
             return
         marker = state.behaviour.crash_marker.encode()
         if marker and marker in self.request.body:
-            os._exit(_EXIT_STATUS)
+            os._exit(_CRASH_EXIT_STATUS)
         key = self.request.headers.get('Idempotency-Key', '')
         if self._is_fenced(key):
             self._refuse('fenced')
             return
         await self._run(operation, key)
 
-    def _refuse(self, reason: str) -> None:
+    def _refuse(self, state: str) -> None:
         self.set_status(409)
-        self.write({'state': reason})
+        self.write({'state': state})
 
     def _is_fenced(self, key: str) -> bool:
-        token = int(self.request.headers.get('Fencing-Token', '0'))
-        highest = self.state.fencing_tokens.get(key, 0)
-        self.state.fencing_tokens[key] = max(token, highest)
-        return self.state.behaviour.check_fencing and token < highest
+        fencing_token = int(self.request.headers.get('Fencing-Token', '0'))
+        highest_token = self.state.fencing_tokens.get(key, 0)
+        self.state.fencing_tokens[key] = max(fencing_token, highest_token)
+        return (
+            self.state.behaviour.check_fencing
+            and fencing_token < highest_token
+        )
 
     async def _run(self, operation: str, key: str) -> None:
         state = self.state
@@ -123,19 +128,19 @@
                 await asyncio.sleep(state.behaviour.slow_ms / _MS_PER_S)
         finally:
             state.running -= 1
-        answer = state.answers.get(key)
-        if answer is None or not state.behaviour.deduplicate:
+        response = state.responses.get(key)
+        if response is None or not state.behaviour.deduplicate:
             state.executions[key] += 1
-            answer = self._make_answer(operation, key)
-            state.answers[key] = answer
+            response = self._build_response(operation, key)
+            state.responses[key] = response
         if state.behaviour.lose_answers > 0:
             state.behaviour.lose_answers -= 1
             common.drop_connection(self)
             return
         self.set_header('Content-Type', 'application/json')
-        self.write(answer)
+        self.write(response)
 
-    def _make_answer(self, operation: str, key: str) -> bytes:
+    def _build_response(self, operation: str, key: str) -> bytes:
         return msgspec.json.encode(
             {
                 'target': self.state.name,
@@ -186,7 +191,7 @@
 
 
 def make_application(state: State) -> web.Application:
-    """Make the web application of a plain service."""
+    """Build the HTTP application of a plain service."""
     shared = {'state': state}
     return web.Application(
         [
@@ -200,7 +205,7 @@
 
 
 def main() -> None:
-    """Serve until told to stop."""
+    """Serve until SIGTERM or SIGINT."""
     parser = argparse.ArgumentParser(description='Stand-in of a service.')
     parser.add_argument('--port', type=int, default=0)
     parser.add_argument('--name', default='service-1')
--- a/tests/standins/processes.py
+++ b/tests/standins/processes.py
@@ -1,4 +1,4 @@
-"""Stand-in engines as processes of a test."""
+"""Stand-in engines that a test runs as processes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,15 @@
 
 
 class EngineProcess:
-    """One stand-in engine."""
+    """A stand-in engine in a process.
+
+    Parameters
+    ----------
+    name : str
+        Name of the target.
+    *options : object
+        Further command-line arguments of the engine.
+    """
 
     def __init__(self, name: str, *options: object) -> None:
         self.name = name
@@ -25,31 +33,31 @@
         self.url = ''
 
     def wait(self) -> None:
-        """Wait until it listens."""
+        """Wait until the engine listens."""
         assert self._process.stdout is not None
         self.url = json.loads(self._process.stdout.readline())['url']
 
-    def order(self, **orders: object) -> None:
-        """Give the engine a control order."""
-        self._call('/control', json.dumps(orders).encode())
+    def order(self, **settings: object) -> None:
+        """Send a control request with these fields."""
+        self._send('/control', json.dumps(settings).encode())
 
     def read_counts(self) -> list[dict[str, typing.Any]]:
-        """Return what the engine computed."""
-        counts: list[dict[str, typing.Any]] = self._call('/control/counts')
+        """Return the tokens that the engine computed."""
+        counts: list[dict[str, typing.Any]] = self._send('/control/counts')
         return counts
 
-    def _call(self, path: str, body: bytes | None = None) -> typing.Any:
+    def _send(self, path: str, body: bytes | None = None) -> typing.Any:
         with urllib.request.urlopen(
             self.url + path, body, timeout=_TIMEOUT_S
-        ) as answer:
-            return json.load(answer)
+        ) as response:
+            return json.load(response)
 
     def wait_end(self) -> None:
-        """Wait until it has ended by itself."""
+        """Wait until the process exits on its own."""
         self._process.wait(_TIMEOUT_S)
 
     def end(self) -> None:
-        """End the process."""
+        """Kill the process."""
         self._process.kill()
         self._process.wait(_TIMEOUT_S)
         assert self._process.stdin is not None
--- a/tests/standins/test_service.py
+++ b/tests/standins/test_service.py
@@ -1,4 +1,4 @@
-"""Tests of the stand-in of a plain service, as a process and in this one."""
+"""Tests of the stand-in of a plain service, in-process and as a process."""
 
 from __future__ import annotations
 
@@ -50,34 +50,35 @@
         self.state = standin.State('slots-1')
         application = standin.make_application(self.state)
         self.server, url = common.listen(application)
-        self.hold = f'{url}/v1/operations/hold'
-        self.behaviour = f'{url}/control/behaviour'
+        self.operation_url = f'{url}/v1/operations/hold'
+        self.behaviour_url = f'{url}/control/behaviour'
 
     async def asyncTearDown(self) -> None:
         self.server.stop()
         await self.server.close_all_connections()
 
-    async def test_calls_past_the_workers_wait(self) -> None:
-        await post(self.behaviour, {'slow_ms': 1, 'workers': 1})
+    async def test_calls_above_the_worker_limit_wait(self) -> None:
+        await post(self.behaviour_url, {'slow_ms': 1, 'workers': 1})
         await self.state.workers.__aenter__()
         waiting = [
-            asyncio.create_task(post(self.hold, {}, key)) for key in 'ab'
+            asyncio.create_task(post(self.operation_url, {}, key))
+            for key in 'ab'
         ]
         async with asyncio.timeout(URL_LINE_TIMEOUT_S):
             while self.state.running < 2:
                 await asyncio.sleep(0)
-        # Far longer than an execution that does not wait.
+        # Much longer than an execution without a queue.
         await asyncio.sleep(0.2)
         self.assertEqual({}, dict(self.state.executions))
         await self.state.workers.__aexit__(None, None, None)
         await asyncio.gather(*waiting)
         self.assertEqual({'a': 1, 'b': 1}, dict(self.state.executions))
 
-    async def test_faults_by_table(self) -> None:
-        """A target loses its answer, refuses, leaves or is told to dedupe.
+    async def test_injected_faults(self) -> None:
+        """A target drops responses, refuses, leaves or deduplicates calls.
 
-        Each row gives the statuses of two calls with one key and fencing
-        tokens 2 and 1, and how often the key was executed.
+        Each row has the statuses of two calls with the same key and the
+        fencing tokens 2 and 1, and the number of executions of the key.
         """
         cases: list[tuple[dict[str, typing.Any], list[int], int]] = [
             ({}, [200, 200], 2),
@@ -89,27 +90,29 @@
         ]
         for number, (behaviour, statuses, executions) in enumerate(cases):
             with self.subTest(behaviour):
-                await post(self.behaviour, behaviour)
-                seen = []
+                await post(self.behaviour_url, behaviour)
+                actual = []
                 for token in (2, 1):
                     try:
                         key = f'key-{number}'
-                        code, _ = await post(self.hold, {}, key, token)
+                        code, _ = await post(
+                            self.operation_url, {}, key, token
+                        )
                     except (OSError, httpclient.HTTPError):
                         code = 599
-                    seen.append(code)
-                self.assertEqual(statuses, seen)
+                    actual.append(code)
+                self.assertEqual(statuses, actual)
                 count = self.state.executions[f'key-{number}']
                 self.assertEqual(executions, count)
 
-    async def test_leaving_shows_in_the_load_report(self) -> None:
-        await post(self.behaviour, {'leaving': True})
-        url = self.hold.replace('operations/hold', 'load')
+    async def test_load_report_includes_the_leaving_state(self) -> None:
+        await post(self.behaviour_url, {'leaving': True})
+        url = self.operation_url.replace('operations/hold', 'load')
         response = await httpclient.AsyncHTTPClient().fetch(url)
         self.assertEqual('leaving', json.loads(response.body)['state'])
 
-    async def test_marker_ends_the_process(self) -> None:
-        """A single request crashes the target that runs it."""
+    async def test_crash_marker_ends_the_process(self) -> None:
+        """A request with the marker crashes the target that runs it."""
         process, url = await start('standins.service', '--name', 's')
         with self.assertRaises((OSError, httpclient.HTTPError)):
             await httpclient.AsyncHTTPClient().fetch(
