--- a/tests/tools/test_ablation.py
+++ b/tests/tools/test_ablation.py
@@ -1,4 +1,4 @@
-"""Tests of the tool that plays days without a mechanism."""
+"""Tests of the tool that runs simulated days without a mechanism."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 ROOT = pathlib.Path(__file__).parents[2]
 
 
-def build_play(variant, seed, worth, **changes):
-    """Build one play of a day."""
+def build_result(variant, seed, worth, **changes):
+    """Build the result of one day."""
     values = {
         'variant': variant,
         'day': 'busy-1',
@@ -26,12 +26,12 @@
         'broken': (),
     }
     values.update(changes)
-    return ablation.Play(**values)
+    return ablation.DayResult(**values)
 
 
 class MechanismsTest(unittest.TestCase):
-    def test_every_mechanism_can_be_switched_off(self):
-        """Guards against edits that no longer fit the sources."""
+    def test_every_mechanism_can_be_disabled(self):
+        """Guards against edits that no longer match the source lines."""
         for name, edits in mechanisms.MECHANISMS.items():
             with self.subTest(name), tempfile.TemporaryDirectory() as folder:
                 copy = pathlib.Path(folder)
@@ -39,28 +39,28 @@
                     path = copy / edit.path
                     path.parent.mkdir(parents=True, exist_ok=True)
                     shutil.copy2(ROOT / edit.path, path)
-                ablation.switch_off(copy, edits)
+                ablation.apply_edits(copy, edits)
                 for edit in edits:
                     text = (copy / edit.path).read_text()
                     compile(text, edit.path, 'exec')
 
-    def test_an_edit_that_does_not_fit_is_refused(self):
+    def test_edit_without_a_match_raises_an_error(self):
         edit = mechanisms.Edit('one.py', 'gone', '')
         with tempfile.TemporaryDirectory() as folder:
             copy = pathlib.Path(folder)
             (copy / 'one.py').write_text('other\n')
             with self.assertRaises(ablation.AblationError):
-                ablation.switch_off(copy, (edit,))
+                ablation.apply_edits(copy, (edit,))
 
 
 class TableTest(unittest.TestCase):
     def test_differences_are_paired_by_day_and_seed(self):
         table = ablation.render_table(
             [
-                build_play(ablation.UNCHANGED, 1, 0.7),
-                build_play(ablation.UNCHANGED, 2, 0.5),
-                build_play('without x', 1, 0.6),
-                build_play('without x', 2, 0.5, broken=('LOST',)),
+                build_result(ablation.UNCHANGED, 1, 0.7),
+                build_result(ablation.UNCHANGED, 2, 0.5),
+                build_result('without x', 1, 0.6),
+                build_result('without x', 2, 0.5, broken=('LOST',)),
             ]
         )
         row = table.splitlines()[-1]
@@ -68,8 +68,8 @@
         self.assertIn('-0.050', row)
         self.assertIn('LOST', row)
 
-    def test_a_report_is_read(self):
-        play = ablation.read_play(
+    def test_report_is_parsed(self):
+        result = ablation.parse_report(
             'x',
             'busy-1',
             3,
@@ -81,9 +81,9 @@
                 'breaks': {'TWICE': 1},
             },
         )
-        self.assertEqual((0.5, ('TWICE',)), (play.worth, play.broken))
+        self.assertEqual((0.5, ('TWICE',)), (result.worth, result.broken))
 
-    def test_unknown_mechanisms_are_refused(self):
+    def test_unknown_mechanisms_are_a_usage_error(self):
         code = ablation.main(
             [
                 *('--bench', 'x', '--site', 'y', '--days', 'z'),
--- a/tests/tools/test_verdict.py
+++ b/tests/tools/test_verdict.py
@@ -1,4 +1,4 @@
-"""Tests of the plugin that counts outcomes."""
+"""Tests of the plugin that counts test outcomes."""
 
 from __future__ import annotations
 
@@ -33,10 +33,10 @@
     )
 
 
-def _build_plugin(known_red):
+def _build_plugin(known_failures):
     plugin = verdict.Verdict.__new__(verdict.Verdict)
-    plugin.known_red = known_red
-    plugin.seen_red = []
+    plugin.known_failures = known_failures
+    plugin.seen_failures = []
     plugin.passed = plugin.failed = plugin.skipped = 0
     return plugin
 
@@ -49,13 +49,13 @@
                 event = _build_event(outcome, expected, has_error)
                 plugin.setTestOutcome(event)
                 plugin.testOutcome(event)
-                seen = [plugin.passed, plugin.failed, plugin.skipped]
-                self.assertEqual(counts, seen)
+                actual = [plugin.passed, plugin.failed, plugin.skipped]
+                self.assertEqual(counts, actual)
 
-    def test_only_the_listed_test_is_passed_over(self) -> None:
-        """A test that is listed as known red fails, and so does another.
+    def test_only_the_failure_of_a_listed_test_is_skipped(self) -> None:
+        """A test listed as known to fail and an unlisted test both fail.
 
-        The run has to fail for the other one alone, and print the first.
+        Only the unlisted test must fail the run; the listed one is printed.
         """
         plugin = _build_plugin({'tests.a.Test.test_b': 'line of test_b'})
         for name in ('tests.a.Test.test_b (x=1)', 'tests.a.Test.test_c'):
@@ -71,10 +71,10 @@
             out.getvalue().endswith('0 passed, 1 failed, 1 skipped\n')
         )
 
-    def test_known_red_file_is_read(self) -> None:
+    def test_known_failures_file_is_parsed(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / 'KNOWN-RED.txt'
-            self.assertEqual({}, verdict.read_known_red(path))
+            self.assertEqual({}, verdict.read_known_failures(path))
             path.write_text('# none\n\ntests.a.T.b | seed 1 | red | 4\n')
-            read = verdict.read_known_red(path)
+            read = verdict.read_known_failures(path)
         self.assertEqual(['tests.a.T.b'], list(read))
--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Commands of the repository: demo, measurements and the test verdict."""
+"""Developer tools: demos, benchmarks, ablation and a test plugin."""
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -1,8 +1,9 @@
-"""Play the same days with and without one mechanism, and compare them.
+"""Run the same simulated days with and without one mechanism.
 
 Each variant is a scratch copy of the sources: unchanged, at another revision,
-or with one named mechanism switched off. The program that plays a day, the
-deployment, the days and the seeds are named on the command line.
+or with one mechanism disabled. The command line names the simulation program,
+the deployment file, the days and the seeds. The output is a table that
+compares the variants.
 """
 
 from __future__ import annotations
@@ -27,14 +28,14 @@
 
 ROOT = pathlib.Path(__file__).parents[1]
 
-COPIED = ('deploy', 'src', 'pyproject.toml')
-"""What a run needs of the sources."""
+COPIED_PATHS = ('deploy', 'src', 'pyproject.toml')
+"""Files and folders that a run needs from the working tree."""
 
-BUILT = 'target'
-"""Libraries that were installed for this checkout already."""
+LIBRARY_FOLDER = 'target'
+"""Folder with the libraries that are installed for this checkout."""
 
-PLAY_S = 1_500
-"""Longest time of one play, in seconds."""
+RUN_TIMEOUT_S = 1_500
+"""Timeout of the run of one day, in seconds."""
 
 UNCHANGED = 'unchanged'
 
@@ -44,23 +45,23 @@
 
 
 class AblationError(Exception):
-    """A variant can't be made or played."""
+    """A variant can't be created or run."""
 
 
 @attrs.frozen
-class Play:
-    """One day played by one variant.
+class DayResult:
+    """Result of one simulated day with one variant.
 
     Attributes
     ----------
     variant, day : str
-        What was played.
+        Names of the variant and of the day.
     seed : int
-        Seed of the day's luck.
+        Seed of the random events of the day.
     worth, served, refused, failed : float
-        Shares; ``worth`` is after prices.
+        Shares; the prices are deducted from ``worth``.
     broken : tuple of str
-        Rules that were broken.
+        Names of the violated rules.
     """
 
     variant: str
@@ -74,24 +75,24 @@
 
 
 @attrs.frozen
-class Bench:
-    """The program that plays days, and what it is asked to play.
+class Simulation:
+    """The simulation program and its common arguments.
 
     Attributes
     ----------
     program, site : pathlib.Path
-        The program and the file of the deployment.
-    why : str
-        Reason of the runs, for the journal.
+        The program and the deployment file.
+    reason : str
+        Reason for the runs, for the journal.
     """
 
     program: pathlib.Path
     site: pathlib.Path
-    why: str
+    reason: str
 
 
-def make_parser() -> argparse.ArgumentParser:
-    """Make the parser of the command line."""
+def build_parser() -> argparse.ArgumentParser:
+    """Build the parser of the command line."""
     parser = argparse.ArgumentParser(
         prog='python -m tools.ablation', description=__doc__
     )
@@ -104,7 +105,7 @@
         nargs='*',
         default=[],
         metavar='MECHANISM',
-        help='mechanisms to switch off, or "all" '
+        help='mechanisms to disable, or "all" '
         f'({", ".join(sorted(mechanisms.MECHANISMS))})',
     )
     parser.add_argument(
@@ -112,7 +113,7 @@
         nargs='*',
         default=[],
         metavar='REVISION',
-        help='revisions to play beside the working tree',
+        help='revisions to run in addition to the working tree',
     )
     parser.add_argument('--jobs', type=int, default=2)
     parser.add_argument('--why', default='ablation')
@@ -122,8 +123,8 @@
     parser.add_argument(
         '--plays',
         type=pathlib.Path,
-        help='file to which plays are added, and whose earlier plays of the '
-        'same days and seeds count',
+        help='file to which results are appended; its earlier results of '
+        'the same days and seeds are included in the table',
     )
     parser.add_argument(
         '--name', default=UNCHANGED, help='name of the unchanged variant'
@@ -131,46 +132,53 @@
     parser.add_argument(
         '--skip-unchanged',
         action='store_true',
-        help='play only the variants; their table has no differences',
+        help='run only the variants; the table has no differences',
     )
     return parser
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Play all variants and print the table.
+    """Run all variants and print the table.
+
+    Parameters
+    ----------
+    arguments : sequence of str, optional
+        Command line without the program's name.
 
     Returns
     -------
     int
-        0, or 1 when a play failed, or 2 for wrong arguments.
+        0, or 1 when a run failed, or 2 for invalid arguments.
     """
-    options = make_parser().parse_args(arguments)
+    options = build_parser().parse_args(arguments)
     names = options.without
     if 'all' in names:
         names = sorted(mechanisms.MECHANISMS)
-    unknown = [one for one in names if one not in mechanisms.MECHANISMS]
+    unknown = [name for name in names if name not in mechanisms.MECHANISMS]
     if unknown:
         print(f'unknown mechanisms: {", ".join(unknown)}', file=sys.stderr)
         return EXIT_USAGE
     options.scratch.mkdir(parents=True, exist_ok=True)
     folder = pathlib.Path(tempfile.mkdtemp(dir=options.scratch))
-    bench = Bench(options.bench.resolve(), options.site.resolve(), options.why)
+    simulation = Simulation(
+        options.bench.resolve(), options.site.resolve(), options.why
+    )
     try:
-        variants = _make_variants(options, names, folder)
-        plays = _play_all(bench, variants, options)
+        variants = _create_variants(options, names, folder)
+        results = _run_all(simulation, variants, options)
     except AblationError as error:
         print(error, file=sys.stderr)
         return EXIT_FAILED
     finally:
-        _keep_journals(folder)
+        _copy_journals(folder)
         shutil.rmtree(folder)
     if options.plays is not None:
-        plays = _add_plays(options.plays, plays)
-    print(render_table(plays))
+        results = _append_results(options.plays, results)
+    print(render_table(results))
     return EXIT_OK
 
 
-def _make_variants(
+def _create_variants(
     options: argparse.Namespace, names: Sequence[str], folder: pathlib.Path
 ) -> dict[str, pathlib.Path]:
     variants: dict[str, pathlib.Path] = {}
@@ -178,7 +186,7 @@
         variants[options.name] = _copy_tree(folder / UNCHANGED)
     for name in names:
         copy = _copy_tree(folder / name)
-        switch_off(copy, mechanisms.MECHANISMS[name])
+        apply_edits(copy, mechanisms.MECHANISMS[name])
         variants[f'without {name}'] = copy
     for revision in options.revisions:
         variants[revision] = _copy_revision(revision, folder / revision)
@@ -186,9 +194,9 @@
 
 
 def _copy_tree(copy: pathlib.Path) -> pathlib.Path:
-    """Clone the repository, with the working tree's sources in it."""
+    """Clone the repository and copy the working tree's sources into it."""
     _copy_revision('HEAD', copy)
-    for name in COPIED:
+    for name in COPIED_PATHS:
         source = ROOT / name
         if source.is_dir():
             shutil.rmtree(copy / name)
@@ -205,61 +213,75 @@
 def _copy_revision(revision: str, copy: pathlib.Path) -> pathlib.Path:
     _run_git(ROOT, 'clone', '--quiet', '--shared', str(ROOT), str(copy))
     _run_git(copy, 'checkout', '--quiet', '--detach', revision)
-    if (ROOT / BUILT).is_dir():
-        shutil.copytree(ROOT / BUILT, copy / BUILT)
+    if (ROOT / LIBRARY_FOLDER).is_dir():
+        shutil.copytree(ROOT / LIBRARY_FOLDER, copy / LIBRARY_FOLDER)
     return copy
 
 
 def _run_git(folder: pathlib.Path, *arguments: str) -> None:
-    done = subprocess.run(
+    process = subprocess.run(
         ['git', '-C', str(folder), *arguments],
         check=False,
         capture_output=True,
         text=True,
     )
-    if done.returncode != 0:
-        raise AblationError(f'git {arguments[0]}: {done.stderr.strip()}')
+    if process.returncode != 0:
+        raise AblationError(f'git {arguments[0]}: {process.stderr.strip()}')
 
 
-def switch_off(copy: pathlib.Path, edits: Sequence[mechanisms.Edit]) -> None:
-    """Apply the edits that switch a mechanism off.
+def apply_edits(copy: pathlib.Path, edits: Sequence[mechanisms.Edit]) -> None:
+    """Apply the edits that disable a mechanism.
+
+    Parameters
+    ----------
+    copy : pathlib.Path
+        Root of the copy of the sources.
+    edits : sequence of mechanisms.Edit
+        Edits of the mechanism.
 
     Raises
     ------
     AblationError
-        When a text is not found exactly once, as after a change of the code.
+        When a text does not occur exactly once, for example because the
+        source line has changed.
     """
     for edit in edits:
         path = copy / edit.path
         text = path.read_text()
         if text.count(edit.old) != 1:
-            raise AblationError(f'{edit.path}: not found once: {edit.old!r}')
+            raise AblationError(
+                f'{edit.path}: text must occur exactly once: {edit.old!r}'
+            )
         path.write_text(text.replace(edit.old, edit.new))
 
 
-def _play_all(
-    bench: Bench,
+def _run_all(
+    simulation: Simulation,
     variants: dict[str, pathlib.Path],
     options: argparse.Namespace,
-) -> list[Play]:
-    wanted = [
+) -> list[DayResult]:
+    runs = [
         (name, folder, day, seed)
         for day in options.days
         for seed in options.seeds
         for name, folder in variants.items()
     ]
     with concurrent.futures.ThreadPoolExecutor(options.jobs) as pool:
-        return list(pool.map(lambda one: _play(bench, *one), wanted))
+        return list(pool.map(lambda run: _run_day(simulation, *run), runs))
 
 
-def _play(
-    bench: Bench, name: str, folder: pathlib.Path, day: str, seed: int
-) -> Play:
+def _run_day(
+    simulation: Simulation,
+    name: str,
+    folder: pathlib.Path,
+    day: str,
+    seed: int,
+) -> DayResult:
     report = folder / 'target' / f'{day}-{seed}.json'
     command = [
-        str(bench.program),
+        str(simulation.program),
         'run',
-        str(bench.site),
+        str(simulation.site),
         day,
         '--seed',
         str(seed),
@@ -268,110 +290,130 @@
         '--jobs',
         '1',
         '--why',
-        f'{bench.why}: {name}',
+        f'{simulation.reason}: {name}',
     ]
     try:
-        done = subprocess.run(
+        process = subprocess.run(
             command,
             check=False,
             cwd=folder,
             capture_output=True,
             text=True,
-            timeout=PLAY_S,
+            timeout=RUN_TIMEOUT_S,
         )
     except subprocess.TimeoutExpired as error:
-        raise AblationError(f'{name}, {day}: no end in {PLAY_S} s') from error
+        raise AblationError(
+            f'{name}, {day}: timed out after {RUN_TIMEOUT_S} s'
+        ) from error
     if not report.exists():
-        raise AblationError(f'{name}, {day}: {done.stdout[-400:]}')
-    return read_play(name, day, seed, json.loads(report.read_text()))
+        raise AblationError(f'{name}, {day}: {process.stdout[-400:]}')
+    return parse_report(name, day, seed, json.loads(report.read_text()))
 
 
-def read_play(
-    variant: str, day: str, seed: int, read: dict[str, typing.Any]
-) -> Play:
-    """Read what the report of a play says."""
-    return Play(
+def parse_report(
+    variant: str, day: str, seed: int, report: dict[str, typing.Any]
+) -> DayResult:
+    """Convert the report of the simulation program to a result."""
+    return DayResult(
         variant,
         day,
         seed,
-        float(read['G']),
-        float(read['served']),
-        float(read['refused']),
-        float(read['failed']),
-        tuple(sorted(read['breaks'] or ())),
+        float(report['G']),
+        float(report['served']),
+        float(report['refused']),
+        float(report['failed']),
+        tuple(sorted(report['breaks'] or ())),
     )
 
 
-def _add_plays(path: pathlib.Path, plays: Sequence[Play]) -> list[Play]:
-    """Add plays to a file of JSON lines; returns all of the same days."""
-    keys = {(one.day, one.seed) for one in plays}
-    kept = []
+def _append_results(
+    path: pathlib.Path, results: Sequence[DayResult]
+) -> list[DayResult]:
+    """Append results to a file of JSON lines.
+
+    Returns
+    -------
+    list of DayResult
+        Earlier results of the same days and seeds, then the given ones.
+    """
+    keys = {(result.day, result.seed) for result in results}
+    earlier = []
     if path.exists():
         for line in path.read_text().splitlines():
-            read = json.loads(line)
-            kept.append(Play(**{**read, 'broken': tuple(read['broken'])}))
+            row = json.loads(line)
+            earlier.append(
+                DayResult(**{**row, 'broken': tuple(row['broken'])})
+            )
     with path.open('a') as stream:
-        for play in plays:
-            stream.write(f'{json.dumps(attrs.asdict(play))}\n')
-    return [one for one in kept if (one.day, one.seed) in keys] + list(plays)
+        for result in results:
+            stream.write(f'{json.dumps(attrs.asdict(result))}\n')
+    return [row for row in earlier if (row.day, row.seed) in keys] + list(
+        results
+    )
 
 
-def _keep_journals(folder: pathlib.Path) -> None:
-    """Keep the entries that the plays left."""
+def _copy_journals(folder: pathlib.Path) -> None:
+    """Copy the journal entries of the runs to the repository."""
     for entry in folder.glob('*/journal/*.json'):
-        kept = ROOT / 'journal' / entry.name
-        if not kept.exists():
-            shutil.copy2(entry, kept)
+        destination = ROOT / 'journal' / entry.name
+        if not destination.exists():
+            shutil.copy2(entry, destination)
     for entry in folder.glob('*/journal/blobs/*'):
-        kept = ROOT / 'journal' / 'blobs' / entry.name
-        if not kept.exists():
-            shutil.copy2(entry, kept)
+        destination = ROOT / 'journal' / 'blobs' / entry.name
+        if not destination.exists():
+            shutil.copy2(entry, destination)
 
 
-def render_table(plays: Sequence[Play]) -> str:
-    """Write a row for each variant and day, and for the mean of all days."""
-    days = list(dict.fromkeys(one.day for one in plays))
-    names = list(dict.fromkeys(one.variant for one in plays))
+def render_table(results: Sequence[DayResult]) -> str:
+    """Render a row for each variant and day, and for the mean of all days."""
+    days = list(dict.fromkeys(result.day for result in results))
+    names = list(dict.fromkeys(result.variant for result in results))
     lines = [
         '| variant | day | worth | spread | served | refused | failed |'
         ' paired difference | broken |',
         '| --- | --- | --- | --- | --- | --- | --- | --- | --- |',
     ]
     for name in names:
-        lines += [_render_row(plays, name, (day,)) for day in days]
+        lines += [_render_row(results, name, (day,)) for day in days]
         if len(days) > 1:
-            lines.append(_render_row(plays, name, tuple(days)))
+            lines.append(_render_row(results, name, tuple(days)))
     return '\n'.join(lines)
 
 
 def _render_row(
-    plays: Sequence[Play], name: str, days: tuple[str, ...]
+    results: Sequence[DayResult], name: str, days: tuple[str, ...]
 ) -> str:
-    own = [one for one in plays if one.variant == name and one.day in days]
-    worth = [one.worth for one in own]
+    selected = [
+        result
+        for result in results
+        if result.variant == name and result.day in days
+    ]
+    worth = [result.worth for result in selected]
     unchanged = {
-        (one.day, one.seed): one.worth
-        for one in plays
-        if one.variant == UNCHANGED
+        (result.day, result.seed): result.worth
+        for result in results
+        if result.variant == UNCHANGED
     }
-    paired = [
-        one.worth - unchanged[one.day, one.seed]
-        for one in own
-        if (one.day, one.seed) in unchanged
+    differences = [
+        result.worth - unchanged[result.day, result.seed]
+        for result in selected
+        if (result.day, result.seed) in unchanged
     ]
     difference = ''
-    if paired and name != UNCHANGED:
-        difference = f'{statistics.mean(paired):+.3f}'
-        if len(paired) > 1:
-            difference += f' (sd {statistics.stdev(paired):.3f})'
-    broken = ', '.join(sorted({rule for one in own for rule in one.broken}))
+    if differences and name != UNCHANGED:
+        difference = f'{statistics.mean(differences):+.3f}'
+        if len(differences) > 1:
+            difference += f' (sd {statistics.stdev(differences):.3f})'
+    broken = ', '.join(
+        sorted({rule for result in selected for rule in result.broken})
+    )
     return (
         f'| {name} | {days[0] if len(days) == 1 else "all"}'
         f' | {statistics.mean(worth):.3f}'
         f' | {min(worth):.3f} to {max(worth):.3f}'
-        f' | {statistics.mean(one.served for one in own):.3f}'
-        f' | {statistics.mean(one.refused for one in own):.4f}'
-        f' | {statistics.mean(one.failed for one in own):.4f}'
+        f' | {statistics.mean(result.served for result in selected):.3f}'
+        f' | {statistics.mean(result.refused for result in selected):.4f}'
+        f' | {statistics.mean(result.failed for result in selected):.4f}'
         f' | {difference} | {broken} |'
     )
 
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -1,4 +1,4 @@
-"""The mechanisms that can be switched off, each as edits of the sources."""
+"""Mechanisms that can be disabled, each as a list of source edits."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 @attrs.frozen
 class Edit:
-    """A text of one file, and what stands in its place.
+    """Replacement of a text in one file.
 
     Attributes
     ----------
     path : str
-        The file, from the root.
+        Path of the file, relative to the root.
     old, new : str
-        A text that occurs once, and what replaces it.
+        Text that occurs exactly once in the file, and its replacement.
     """
 
     path: str
--- a/tools/verdict.py
+++ b/tools/verdict.py
@@ -1,7 +1,7 @@
-"""Test runner plugin that counts outcomes and prints one closing line.
+"""Test runner plugin that counts outcomes and prints a summary line.
 
-A test listed in ``KNOWN-RED.txt`` is run, printed and passed over when it
-fails; every other failure fails the run.
+A test listed in ``KNOWN-RED.txt`` is run; its failure is printed and counted
+as a skip. Every other failure fails the run.
 """
 
 from __future__ import annotations
@@ -12,22 +12,24 @@
 from nose2 import events
 from nose2 import result
 
-KNOWN_RED = pathlib.Path('KNOWN-RED.txt')
+KNOWN_FAILURES_PATH = pathlib.Path('KNOWN-RED.txt')
 
 
-def read_known_red(path: pathlib.Path = KNOWN_RED) -> dict[str, str]:
-    """Read the tests whose failure is known.
+def read_known_failures(
+    path: pathlib.Path = KNOWN_FAILURES_PATH,
+) -> dict[str, str]:
+    """Read the list of tests that are known to fail.
 
     Parameters
     ----------
     path : pathlib.Path
         File of lines ``test id | command and seed | seen | issue``. Blank
-        lines and lines that start with ``#`` are passed over.
+        lines and lines that start with ``#`` are ignored.
 
     Returns
     -------
     dict of str to str
-        Test id to its whole line.
+        Whole line by test id.
     """
     if not path.exists():
         return {}
@@ -37,7 +39,7 @@
 
 
 def _is_failure(event: typing.Any) -> bool:
-    """Tell whether an outcome has to fail the run."""
+    """Return whether an outcome fails the run."""
     if event.outcome == result.SKIP:
         return False
     if event.outcome == result.SUBTEST:
@@ -46,31 +48,31 @@
 
 
 class Verdict(events.Plugin):  # type: ignore[misc]
-    """Counts of test outcomes in one run."""
+    """Counts of the test outcomes of one run."""
 
     configSection = 'verdict'
 
     def __init__(self) -> None:
-        self.known_red = read_known_red()
-        self.seen_red: list[str] = []
+        self.known_failures = read_known_failures()
+        self.seen_failures: list[str] = []
         self.passed = 0
         self.failed = 0
         self.skipped = 0
 
     def setTestOutcome(self, event: typing.Any) -> None:
-        """Turn the failure of a known red test into a skip."""
+        """Convert the failure of a test that is known to fail into a skip."""
         if not _is_failure(event):
             return
-        line = self.known_red.get(event.test.id().split(' (')[0])
+        line = self.known_failures.get(event.test.id().split(' (')[0])
         if line is None:
             return
-        self.seen_red.append(line)
+        self.seen_failures.append(line)
         event.outcome = result.SKIP
         event.reason = f'known red: {line}'
         event.exc_info = None
 
     def testOutcome(self, event: typing.Any) -> None:
-        """Count one outcome; a failed subtest counts by itself."""
+        """Count one outcome; each failed subtest counts as a failure."""
         if _is_failure(event):
             self.failed += 1
         elif event.outcome == result.SKIP:
@@ -79,10 +81,10 @@
             self.passed += 1
 
     def afterSummaryReport(self, event: typing.Any) -> None:
-        """Print the known red tests and the closing line."""
-        for line in self.seen_red:
+        """Print the known failures that occurred and the summary line."""
+        for line in self.seen_failures:
             event.stream.writeln(f'known red: {line}')
-        closing = f'{self.passed} passed, {self.failed} failed'
+        summary = f'{self.passed} passed, {self.failed} failed'
         if self.skipped:
-            closing = f'{closing}, {self.skipped} skipped'
-        event.stream.writeln(closing)
+            summary = f'{summary}, {self.skipped} skipped'
+        event.stream.writeln(summary)
