--- a/standins/kv_fleet.py
+++ b/standins/kv_fleet.py
@@ -35,7 +35,7 @@
 HOST = 'desk.example'
 KEY = 'key-north'
 STEP_S = 0.02
-STALL_S = 2.5
+STALL_DURATION_S = 2.5
 EVENTS = 40
 _LAYER_MB = 1000.0
 _HEARTBEAT_INTERVAL_MS = 1200
@@ -243,7 +243,7 @@
             )
             if dead_server is not None:
                 self.server.stalled[attempt_id] = dead_server.address
-                await asyncio.sleep(STALL_S)
+                await asyncio.sleep(STALL_DURATION_S)
                 self.server.stalled.pop(attempt_id, None)
                 common.drop_connection(self)
                 return
--- a/tests/tools/test_demo.py
+++ b/tests/tools/test_demo.py
@@ -1,4 +1,4 @@
-"""The demo, whole, as a newcomer runs it."""
+"""Test of the whole demo, run as from the command line."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class DemoTest(unittest.TestCase):
-    def test_the_demo_keeps_what_it_promises(self) -> None:
-        """An engine is killed while it runs a stage of an answer.
+    def test_all_checks_of_the_demo_pass(self) -> None:
+        """An engine is killed while it runs a stage of a stream.
 
-        The caller must get every token once and in order all the same, and
-        each action has to run once through three entries.
+        The caller must still receive every token once and in order, and an
+        action sent through three entries must run once.
         """
         out = io.StringIO()
         with contextlib.redirect_stdout(out):
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,9 +1,10 @@
-"""Runs the main job from end to end with everything as processes.
+"""End-to-end demo of the main use case, with every part as a process.
 
-Three entries in three failure domains, the platform's stand-in, engines of
-three kinds that hold one model three times over in ranges of layers, and the
-plain services of Swan Coast. Publishes the example, sends each kind of
-request, kills an engine in mid-stream and shows that the answer is whole.
+It starts three entries in three failure domains, the stand-in of the
+platform, engines of three kinds that hold three replicas of one model in
+ranges of layers, and the plain services of the Swan Coast example. It
+publishes the example, sends each kind of request, kills an engine in
+mid-stream and verifies that the response is complete.
 """
 
 from __future__ import annotations
@@ -35,14 +36,24 @@
 
 @attrs.frozen
 class Deployment:
-    """The processes of the demo and the documents that name them."""
+    """The processes of the demo.
+
+    Attributes
+    ----------
+    scope : processes.Processes
+        Scope that ends the processes.
+    targets : dict of str to processes.Process
+        Stand-ins of engines and services, by name.
+    entries : tuple of processes.Process
+        The entries.
+    """
 
     scope: processes.Processes
     targets: dict[str, processes.Process]
     entries: tuple[processes.Process, ...]
 
-    def read_caller_url(self, number: int = 0) -> str:
-        """Return the callers' URL of one entry."""
+    def get_caller_url(self, number: int = 0) -> str:
+        """Return the URL of one entry for callers."""
         return self.entries[number % len(self.entries)].ready['callers']
 
 
@@ -52,7 +63,7 @@
     Returns
     -------
     int
-        0 when every answer was whole and every action ran once.
+        0 when every response was complete and every action ran once.
     """
     source = clock.Clock()
     started = source.now()
@@ -60,7 +71,7 @@
         deployment = start_deployment(scope)
         publish(deployment)
         show_entries(deployment)
-        good = [
+        passed = [
             show_draft(deployment),
             show_call(deployment),
             show_action(deployment, 'hold-slot', 'slot-hold'),
@@ -68,8 +79,8 @@
             asyncio.run(show_engine_killed(deployment)),
         ]
     seconds = (source.now() - started) / 1000
-    print(f'\n{sum(good)} of {len(good)} as promised, {seconds:.1f} s')
-    return 0 if all(good) else 1
+    print(f'\n{sum(passed)} of {len(passed)} as promised, {seconds:.1f} s')
+    return 0 if all(passed) else 1
 
 
 def read_documents(name: str) -> list[Document]:
@@ -86,9 +97,9 @@
 
 
 def start_deployment(scope: processes.Processes) -> Deployment:
-    """Start platform, targets and entries; writes the service files."""
+    """Start platform, targets and entries, and write the service files."""
     platform = scope.start('platform', 'standins.kv_store')
-    kept = [
+    selected_targets = [
         target
         for target in read_documents('targets.json')
         if target['serves'] == 'service' or target['name'].startswith(CHAINS)
@@ -100,12 +111,15 @@
         if stage['target'].startswith(CHAINS)
     }
     targets = {
-        target['name']: start_target(scope, target, stages) for target in kept
+        target['name']: start_target(scope, target, stages)
+        for target in selected_targets
     }
-    write_files(scope.folder / 'services', kept, model, stages, targets)
+    write_files(
+        scope.folder / 'services', selected_targets, model, stages, targets
+    )
     entries: list[processes.Process] = []
     for number, domain in enumerate(DOMAINS):
-        seeds = [one.ready['peers'] for one in entries]
+        seeds = [entry.ready['peers'] for entry in entries]
         entries.append(
             scope.start_entry(
                 f'perth-{number + 1}',
@@ -138,19 +152,19 @@
 
 def write_files(
     folder: pathlib.Path,
-    kept: list[Document],
+    selected_targets: list[Document],
     model: Document,
     stages: dict[str, Document],
     targets: dict[str, processes.Process],
 ) -> None:
-    """Write the example's files with the addresses of this run."""
+    """Write the example's service files with the URLs of this run."""
     folder.mkdir()
     for name in ('workspaces', 'booking', 'status'):
         source = EXAMPLE / 'services' / f'{name}.json'
         (folder / source.name).write_text(source.read_text())
     moved = [
         {**target, 'url': targets[target['name']].ready['url']}
-        for target in kept
+        for target in selected_targets
     ]
     (folder / 'targets.json').write_text(json.dumps(moved))
     drafting = {**model, 'stages': list(stages.values())}
@@ -158,20 +172,35 @@
 
 
 def run_tool(deployment: Deployment, *arguments: str) -> str:
-    """Run the command-line tool against the first entry."""
+    """Run the command-line tool against the first entry.
+
+    Returns
+    -------
+    str
+        Its standard output.
+
+    Raises
+    ------
+    RuntimeError
+        When the exit code is not 0.
+    """
     token = deployment.scope.folder / 'token'
     token.write_text(processes.OPERATOR_TOKEN)
     url = deployment.entries[0].ready['operators']
     command = [sys.executable, '-m', 'thornspool.console', *arguments]
     command += ['--url', url, '--token-file', str(token)]
-    done = subprocess.run(command, capture_output=True, text=True, check=False)
-    if done.returncode:
-        raise RuntimeError(f'{arguments} failed: {done.stderr}{done.stdout}')
-    return done.stdout.strip()
+    process = subprocess.run(
+        command, capture_output=True, text=True, check=False
+    )
+    if process.returncode:
+        raise RuntimeError(
+            f'{arguments} failed: {process.stderr}{process.stdout}'
+        )
+    return process.stdout.strip()
 
 
 def publish(deployment: Deployment) -> None:
-    """Publish the service files and show where they are in force."""
+    """Publish the service files and show the status of the entries."""
     folder = deployment.scope.folder / 'services'
     print(f'$ thornspool publish {EXAMPLE.name}/services')
     print(run_tool(deployment, 'publish', str(folder)))
@@ -180,21 +209,19 @@
 
 
 def show_entries(deployment: Deployment) -> None:
-    """Ask which addresses to use."""
-    answer = requester.send(
-        'GET', f'{deployment.read_caller_url()}/v1/entries'
-    )
+    """Show the addresses of the entries for callers."""
+    answer = requester.send('GET', f'{deployment.get_caller_url()}/v1/entries')
     print('\nGET /v1/entries')
     print(f'  {answer.body.decode()}')
 
 
 def show_draft(deployment: Deployment) -> bool:
-    """Send a request for text and show its pipeline."""
+    """Send a generation request and show its pipeline."""
     body = read_request('manifest-summary')
     workspace, model = body.pop('workspace'), body.pop('model')
     path = f'/v1/workspaces/{workspace}/models/{model}/generate'
     answer = requester.send(
-        'POST', deployment.read_caller_url(1) + path, json.dumps(body).encode()
+        'POST', deployment.get_caller_url(1) + path, json.dumps(body).encode()
     )
     print(f'\nPOST {path}\n  {body["prompt"][:64]}...')
     return check_stream(deployment, answer, body['max_tokens'])
@@ -203,25 +230,25 @@
 def check_stream(
     deployment: Deployment, answer: requester.Answer, expected: int
 ) -> bool:
-    """Show a stream and tell whether it is whole and numbered."""
+    """Show a stream and return whether it is complete and in order."""
     events = requester.read_events(answer.body)
     indexes = [
-        data['first_index'] + place
+        data['first_index'] + offset
         for name, data in events
         if name == 'tokens'
-        for place in range(len(data['texts']))
+        for offset in range(len(data['texts']))
     ]
     last_name, last = events[-1]
     request = answer.headers['X-Request-Id']
     for attempt, stages in sorted(find_stages(deployment, request).items()):
         print(f'  attempt {attempt} ran on {" > ".join(stages)}')
     print(f'  {len(indexes)} tokens, then {last_name} {json.dumps(last)}')
-    whole = indexes == list(range(expected))
-    return whole and last == {'count': expected}
+    is_complete = indexes == list(range(expected))
+    return is_complete and last == {'count': expected}
 
 
 def find_stages(deployment: Deployment, request: str) -> dict[int, list[str]]:
-    """Ask the engines that live which of them computed a request."""
+    """Return the running engines that computed each attempt of a request."""
     found: dict[int, list[tuple[int, str]]] = {}
     for name, process in deployment.targets.items():
         if not name.startswith(CHAINS) or process.popen.poll() is not None:
@@ -241,22 +268,30 @@
     """Send an idempotent call."""
     path = f'/v1/workspaces/{WORKSPACE}/services/status/read-slot'
     body = json.dumps(read_request('slot-status')).encode()
-    answer = requester.send('POST', deployment.read_caller_url() + path, body)
+    answer = requester.send('POST', deployment.get_caller_url() + path, body)
     print(f'\nPOST {path}\n  {answer.status} {answer.body.decode()}')
     return answer.status == 200
 
 
-def show_action(deployment: Deployment, operation: str, sample: str) -> bool:
-    """Send an action through every entry with one key; it runs once."""
+def show_action(
+    deployment: Deployment, operation: str, request_name: str
+) -> bool:
+    """Send an action with one key through every entry.
+
+    Returns
+    -------
+    bool
+        Whether it ran once and all responses are equal.
+    """
     path = f'/v1/workspaces/{WORKSPACE}/services/booking/{operation}'
-    body = json.dumps(read_request(sample)).encode()
+    body = json.dumps(read_request(request_name)).encode()
     key = str(identifiers.make_uuid7(clock.Clock().wall(), hash(operation)))
     print(f'\nPOST {path}\n  Idempotency-Key: {key}')
     bodies = set()
     for number in range(len(deployment.entries)):
         answer = requester.send(
             'POST',
-            deployment.read_caller_url(number) + path,
+            deployment.get_caller_url(number) + path,
             body,
             {'Idempotency-Key': key},
         )
@@ -269,7 +304,7 @@
 
 
 def count_executions(deployment: Deployment, key: str) -> int:
-    """Add up how often the services executed a key."""
+    """Return how often all services together executed a key."""
     total = 0
     for name, process in deployment.targets.items():
         if name.startswith(CHAINS):
@@ -281,39 +316,45 @@
 
 
 async def show_engine_killed(deployment: Deployment) -> bool:
-    """Kill an engine of the pipeline in mid-stream."""
+    """Kill an engine of the pipeline in mid-stream and check the stream."""
     path = '/v1/workspaces/bidwright/models/brief-writer/generate'
     body = {'prompt': 'Compare two slots.', 'max_tokens': DRAFT_TOKENS}
     received = bytearray()
-    enough = asyncio.Event()
+    kill_ready = asyncio.Event()
 
-    def take(chunk: bytes) -> None:
+    def store_chunk(chunk: bytes) -> None:
         received.extend(chunk)
         if received.count(b'event: tokens') >= KILL_AFTER_TOKENS:
-            enough.set()
+            kill_ready.set()
 
     print(f'\nPOST {path}, and an engine is killed in mid-stream')
     answer, killed = await asyncio.gather(
         requester.send_async(
             'POST',
-            deployment.read_caller_url(2) + path,
+            deployment.get_caller_url(2) + path,
             json.dumps(body).encode(),
-            on_chunk=take,
+            on_chunk=store_chunk,
         ),
-        kill_busy_engine(deployment, enough),
+        kill_busy_engine(deployment, kill_ready),
     )
     print(f'  killed {killed} after {KILL_AFTER_TOKENS} events')
-    whole = attrs.evolve(answer, body=bytes(received))
+    response = attrs.evolve(answer, body=bytes(received))
     return await asyncio.to_thread(
-        check_stream, deployment, whole, DRAFT_TOKENS
+        check_stream, deployment, response, DRAFT_TOKENS
     )
 
 
 async def kill_busy_engine(
-    deployment: Deployment, enough: asyncio.Event
+    deployment: Deployment, kill_ready: asyncio.Event
 ) -> str:
-    """Kill an engine that runs a request, behind the first of its route."""
-    await enough.wait()
+    """Kill an engine that runs a request, after the first stage.
+
+    Returns
+    -------
+    str
+        Name of the engine.
+    """
+    await kill_ready.wait()
     for name, process in deployment.targets.items():
         if not name.startswith(CHAINS) or name.endswith('-1'):
             continue
@@ -322,7 +363,7 @@
         if any(len(count['indexes']) < DRAFT_TOKENS for count in counts):
             process.kill()
             return name
-    raise RuntimeError('no engine was in mid-stream')
+    raise RuntimeError('no engine after the first stage runs a stream')
 
 
 if __name__ == '__main__':
--- a/tools/processes.py
+++ b/tools/processes.py
@@ -1,7 +1,7 @@
-"""Starts the daemon and the stand-ins as processes and ends them by id.
+"""Start the daemon and the stand-ins as processes and end them by id.
 
 Every process prints one line of JSON on standard output when it listens;
-its standard error goes to a file for the reader of a failure.
+its standard error is written to a log file for the analysis of failures.
 """
 
 from __future__ import annotations
@@ -28,23 +28,23 @@
 
 
 class StartError(Exception):
-    """A process ended, or said nothing, before it listened."""
+    """A process exited or timed out before it listened."""
 
 
 @attrs.define
 class Process:
-    """A process that was started here.
+    """A process with its log file.
 
     Attributes
     ----------
     name : str
-        Name for messages.
+        Name in error messages.
     popen : subprocess.Popen
         The process.
     ready : dict
-        What it printed when it listened.
+        Addresses that the process printed when it listened.
     log : pathlib.Path
-        Its standard error.
+        File with its standard error.
     """
 
     name: str
@@ -53,16 +53,16 @@
     log: pathlib.Path
 
     def send_signal(self, number: int) -> None:
-        """Send a signal to this process alone."""
+        """Send a signal to this process only."""
         self.popen.send_signal(number)
 
     def kill(self) -> None:
-        """End the process as a crash of its host would."""
+        """Kill the process, like a crash of its host, and wait for it."""
         self.popen.kill()
         self.popen.wait(STOP_TIMEOUT_S)
 
     def terminate(self, timeout_s: float = STOP_TIMEOUT_S) -> int:
-        """Ask the process to stop and return its exit code."""
+        """Send SIGTERM and return the exit code."""
         self.popen.terminate()
         return self.popen.wait(timeout_s)
 
@@ -73,7 +73,15 @@
 
 @attrs.define
 class Processes:
-    """All processes of one run; leaving the scope ends what still runs."""
+    """All processes of one run.
+
+    Attributes
+    ----------
+    folder : pathlib.Path
+        Folder for logs and settings files.
+    running : list of Process
+        All processes that were started, also those that exited since.
+    """
 
     folder: pathlib.Path
     running: list[Process] = attrs.field(factory=list)
@@ -84,16 +92,16 @@
         Parameters
         ----------
         name : str
-            Name for messages and for the log file.
+            Name in error messages and of the log file.
         module : str
             Module to run.
         *arguments : str
-            Command line.
+            Command-line arguments.
 
         Raises
         ------
         StartError
-            When no line of JSON came in time.
+            When the process exits or prints nothing before the timeout.
         """
         log = self.folder / f'{name}-{len(self.running)}.log'
         with log.open('wb') as errors:
@@ -110,14 +118,14 @@
         return process
 
     def start_entry(self, name: str, **settings: typing.Any) -> Process:
-        """Start an entry on loopback ports that the system chooses.
+        """Start an entry on free loopback ports.
 
         Parameters
         ----------
         name : str
-            Name of its host.
+            Name of the host.
         **settings : object
-            Members of the settings file that differ from the default.
+            Top-level settings that replace the defaults.
         """
         values: dict[str, typing.Any] = {
             'host': name,
@@ -136,7 +144,7 @@
         return self.start(name, 'thornspool.daemon', '--settings', str(path))
 
     def end_all(self) -> None:
-        """End every process that still runs, by its id."""
+        """Kill every process that still runs, by its id."""
         for process in self.running:
             if process.popen.poll() is None:
                 process.send_signal(signal.SIGCONT)
@@ -150,7 +158,7 @@
 
 @contextlib.contextmanager
 def open_processes() -> Iterator[Processes]:
-    """Open a scope whose processes are ended when it is left."""
+    """Open a scope that kills its processes on exit."""
     with tempfile.TemporaryDirectory() as folder:
         processes = Processes(pathlib.Path(folder))
         try:
@@ -160,7 +168,7 @@
 
 
 def _read_ready(process: Process) -> dict[str, str]:
-    """Read the line that says that a process listens."""
+    """Read the line of JSON that a process prints when it listens."""
     stdout = process.popen.stdout
     if stdout is None:
         raise StartError(f'{process.name} has no standard output.')
--- a/tools/requester.py
+++ b/tools/requester.py
@@ -1,6 +1,7 @@
-"""Small blocking HTTP requests for the demo, measurements and tests.
+"""HTTP requests for the demo, benchmarks and tests.
 
-They use the library's curl client, each on a loop of its own call.
+Each request uses a new curl client of tornado; a blocking request runs in a
+new event loop.
 """
 
 from __future__ import annotations
@@ -18,14 +19,14 @@
 
 @attrs.frozen
 class Answer:
-    """Status, headers and body of an answer."""
+    """Status, headers and body of a response."""
 
     status: int
     headers: dict[str, str]
     body: bytes
 
     def read_json(self) -> typing.Any:
-        """Return the decoded body."""
+        """Return the decoded JSON body."""
         return json.loads(self.body)
 
 
@@ -35,7 +36,7 @@
     body: bytes | None = None,
     headers: dict[str, str] | None = None,
 ) -> Answer:
-    """Send one request and wait for its whole answer.
+    """Send one request and wait for the complete response.
 
     Parameters
     ----------
@@ -58,7 +59,26 @@
     headers: dict[str, str] | None = None,
     on_chunk: typing.Callable[[bytes], None] | None = None,
 ) -> Answer:
-    """Send one request on the running loop; chunks as they come if asked."""
+    """Send one request on the running event loop.
+
+    Parameters
+    ----------
+    method : str
+        HTTP method.
+    url : str
+        Whole URL.
+    body : bytes, optional
+        Request body.
+    headers : dict of str to str, optional
+        Request headers.
+    on_chunk : callable, optional
+        Called with each chunk of the response; the body is then empty.
+
+    Raises
+    ------
+    ConnectionError
+        When there is no response.
+    """
     client = curl_httpclient.CurlAsyncHTTPClient(force_instance=True)
     try:
         response = await client.fetch(
@@ -81,7 +101,7 @@
 
 
 def read_events(body: bytes) -> list[tuple[str, typing.Any]]:
-    """Return name and data of each server-sent event of a stream."""
+    """Parse name and data of each server-sent event of a stream."""
     events = []
     for block in body.decode().strip().split('\n\n'):
         name, _, data = block.partition('\ndata: ')
