--- a/tests/tools/test_bench.py
+++ b/tests/tools/test_bench.py
@@ -1,4 +1,4 @@
-"""Tests of what measurements conclude from what they saw."""
+"""Tests of how benchmarks compute their figures."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
 
 class RecoveryTest(unittest.TestCase):
-    def test_tokens_under_way_are_no_recovery(self) -> None:
-        """A stage dies, and tokens that it had sent still arrive.
+    def test_tokens_in_transit_are_not_a_recovery(self) -> None:
+        """Tokens that a stage sent before it crashed arrive after the crash.
 
-        The caller's wait starts after them; counting the first one would
-        tell a recovery of a millisecond.
+        The gap at the caller starts after them; the first one would give a
+        recovery time of a millisecond.
         """
         cases = (
             # arrivals in seconds, kill, milliseconds
@@ -38,7 +38,7 @@
         )
         for arrivals, killed_at, expected in cases:
             with self.subTest(arrivals=arrivals):
-                found = samples.find_recovery_ms(list(arrivals), killed_at)
+                found = samples.compute_recovery_ms(list(arrivals), killed_at)
                 if expected is None:
                     self.assertIsNone(found)
                     continue
@@ -46,18 +46,20 @@
 
     def test_percentiles_are_values_that_occurred(self) -> None:
         values = [float(value) for value in range(1, 21)]
-        self.assertEqual(10.0, samples.read_percentile(values, 50))
-        self.assertEqual(20.0, samples.read_percentile(values, 99))
-        self.assertEqual(1.0, samples.read_percentile(values, 0))
-
-    def test_failed_tries_are_counted_and_not_dropped(self) -> None:
-        taken = samples.Samples()
-        taken.add(None)
-        self.assertEqual({'count': 0, 'failed': 1}, taken.sum_up())
-        taken.add(5.0)
-        self.assertEqual(1, taken.sum_up()['failed'])
-
-    def test_stream_with_a_gap_is_not_whole(self) -> None:
+        self.assertEqual(10.0, samples.compute_percentile(values, 50))
+        self.assertEqual(20.0, samples.compute_percentile(values, 99))
+        self.assertEqual(1.0, samples.compute_percentile(values, 0))
+
+    def test_failed_measurements_are_counted(self) -> None:
+        collected = samples.Samples()
+        collected.add(None)
+        self.assertEqual({'count': 0, 'failed': 1}, collected.summarize())
+        collected.add(5.0)
+        self.assertEqual(1, collected.summarize()['failed'])
+
+    def test_stream_with_a_missing_or_repeated_token_is_incomplete(
+        self,
+    ) -> None:
         def build(indexes):
             lines = [
                 'event: tokens\ndata: '
@@ -67,13 +69,13 @@
             return '\n\n'.join([*lines, 'event: end\ndata: {}']).encode()
 
         count = bench_recovery.TOKENS
-        self.assertTrue(bench_recovery.is_whole(build(range(count))))
+        self.assertTrue(bench_recovery.is_complete_stream(build(range(count))))
         for indexes in (range(1, count), range(count - 1), [0, *range(count)]):
-            self.assertFalse(bench_recovery.is_whole(build(indexes)))
+            self.assertFalse(bench_recovery.is_complete_stream(build(indexes)))
 
 
 class ControlTest(unittest.TestCase):
-    def test_bytes_are_read_by_direction_and_kind(self) -> None:
+    def test_bytes_are_parsed_by_direction_and_kind(self) -> None:
         self.assertEqual(
             {
                 ('sent', 'membership.Ping'): 120.0,
@@ -82,7 +84,7 @@
             bench_control.parse_peer_bytes(METRICS),
         )
 
-    def test_rates_count_kinds_that_are_new(self) -> None:
+    def test_rates_include_kinds_without_an_earlier_value(self) -> None:
         before = bench_control.Usage(1.0, 10, {('sent', 'a'): 100.0})
         after = bench_control.Usage(
             1.5, 20, {('sent', 'a'): 300.0, ('sent', 'b'): 50.0}
@@ -93,34 +95,37 @@
 
 
 class PaceTest(unittest.TestCase):
-    def test_token_is_timed_by_the_chunk_that_completes_it(self) -> None:
+    def test_arrival_is_the_time_of_the_chunk_that_completes_an_event(
+        self,
+    ) -> None:
         recorder = pace_caller._Recorder(b'\n\n')
-        for chunk, whole in ((b'a\n', 0), (b'\nb', 1), (b'\n\nc\n\n', 3)):
-            recorder.note(chunk)
-            self.assertEqual(whole, len(recorder.arrivals))
-
-    def test_times_are_those_of_all_streams_in_order(self) -> None:
-        answers = [
-            bench_pace.Answer(1.0, [1.25, 2.0], 0),
-            bench_pace.Answer(1.0, [1.125, 1.375], 2),
+        for chunk, expected in ((b'a\n', 0), (b'\nb', 1), (b'\n\nc\n\n', 3)):
+            recorder.append_chunk(chunk)
+            self.assertEqual(expected, len(recorder.arrivals))
+
+    def test_times_of_all_streams_are_aggregated(self) -> None:
+        stream_times = [
+            bench_pace.StreamTimes(1.0, [1.25, 2.0], 0),
+            bench_pace.StreamTimes(1.0, [1.125, 1.375], 2),
         ]
         window = bench_pace.Window(1.2, 2.0, {'entry': 0.2})
-        self.assertEqual(25.0, window.read_percent('entry'))
-        summed = bench_pace.sum_up(answers, window)
+        self.assertEqual(25.0, window.compute_cpu_percent('entry'))
+        figures = bench_pace.summarize(stream_times, window)
         # Two of four tokens in 0.8 s.
-        self.assertEqual(2, summed['tokens_per_s'])
-        self.assertEqual(2, summed['refusals'])
-        self.assertEqual(125.0, summed['first_token_ms']['p50'])
-        self.assertEqual(250.0, summed['between_tokens_ms']['p50'])
-        self.assertEqual(750.0, summed['between_tokens_ms']['p99'])
+        self.assertEqual(2, figures['tokens_per_s'])
+        self.assertEqual(2, figures['refusals'])
+        self.assertEqual(125.0, figures['first_token_ms']['p50'])
+        self.assertEqual(250.0, figures['between_tokens_ms']['p50'])
+        self.assertEqual(750.0, figures['between_tokens_ms']['p99'])
 
-    def test_answer_that_is_not_whole_gives_no_figure(self) -> None:
-        """A token is lost on the way.
+    def test_incomplete_stream_raises_an_error(self) -> None:
+        """A token of a stream is lost.
 
-        Its stream would show one longer gap and look like a slow one.
+        Without the check, the stream would appear as one with a longer time
+        between two tokens.
         """
         count = bench_pace.TOKENS
-        arrivals = [float(one) for one in range(count + 1)]
+        arrivals = [float(second) for second in range(count + 1)]
         for lost in (None, 0, 5, count - 1):
             texts = [
                 'event: tokens\ndata: '
@@ -134,11 +139,11 @@
                 if index != lost
             ]
             end = f'event: end\ndata: {{"count": {count}}}'
-            whole = '\n\n'.join([*texts, end])
+            events = '\n\n'.join([*texts, end])
             lines = '\n'.join([*frames, json.dumps({'end': count})])
             for read, body in (
-                (bench_pace.read_entry_answer, whole),
-                (bench_pace.read_engine_answer, lines),
+                (bench_pace.parse_entry_stream, events),
+                (bench_pace.parse_engine_stream, lines),
             ):
                 stream = pace_caller.Stream(0.0, arrivals, 0, body)
                 with self.subTest(lost=lost, read=read.__name__):
@@ -150,8 +155,10 @@
 
 
 class BenchTest(unittest.TestCase):
-    def test_failed_measurement_is_named_beside_the_others(self) -> None:
-        """One measurement of many fails; the run must not look whole."""
+    def test_failed_benchmark_is_listed_with_the_figures_of_the_others(
+        self,
+    ) -> None:
+        """One benchmark fails; the run must not appear complete."""
         runs = {
             'latency': mock.Mock(return_value={'added_latency_ms': 1}),
             'relay': mock.Mock(side_effect=ConnectionError('refused')),
--- a/tools/bench.py
+++ b/tools/bench.py
@@ -1,7 +1,7 @@
-"""Run every measurement; the last line printed is one JSON object.
+"""Run the benchmarks; the last line printed is one JSON object.
 
-Measurements run one after the other, so that none takes processor time
-from another. docs/measurements.md tells what each figure means.
+Benchmarks run one after the other, so that they do not compete for processor
+time. docs/measurements.md describes each figure.
 """
 
 from __future__ import annotations
@@ -42,86 +42,88 @@
 
 
 def run_latency() -> Figures:
-    """Run the measurement of added latency."""
+    """Measure the latency that an entry adds."""
     return {'added_latency_ms': bench_latency.measure_latency()}
 
 
 def run_relay() -> Figures:
-    """Run the measurement of the token relay."""
-    whole = bench_relay.measure_relay()
+    """Measure the token relay."""
+    result = bench_relay.measure_relay()
     return {
-        'relay_tokens_per_s': whole[RELAY_VARIANT]['tokens_per_s'],
-        'relay': {'variant': RELAY_VARIANT, **whole},
+        'relay_tokens_per_s': result[RELAY_VARIANT]['tokens_per_s'],
+        'relay': {'variant': RELAY_VARIANT, **result},
     }
 
 
 def run_pace() -> Figures:
-    """Run the measurement of one entry at the pace of the design size."""
-    whole = bench_pace.measure_pace()
+    """Measure one entry at the token rate of the design size."""
+    result = bench_pace.measure_pace()
     return {
-        'entry_cpu_percent_pace': whole['entry_cpu_percent'],
-        'pace': whole,
+        'entry_cpu_percent_pace': result['entry_cpu_percent'],
+        'pace': result,
     }
 
 
 def run_throughput() -> Figures:
-    """Run the measurement of throughput against the bound."""
-    whole = bench_throughput.measure_throughput()
+    """Measure throughput relative to the maximum-flow bound."""
+    result = bench_throughput.measure_throughput()
     return {
-        'throughput_to_bound': whole['throughput_to_bound'],
-        'throughput': whole,
+        'throughput_to_bound': result['throughput_to_bound'],
+        'throughput': result,
     }
 
 
 def run_actions() -> Figures:
-    """Run the measurement of grants and calls to the platform."""
-    whole = bench_actions.measure_actions()
-    rates = {str(rate): whole[f'{rate}_per_s'] for rate in bench_actions.RATES}
-    busiest = rates[str(max(bench_actions.RATES))]
+    """Measure the latency of grants and the calls to the platform."""
+    result = bench_actions.measure_actions()
+    rates = {
+        str(rate): result[f'{rate}_per_s'] for rate in bench_actions.RATES
+    }
+    highest_rate = rates[str(max(bench_actions.RATES))]
     return {
         'grant_ms': {
-            'p50': busiest['grant_p50_ms'],
-            'p99': busiest['grant_p99_ms'],
+            'p50': highest_rate['grant_p50_ms'],
+            'p99': highest_rate['grant_p99_ms'],
         },
         'platform_calls_per_s': {
             rate: figures['platform_calls_per_s']
             for rate, figures in rates.items()
         },
-        'actions': whole,
+        'actions': result,
     }
 
 
 def run_load() -> Figures:
-    """Run the measurement of goodput under load."""
-    whole = bench_load.measure_load()
-    return {'goodput_at_load': whole['goodput_at_load'], 'load': whole}
+    """Measure goodput under load in the simulation."""
+    result = bench_load.measure_load()
+    return {'goodput_at_load': result['goodput_at_load'], 'load': result}
 
 
 def run_goodput() -> Figures:
-    """Run the measurement of model requests under load."""
+    """Measure model requests under load with real processes."""
     return {'model_load': bench_goodput.measure_goodput()}
 
 
 def run_recovery() -> Figures:
-    """Run the measurement of recovery from kills and outages."""
+    """Measure the recovery from kills and outages."""
     return {'recovery_ms': bench_recovery.measure_recovery(RECOVERIES)}
 
 
 def run_configuration() -> Figures:
-    """Run the measurement of publications."""
+    """Measure the time until a publication is in force."""
     name = 'config_in_force'
-    whole = bench_recovery.measure_recovery((name,))
-    return {'config_in_force_ms': whole[name]}
+    result = bench_recovery.measure_recovery((name,))
+    return {'config_in_force_ms': result[name]}
 
 
 def run_control() -> Figures:
-    """Run the measurement of what control costs a node."""
-    whole = bench_control.measure_control()
-    real = whole['real']
+    """Measure the control traffic and processor time of an idle entry."""
+    result = bench_control.measure_control()
+    real = result['real']
     return {
         'control_bytes_per_s_node': real['sent_max'],
         'control_cpu_percent_node': real['cpu_percent_max'],
-        'control': whole,
+        'control': result,
     }
 
 
@@ -140,19 +142,19 @@
 
 
 def list_seeds() -> dict[str, list[int]]:
-    """Return the seeds of measurements that draw random numbers."""
+    """Return the seeds of the benchmarks that use random numbers."""
     return {
         'throughput': list(bench_throughput.SEEDS),
         'load': list(bench_load.SEEDS),
         'actions': list(bench_actions.RATES),
         'goodput': [bench_goodput.SEED],
         'recovery': [bench_recovery.SEED],
-        'membership': [bench_membership.SEED + bench_control.FLEET],
+        'membership': [bench_membership.SEED + bench_control.FLEET_SIZE],
     }
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run all measurements, or one.
+    """Run all benchmarks, or one.
 
     Parameters
     ----------
@@ -162,8 +164,8 @@
     Returns
     -------
     int
-        0 when every measurement ended, 1 when one raised an error, which
-        then stands in the object under ``errors``.
+        0 when every benchmark completed, 1 when one raised an error, which
+        the object then has under ``errors``.
     """
     parser = argparse.ArgumentParser(prog='bench', description=__doc__)
     parser.add_argument('--only', choices=tuple(RUNS))
@@ -177,7 +179,7 @@
         try:
             figures |= RUNS[name]()
         except Exception as error:
-            # The figures of the other measurements are still worth having.
+            # The figures of the other benchmarks remain valid.
             errors[name] = f'{type(error).__name__}: {error}'
         seconds[name] = round(time.monotonic() - started, 1)
     figures |= {'seeds': list_seeds(), 'seconds': seconds, 'errors': errors}
--- a/tools/bench_actions.py
+++ b/tools/bench_actions.py
@@ -1,6 +1,6 @@
-"""Measure what actions cost the platform and how long a grant takes.
+"""Measure the platform calls of actions and the latency of a grant.
 
-Six entries run in one process on an in-memory platform; times are real.
+Six entries run in one process on an in-memory platform, in real time.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
     from collections.abc import Awaitable
     from collections.abc import Callable
 
-PLATFORM_S = 0.003
-PEER_S = 0.0005
-TARGET_S = 0.005
+PLATFORM_DELAY_S = 0.003
+PEER_DELAY_S = 0.0005
+TARGET_DELAY_S = 0.005
 ENTRIES = 6
 RATES = (10, 500)
 DURATION_S = 8.0
 
 
 class MemoryPlatform:
-    """Key-value service in memory that answers after a fixed time."""
+    """Key-value service in memory that responds after a fixed delay."""
 
     def __init__(self) -> None:
         self.values: dict[str, ports.Versioned] = {}
@@ -44,7 +44,7 @@
     async def get(self, key: str) -> ports.Versioned:
         """Read a key."""
         self.reads += 1
-        await asyncio.sleep(PLATFORM_S)
+        await asyncio.sleep(PLATFORM_DELAY_S)
         return self.values.get(key, ports.Versioned(b'', 0))
 
     async def put(
@@ -53,9 +53,9 @@
         """Write a key by compare-and-swap."""
         self.writes += 1
         self.written_bytes += len(value)
-        await asyncio.sleep(PLATFORM_S)
-        found = self.values.get(key, ports.Versioned(b'', 0))
-        if found.version != expected_version:
+        await asyncio.sleep(PLATFORM_DELAY_S)
+        current = self.values.get(key, ports.Versioned(b'', 0))
+        if current.version != expected_version:
             self.conflicts += 1
             return ports.WriteConflict()
         self.values[key] = ports.Versioned(value, expected_version + 1)
@@ -64,15 +64,15 @@
     async def watch(
         self, key: str, after_version: int, timeout_ms: int
     ) -> ports.Versioned | None:
-        """Wait in vain; actions watch nothing."""
+        """Wait for the timeout; actions watch no key."""
         await asyncio.sleep(timeout_ms / 1000)
         return None
 
     async def announce(self, own: ports.Host) -> None:
-        """Do nothing; all entries run in one process."""
+        """Do nothing, as all entries run in one process."""
 
     async def list_hosts(self) -> tuple[ports.Host, ...]:
-        """Return no hosts; actions read none."""
+        """Return no hosts, as actions read none."""
         return ()
 
 
@@ -99,33 +99,33 @@
     async def ask(
         self, peer_address: str, message: typing.Any, timeout_ms: int
     ) -> typing.Any:
-        """Ask another entry."""
-        await asyncio.sleep(PEER_S)
+        """Send a request to another entry and return its reply."""
+        await asyncio.sleep(PEER_DELAY_S)
         handler = self.nodes[peer_address].handlers[type(message)]
         reply = await handler(self.member.incarnation, message)
-        await asyncio.sleep(PEER_S)
+        await asyncio.sleep(PEER_DELAY_S)
         return reply
 
     def tell(self, peer_address: str, message: typing.Any) -> None:
-        """Tell nobody; actions only ask."""
+        """Do nothing, as actions send only requests with a reply."""
 
 
 class TimedServices:
-    """A plain service that notes when each key's call was made."""
+    """A plain service that records the time of each key's call."""
 
     def __init__(self) -> None:
-        self.called: dict[str, float] = {}
+        self.called_at: dict[str, float] = {}
 
     async def call(self, call: ports.ServiceCall) -> ports.ServiceAnswer:
-        """Answer after a fixed time."""
-        self.called[call.key] = time.perf_counter()
-        await asyncio.sleep(TARGET_S)
+        """Respond after a fixed delay."""
+        self.called_at[call.key] = time.perf_counter()
+        await asyncio.sleep(TARGET_DELAY_S)
         return ports.ServiceAnswer(200, 'application/json', b'{"ok": true}')
 
 
 @attrs.frozen
 class StaticMembers:
-    """A view of entries that never changes."""
+    """A membership view that never changes."""
 
     members: tuple[ports.Member, ...]
 
@@ -134,15 +134,34 @@
         return self.members
 
     def find(self, incarnation: str) -> ports.Member | None:
-        """Return an entry by incarnation."""
+        """Return the entry with an incarnation, or None."""
         return next(
-            (m for m in self.members if m.incarnation == incarnation), None
+            (
+                member
+                for member in self.members
+                if member.incarnation == incarnation
+            ),
+            None,
         )
 
 
 @attrs.define
 class Bench:
-    """Entries under one rate of actions, and what was seen."""
+    """Entries under one rate of actions, with the collected figures.
+
+    Attributes
+    ----------
+    rate : int
+        Actions a second.
+    platform : MemoryPlatform
+        Platform that all entries share.
+    services : TimedServices
+        The only service.
+    started : dict of str to float
+        Start of each action by key, in seconds.
+    done : int
+        Number of actions that completed.
+    """
 
     rate: int
     platform: MemoryPlatform = attrs.field(factory=MemoryPlatform)
@@ -151,21 +170,23 @@
     done: int = 0
 
     async def run(self) -> dict[str, float]:
-        """Send actions for ``DURATION_S`` and sum up."""
+        """Send actions for ``DURATION_S`` and return the figures."""
         entries = self._build_entries()
-        source = random.Random(self.rate)
-        begin, cpu = time.perf_counter(), time.process_time()
+        random_source = random.Random(self.rate)
+        begin, cpu_begin = time.perf_counter(), time.process_time()
         tasks = []
         for number in range(int(self.rate * DURATION_S)):
             due = begin + number / self.rate
             await asyncio.sleep(max(due - time.perf_counter(), 0))
-            entry = source.choice(entries)
-            tasks.append(asyncio.ensure_future(self._send(entry, source)))
+            entry = random_source.choice(entries)
+            tasks.append(
+                asyncio.ensure_future(self._send(entry, random_source))
+            )
         await asyncio.gather(*tasks)
         for entry in entries:
             await entry.drain(5_000)
-        spent = time.process_time() - cpu
-        return self._sum_up(time.perf_counter() - begin, spent)
+        cpu_s = time.process_time() - cpu_begin
+        return self._summarize(time.perf_counter() - begin, cpu_s)
 
     def _build_entries(self) -> list[actions.ActionService]:
         members = tuple(
@@ -188,11 +209,13 @@
         ]
 
     async def _send(
-        self, entry: actions.ActionService, source: random.Random
+        self, entry: actions.ActionService, random_source: random.Random
     ) -> None:
         time_source = clock.Clock()
         key = str(
-            identifiers.make_uuid7(time_source.wall(), source.getrandbits(74))
+            identifiers.make_uuid7(
+                time_source.wall(), random_source.getrandbits(74)
+            )
         )
         target = documents.Target(
             'booking', documents.TargetKind.SERVICE, 'h', 'a', 'http://booking'
@@ -211,12 +234,12 @@
         )
         self.done += isinstance(result, actions.ActionDone)
 
-    def _sum_up(self, seconds: float, cpu: float) -> dict[str, float]:
-        waits = [
-            (called - self.started[key]) * 1000
-            for key, called in self.services.called.items()
+    def _summarize(self, seconds: float, cpu_s: float) -> dict[str, float]:
+        grant_times_ms = [
+            (called_at - self.started[key]) * 1000
+            for key, called_at in self.services.called_at.items()
         ]
-        cuts = statistics.quantiles(waits, n=100)
+        percentiles = statistics.quantiles(grant_times_ms, n=100)
         calls = self.platform.reads + self.platform.writes
         return {
             'actions': len(self.started),
@@ -227,19 +250,19 @@
             'kilobytes_per_write': round(
                 self.platform.written_bytes / self.platform.writes / 1000, 1
             ),
-            'grant_p50_ms': round(cuts[49], 1),
-            'grant_p99_ms': round(cuts[98], 1),
-            'cpu_ms_per_action': round(cpu * 1000 / len(self.started), 2),
+            'grant_p50_ms': round(percentiles[49], 1),
+            'grant_p99_ms': round(percentiles[98], 1),
+            'cpu_ms_per_action': round(cpu_s * 1000 / len(self.started), 2),
         }
 
 
 def measure_actions() -> dict[str, dict[str, float]]:
-    """Measure platform calls and grant latency at each of ``RATES``.
+    """Measure platform calls and grant latency at each rate of ``RATES``.
 
     Returns
     -------
     dict of str to dict of str to float
-        Figures by rate, in the units that their names carry.
+        Figures by rate, in the units of their names.
     """
     return {f'{rate}_per_s': asyncio.run(Bench(rate).run()) for rate in RATES}
 
--- a/tools/bench_control.py
+++ b/tools/bench_control.py
@@ -1,9 +1,9 @@
-"""Measure what control costs a node at rest, in bytes and processor time.
+"""Measure the control traffic and processor time of an idle entry.
 
-Real: entry processes on loopback with stand-ins of targets, no callers; the
-bytes are those that each entry counts in what it sends to and receives
-from the others, the processor time is that of ``/proc``. Simulated: gossip
-of a fleet of the design size, by ``tools.bench_membership``.
+The real part runs entry processes on loopback with stand-ins of targets and
+without callers; the bytes come from each entry's metrics of peer messages,
+the processor time from ``/proc``. The simulated part is the gossip of a fleet
+of the design size, from ``tools.bench_membership``.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 ENTRIES = 9
 CHAINS = 21
 WINDOW_S = 20.0
-CALM_S = 10.0
-FLEET = 350
-TICKS_PER_S = os.sysconf('SC_CLK_TCK')
+SETTLE_S = 10.0
+FLEET_SIZE = 350
+CLOCK_TICKS_PER_S = os.sysconf('SC_CLK_TCK')
 PAGE_BYTES = os.sysconf('SC_PAGE_SIZE')
 
-_BYTES = re.compile(
+_BYTES_METRIC = re.compile(
     r'^thornspool_peer_bytes_total\{([^}]*)\} ([0-9.e+]+)$', re.MULTILINE
 )
 _LABEL = re.compile(r'(\w+)="([^"]*)"')
@@ -40,16 +40,16 @@
 
 @attrs.frozen
 class Usage:
-    """What a process used so far.
+    """Resources that a process used since its start.
 
     Attributes
     ----------
     cpu_s : float
-        Processor time.
+        Processor time, in seconds.
     memory_bytes : int
         Resident memory.
     peer_bytes : dict of tuple of str to float
-        By direction and kind.
+        Bytes of peer messages by direction and kind.
     """
 
     cpu_s: float
@@ -60,9 +60,9 @@
 def read_cpu_s(pid: int) -> float:
     """Return the processor time of a process, in seconds."""
     text = pathlib.Path(f'/proc/{pid}/stat').read_text()
-    # The command in parentheses may hold spaces.
+    # The command name in parentheses may contain spaces.
     fields = text.rpartition(')')[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
 def read_memory_bytes(pid: int) -> int:
@@ -72,18 +72,20 @@
 
 
 def parse_peer_bytes(text: str) -> dict[tuple[str, str], float]:
-    """Read the bytes by direction and kind out of the metrics."""
+    """Parse the bytes by direction and kind from the metrics."""
     found = {}
-    for labels, value in _BYTES.findall(text):
-        named = dict(_LABEL.findall(labels))
-        found[named['direction'], named['kind']] = float(value)
+    for labels, value in _BYTES_METRIC.findall(text):
+        labels_by_name = dict(_LABEL.findall(labels))
+        found[labels_by_name['direction'], labels_by_name['kind']] = float(
+            value
+        )
     return found
 
 
 async def read_usage(
     session: bench_deployment.Session, entry: processes.Process
 ) -> Usage:
-    """Read what an entry used so far."""
+    """Read the resources that an entry used since its start."""
     url = f'{entry.ready["operators"]}/metrics'
     response = await session.send('GET', url)
     pid = entry.popen.pid
@@ -95,7 +97,7 @@
 
 
 def compare(before: Usage, after: Usage, seconds: float) -> Figures:
-    """Return what an entry used a second between two readings."""
+    """Return the usage per second between two readings."""
     rates = {
         label: (value - before.peer_bytes.get(label, 0.0)) / seconds
         for label, value in after.peer_bytes.items()
@@ -106,9 +108,15 @@
         if rate
     }
     return {
-        'sent': sum(rate for (way, _), rate in rates.items() if way == 'sent'),
+        'sent': sum(
+            rate
+            for (direction, _), rate in rates.items()
+            if direction == 'sent'
+        ),
         'received': sum(
-            rate for (way, _), rate in rates.items() if way == 'received'
+            rate
+            for (direction, _), rate in rates.items()
+            if direction == 'received'
         ),
         'cpu_percent': (after.cpu_s - before.cpu_s) / seconds * 100,
         'memory_megabytes': after.memory_bytes / 1e6,
@@ -116,8 +124,8 @@
     }
 
 
-async def _measure_rest(deployment: bench_deployment.Deployment) -> Figures:
-    """Read every entry twice while no caller sends anything."""
+async def _measure_idle(deployment: bench_deployment.Deployment) -> Figures:
+    """Read the usage of every entry before and after an idle window."""
     session = bench_deployment.Session()
     entries = deployment.entries
     try:
@@ -125,12 +133,12 @@
             session, entries[0], deployment.documents, 0
         )
         await bench_deployment.wait_settled(session, deployment)
-        await asyncio.sleep(CALM_S)
+        await asyncio.sleep(SETTLE_S)
         loop = asyncio.get_running_loop()
         started = loop.time()
-        before = [await read_usage(session, one) for one in entries]
+        before = [await read_usage(session, entry) for entry in entries]
         await asyncio.sleep(WINDOW_S)
-        after = [await read_usage(session, one) for one in entries]
+        after = [await read_usage(session, entry) for entry in entries]
         seconds = loop.time() - started
     finally:
         session.close()
@@ -143,9 +151,11 @@
         'targets': len(deployment.targets),
         'seconds': round(seconds, 1),
         **{
-            f'{name}_{what}': round(function(one[name] for one in used), 3)
+            f'{name}_{suffix}': round(
+                function(usage[name] for usage in used), 3
+            )
             for name in ('sent', 'received', 'cpu_percent', 'memory_megabytes')
-            for what, function in (('mean', _compute_mean), ('max', max))
+            for suffix, function in (('mean', _compute_mean), ('max', max))
         },
         'kinds_of_first_entry': used[0]['kinds'],
     }
@@ -156,27 +166,35 @@
     return sum(listed) / len(listed)
 
 
-def measure_rest(entries: int = ENTRIES, chains: int = CHAINS) -> Figures:
-    """Measure real entries at rest; two engines a chain, two services.
+def measure_idle(entries: int = ENTRIES, chains: int = CHAINS) -> Figures:
+    """Measure idle entry processes with two services.
+
+    Parameters
+    ----------
+    entries : int, optional
+        Number of entries.
+    chains : int, optional
+        Number of chains of two engines.
 
     Returns
     -------
     Figures
         ``sent`` and ``received`` in bytes a second of messages between
-        entries, without TCP and IP; processor time in percent of a core.
+        entries, without TCP and IP headers; processor time in percent of a
+        core.
     """
     with processes.open_processes() as scope:
         deployment = bench_deployment.start_deployment(scope, entries, chains)
-        return asyncio.run(_measure_rest(deployment))
+        return asyncio.run(_measure_idle(deployment))
 
 
 def measure_control() -> dict[str, Figures]:
-    """Measure the real part and the simulated part."""
+    """Measure the entry processes and the simulated gossip."""
     return {
-        'real': measure_rest(),
+        'real': measure_idle(),
         'simulated_gossip': {
-            'members': FLEET,
-            **bench_membership.measure_rest(FLEET),
+            'members': FLEET_SIZE,
+            **bench_membership.measure_idle(FLEET_SIZE),
         },
     }
 
--- a/tools/bench_deployment.py
+++ b/tools/bench_deployment.py
@@ -1,7 +1,7 @@
-"""A deployment of real processes for measurements, and its client.
+"""A deployment of real processes for benchmarks, and its HTTP client.
 
 One platform, two plain services, chains of engines and several entries run
-as processes on loopback. What a process says of itself is read over HTTP.
+as processes on loopback. Their state is read over HTTP.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 DOMAINS = ('perth-a', 'perth-b', 'perth-c')
 MAX_CLIENTS = 200
 TIMEOUT_S = 10.0
-BROKEN = 599
+CONNECTION_BROKEN = 599
 SETTLE_TIMEOUT_S = 30.0
 SETTLE_POLL_S = 0.05
 
@@ -41,17 +41,17 @@
 CALL_PATH = f'{BASE}/services/{SERVICE}/read'
 ACTION_PATH = f'{BASE}/services/{SERVICE}/hold'
 GENERATE_PATH = f'{BASE}/models/{MODEL}/generate'
-TOKEN = {'Authorization': f'Bearer {processes.OPERATOR_TOKEN}'}
+OPERATOR_HEADERS = {'Authorization': f'Bearer {processes.OPERATOR_TOKEN}'}
 
 Document = dict[str, typing.Any]
 
 
-class NotSettled(Exception):
-    """Entries did not agree on the deployment in time."""
+class SettleTimeoutError(Exception):
+    """Entries did not converge on the deployment before the timeout."""
 
 
 class Session:
-    """Sends requests over kept connections on the running loop."""
+    """HTTP client with persistent connections on the running event loop."""
 
     def __init__(self) -> None:
         self._client = curl_httpclient.CurlAsyncHTTPClient(
@@ -71,7 +71,26 @@
         on_chunk: typing.Callable[[bytes], None] | None = None,
         timeout_s: float = TIMEOUT_S,
     ) -> httpclient.HTTPResponse:
-        """Send one request; code 599 stands for a broken connection."""
+        """Send one request.
+
+        Parameters
+        ----------
+        method, url : str
+            HTTP method and whole URL.
+        body : bytes, optional
+            Request body.
+        headers : dict of str to str, optional
+            Request headers.
+        on_chunk : callable, optional
+            Called with each chunk of the response body.
+        timeout_s : float, optional
+            Timeout to connect, and of the whole request, in seconds.
+
+        Returns
+        -------
+        HTTPResponse
+            The response; code 599 for a broken connection.
+        """
         request = httpclient.HTTPRequest(
             url,
             method=method,
@@ -85,12 +104,20 @@
         try:
             return await self._client.fetch(request, raise_error=False)
         except (OSError, httpclient.HTTPError) as error:
-            return httpclient.HTTPResponse(request, BROKEN, error=error)
+            return httpclient.HTTPResponse(
+                request, CONNECTION_BROKEN, error=error
+            )
 
     async def read_json(
         self, url: str, headers: dict[str, str] | None = None
     ) -> typing.Any:
-        """Read an answer that must be there."""
+        """Send a GET request and decode the response.
+
+        Raises
+        ------
+        ConnectionError
+            When the status is not 200.
+        """
         response = await self.send('GET', url, headers=headers)
         if response.code != 200:
             raise ConnectionError(f'{url}: {response.code} {response.error}')
@@ -99,7 +126,7 @@
     async def act(
         self, entry_url: str, key: str, resent: bool = False
     ) -> httpclient.HTTPResponse:
-        """Send an action; its status is 200 when it ran."""
+        """Send an action; the status is 200 when it was executed."""
         headers = {'Idempotency-Key': key}
         if resent:
             headers['Idempotency-Resent'] = 'true'
@@ -108,24 +135,24 @@
 
 @attrs.define
 class Deployment:
-    """The processes of one measurement.
+    """The processes of one benchmark.
 
     Attributes
     ----------
     scope : processes.Processes
-        Ends them all.
+        Scope that ends the processes.
     platform : processes.Process
         Stand-in of the platform.
     targets : dict of str to processes.Process
         Stand-ins of services and engines, by name.
     entries : list of processes.Process
-        Entries that live.
+        Running entries.
     documents : list of Document
-        What was published at first.
+        Documents of the first publication.
     started : int
-        Entries started so far.
+        Number of entries started so far.
     step_ms, batch : int
-        Time of an engine's step and its largest batch.
+        Step time of an engine in milliseconds and its maximum batch.
     """
 
     scope: processes.Processes
@@ -138,7 +165,7 @@
     batch: int = BATCH
 
     def start_entry(self) -> processes.Process:
-        """Start one more entry, which knows those that live."""
+        """Start one more entry with the running ones as its seeds."""
         number = self.started
         self.started += 1
         entry = self.scope.start_entry(
@@ -147,7 +174,7 @@
             region='perth',
             peers={
                 'listen': '127.0.0.1:0',
-                'seeds': [one.ready['peers'] for one in self.entries],
+                'seeds': [entry.ready['peers'] for entry in self.entries],
             },
             platform={'kind': 'http', 'url': self.platform.ready['url']},
         )
@@ -155,7 +182,15 @@
         return entry
 
     def start_engine(self, name: str, port: int = 0) -> processes.Process:
-        """Start an engine, on the port of one that was killed if given."""
+        """Start an engine.
+
+        Parameters
+        ----------
+        name : str
+            Name, which ends in the index of its stage.
+        port : int, optional
+            TCP port, to replace a killed engine; 0 for any free port.
+        """
         first, end = STAGES[int(name.rsplit('-', 1)[1])]
         engine = self.scope.start(
             name,
@@ -183,7 +218,7 @@
     step_ms: int = STEP_MS,
     batch: int = BATCH,
 ) -> Deployment:
-    """Start platform, targets and entries; nothing is published yet."""
+    """Start platform, targets and entries without a publication."""
     platform = scope.start('platform', 'standins.kv_store')
     deployment = Deployment(scope, platform, step_ms=step_ms, batch=batch)
     for number in range(SERVICES):
@@ -192,16 +227,16 @@
             name, 'standins.service', '--name', name
         )
     for chain in range(chains):
-        for place in range(len(STAGES)):
-            deployment.start_engine(f'engine-{chain}-{place}')
+        for stage in range(len(STAGES)):
+            deployment.start_engine(f'engine-{chain}-{stage}')
     for _ in range(entries):
         deployment.start_entry()
-    deployment.documents = make_documents(deployment)
+    deployment.documents = build_documents(deployment)
     return deployment
 
 
-def make_documents(deployment: Deployment) -> list[Document]:
-    """Make the documents of one workspace, its service and its model."""
+def build_documents(deployment: Deployment) -> list[Document]:
+    """Build the documents of one workspace, its service and its model."""
     targets = [
         {
             'kind': 'target',
@@ -213,7 +248,9 @@
         }
         for number, (name, process) in enumerate(deployment.targets.items())
     ]
-    names = [one['name'] for one in targets if one['serves'] == 'service']
+    names = [
+        target['name'] for target in targets if target['serves'] == 'service'
+    ]
     stages = [
         {'target': name, 'first_layer': first, 'end_layer': end}
         for name in deployment.list_engines()
@@ -248,7 +285,13 @@
     documents: list[Document],
     base_version: int,
 ) -> httpclient.HTTPResponse:
-    """Publish documents through one entry."""
+    """Publish documents through one entry.
+
+    Raises
+    ------
+    ConnectionError
+        When the publication is not accepted.
+    """
     body = {
         'id': f'publication-{time.time_ns()}',
         'author': 'measurement',
@@ -257,52 +300,75 @@
     }
     url = f'{entry.ready["operators"]}/v1/publications'
     response = await session.send(
-        'POST', url, json.dumps(body).encode(), TOKEN, timeout_s=30.0
+        'POST',
+        url,
+        json.dumps(body).encode(),
+        OPERATOR_HEADERS,
+        timeout_s=30.0,
     )
     if response.code != 200:
         text = response.body.decode() if response.buffer else response.error
-        raise ConnectionError(f'not published: {text}')
+        raise ConnectionError(f'publication failed: {text}')
     return response
 
 
 async def read_version(session: Session, entry: processes.Process) -> int:
     """Return the version of the configuration in force at an entry."""
     url = f'{entry.ready["operators"]}/v1/configuration'
-    version: int = (await session.read_json(url, TOKEN))['version']
+    version: int = (await session.read_json(url, OPERATOR_HEADERS))['version']
     return version
 
 
 async def wait_settled(session: Session, deployment: Deployment) -> None:
-    """Wait until every entry sees just the living ones and is ready."""
-    alive = {one.ready['incarnation'] for one in deployment.entries}
+    """Wait until every entry is ready and lists exactly the running entries.
+
+    Raises
+    ------
+    SettleTimeoutError
+        When this takes longer than ``SETTLE_TIMEOUT_S``.
+    """
+    running = {entry.ready['incarnation'] for entry in deployment.entries}
     end = time.monotonic() + SETTLE_TIMEOUT_S
     while time.monotonic() < end:
         settled = await asyncio.gather(
-            *(_is_settled(session, one, alive) for one in deployment.entries)
+            *(
+                _is_settled(session, entry, running)
+                for entry in deployment.entries
+            )
         )
         if all(settled):
             return
         await asyncio.sleep(SETTLE_POLL_S)
-    raise NotSettled(f'{len(alive)} entries did not settle')
+    raise SettleTimeoutError(
+        f'{len(running)} entries did not converge on one membership'
+    )
 
 
 async def _is_settled(
-    session: Session, entry: processes.Process, alive: set[str]
+    session: Session, entry: processes.Process, running: set[str]
 ) -> bool:
     url = f'{entry.ready["operators"]}/v1/status'
-    status = await session.read_json(url, TOKEN)
-    seen = {
-        one['incarnation']
-        for one in status['members']
-        if one['state'] == 'alive'
+    status = await session.read_json(url, OPERATOR_HEADERS)
+    listed = {
+        member['incarnation']
+        for member in status['members']
+        if member['state'] == 'alive'
     }
-    if seen != alive or status['stragglers']:
+    if listed != running or status['stragglers']:
         return False
     ready = await session.send('GET', f'{entry.ready["callers"]}/v1/ready')
     return ready.code == 200
 
 
 def make_key(random_source: random.Random, wall: int | None = None) -> str:
-    """Make an idempotency key, of now if no time is given."""
+    """Build an idempotency key.
+
+    Parameters
+    ----------
+    random_source : random.Random
+        Source of the random bits.
+    wall : int, optional
+        Wall-clock time in milliseconds; the current time by default.
+    """
     time_ms = clock.Clock().wall() if wall is None else wall
     return str(identifiers.make_uuid7(time_ms, random_source.getrandbits(74)))
--- a/tools/bench_goodput.py
+++ b/tools/bench_goodput.py
@@ -1,8 +1,8 @@
 """Measure model requests under load, with real entries and engines.
 
-Callers arrive at random, by a rate that does not follow the answers. A
-refused one goes away. The bound is what the engines can compute when every
-batch is full.
+Requests arrive at random in an open loop: the rate does not depend on the
+responses, and a refused request is not retried. The bound is the number of
+tokens that the engines compute when every batch is full.
 """
 
 from __future__ import annotations
@@ -40,59 +40,59 @@
 
 @attrs.define
 class Outcomes:
-    """What callers saw who came within the measured time.
+    """Outcomes of the requests that arrived in the measurement window.
 
     Attributes
     ----------
     first_token_ms : list of float
-        Wait for the first token, of whole answers.
-    whole, refused, failed : int
-        Answers with all their tokens, refusals, and the rest.
+        Time to the first token of each complete response.
+    complete, refused, failed : int
+        Responses with all tokens, refusals, and all other responses.
     tokens : int
-        Tokens of whole answers that ended within the measured time.
+        Tokens of complete responses that ended within the window.
     problems : list of str
-        What came instead, for a reader of failures.
+        Status and end of the body of each failed response.
     """
 
     first_token_ms: list[float] = attrs.field(factory=list)
-    whole: int = 0
+    complete: int = 0
     refused: int = 0
     failed: int = 0
     tokens: int = 0
     problems: list[str] = attrs.field(factory=list)
 
-    def sum_up(self) -> Figures:
+    def summarize(self) -> Figures:
         """Return shares and percentiles."""
-        waits = sorted(self.first_token_ms)
-        offered = max(1, self.whole + self.refused + self.failed)
+        times_ms = sorted(self.first_token_ms)
+        offered = max(1, self.complete + self.refused + self.failed)
         return {
             'throughput_to_bound': round(
                 self.tokens / (CAPACITY * DURATION_S), 3
             ),
-            'first_token_p50_ms': _read(waits, 50),
-            'first_token_p95_ms': _read(waits, 95),
+            'first_token_p50_ms': _compute_percentile(times_ms, 50),
+            'first_token_p95_ms': _compute_percentile(times_ms, 95),
             'refused': round(self.refused / offered, 3),
             'failed': self.failed,
-            'answers': self.whole,
+            'answers': self.complete,
             'problems': self.problems[:3],
         }
 
 
-def _read(ordered: list[float], percent: float) -> float | None:
+def _compute_percentile(ordered: list[float], percent: float) -> float | None:
     if not ordered:
         return None
-    return round(samples.read_percentile(ordered, percent), 1)
+    return round(samples.compute_percentile(ordered, percent), 1)
 
 
 class Callers:
-    """Callers of one load.
+    """Open-loop source of requests.
 
     Parameters
     ----------
     session : bench_deployment.Session
-        Client.
+        HTTP client.
     urls : tuple of str
-        Callers' addresses of the entries.
+        URLs of the entries for callers.
     """
 
     def __init__(
@@ -101,23 +101,33 @@
         self._session = session
         self._urls = urls
         self._random = random.Random(SEED)
-        self._asking: set[asyncio.Task[None]] = set()
+        self._tasks: set[asyncio.Task[None]] = set()
 
     async def arrive(self, load: float) -> Outcomes:
-        """Let callers arrive at a load until the measured time is over."""
+        """Send requests until the measurement window ends.
+
+        Parameters
+        ----------
+        load : float
+            Offered load as a multiple of the capacity.
+        """
         outcomes = Outcomes()
         rate = load * CAPACITY / TOKENS
-        began = time.monotonic() + WARM_UP_S
-        while time.monotonic() < began + DURATION_S:
+        window_start = time.monotonic() + WARM_UP_S
+        while time.monotonic() < window_start + DURATION_S:
             await asyncio.sleep(self._random.expovariate(rate))
-            task = asyncio.create_task(self._ask(outcomes, began))
-            self._asking.add(task)
-            task.add_done_callback(self._asking.discard)
-        if self._asking:
-            await asyncio.wait(self._asking)
+            task = asyncio.create_task(
+                self._send_request(outcomes, window_start)
+            )
+            self._tasks.add(task)
+            task.add_done_callback(self._tasks.discard)
+        if self._tasks:
+            await asyncio.wait(self._tasks)
         return outcomes
 
-    async def _ask(self, outcomes: Outcomes, began: float) -> None:
+    async def _send_request(
+        self, outcomes: Outcomes, window_start: float
+    ) -> None:
         url = self._random.choice(self._urls)
         prompt = str(self._random.getrandbits(64))
         body = json.dumps(
@@ -128,12 +138,12 @@
             }
         ).encode()
         sent_at = time.monotonic()
-        first_at: list[float] = []
+        first_token_at: list[float] = []
         chunks: list[bytes] = []
 
-        def take(chunk: bytes) -> None:
-            if not first_at and FIRST_EVENT in chunk:
-                first_at.append(time.monotonic())
+        def store_chunk(chunk: bytes) -> None:
+            if not first_token_at and FIRST_EVENT in chunk:
+                first_token_at.append(time.monotonic())
             chunks.append(chunk)
 
         response = await self._session.send(
@@ -141,24 +151,26 @@
             url + bench_deployment.GENERATE_PATH,
             body,
             {'Content-Type': 'application/json'},
-            take,
+            store_chunk,
             TIMEOUT_MS / 1000 + 1,
         )
         now = time.monotonic()
-        text = b''.join(chunks)
-        is_whole = response.code == 200 and b'event: end' in text
-        if is_whole and began <= now < began + DURATION_S:
+        content = b''.join(chunks)
+        is_complete = response.code == 200 and b'event: end' in content
+        if is_complete and window_start <= now < window_start + DURATION_S:
             outcomes.tokens += TOKENS
-        if sent_at < began:
+        if sent_at < window_start:
             return
-        if is_whole:
-            outcomes.whole += 1
-            outcomes.first_token_ms.append((first_at[0] - sent_at) * 1000)
+        if is_complete:
+            outcomes.complete += 1
+            outcomes.first_token_ms.append(
+                (first_token_at[0] - sent_at) * 1000
+            )
         elif response.code in (429, 503):
             outcomes.refused += 1
         else:
             outcomes.failed += 1
-            outcomes.problems.append(f'{response.code} {text[-200:]!r}')
+            outcomes.problems.append(f'{response.code} {content[-200:]!r}')
 
 
 async def _measure(scope: processes.Processes) -> Figures:
@@ -171,25 +183,26 @@
             session, deployment.entries[0], deployment.documents, 0
         )
         await bench_deployment.wait_settled(session, deployment)
-        urls = tuple(one.ready['callers'] for one in deployment.entries)
+        urls = tuple(entry.ready['callers'] for entry in deployment.entries)
         callers = Callers(session, urls)
         return {
-            str(load): (await callers.arrive(load)).sum_up() for load in LOADS
+            str(load): (await callers.arrive(load)).summarize()
+            for load in LOADS
         }
     finally:
         session.close()
 
 
 def measure_goodput() -> Figures:
-    """Measure answers under load.
+    """Measure responses under load.
 
     Returns
     -------
     dict
-        By load over capacity: ``throughput_to_bound`` (tokens of whole
-        answers over what the engines can compute), waits for the first
-        token in milliseconds, the share of callers that were refused, and
-        how many failed otherwise.
+        By load as a multiple of the capacity: ``throughput_to_bound`` (tokens
+        of complete responses divided by the tokens that the engines can
+        compute), times to the first token in milliseconds, the share of
+        refused requests, and the number of failed ones.
     """
     with processes.open_processes() as scope:
         return asyncio.run(_measure(scope))
--- a/tools/bench_latency.py
+++ b/tools/bench_latency.py
@@ -1,4 +1,4 @@
-"""Measures the latency that an entry adds to a plain call."""
+"""Measure the latency that an entry adds to a plain call."""
 
 from __future__ import annotations
 
@@ -15,24 +15,31 @@
 from tools import processes
 from tools import requester
 
-WARM_UP = 100
+WARM_UP_CALLS = 100
 CALLS = 1_000
 MAX_US = 10_000_000
-DIGITS = 3
+SIGNIFICANT_DIGITS = 3
 SERVICE = 'status'
 WORKSPACE = 'bench'
 
 
 @attrs.frozen
-class Sides:
-    """Histograms of calls through the entry and straight to the target."""
+class Latencies:
+    """Latency histograms of calls through the entry and direct calls.
+
+    Attributes
+    ----------
+    through, direct : HdrHistogram
+        Microseconds of calls through the entry, and of calls sent directly
+        to the target.
+    """
 
     through: histogram.HdrHistogram
     direct: histogram.HdrHistogram
 
 
-def make_documents(url: str) -> list[dict[str, typing.Any]]:
-    """Make the documents of one workspace with one service."""
+def build_documents(url: str) -> list[dict[str, typing.Any]]:
+    """Build the documents of one workspace with one service."""
     return [
         {'kind': 'workspace', 'name': WORKSPACE},
         {
@@ -56,42 +63,48 @@
 def publish_documents(
     entry: processes.Process, documents: list[dict[str, typing.Any]]
 ) -> requester.Answer:
-    """Publish documents through the operators' interface of an entry."""
+    """Publish documents through the operators' interface of an entry.
+
+    Raises
+    ------
+    RuntimeError
+        When the publication is not accepted.
+    """
     body = {
         'id': f'publication-{time.time_ns()}',
         'author': 'measurement',
         'base_version': 0,
         'documents': documents,
     }
-    answer = requester.send(
+    response = requester.send(
         'POST',
         f'{entry.ready["operators"]}/v1/publications',
         json.dumps(body).encode(),
         {'Authorization': f'Bearer {processes.OPERATOR_TOKEN}'},
     )
-    if answer.status != 200:
-        raise RuntimeError(f'not published: {answer.body.decode()}')
-    return answer
+    if response.status != 200:
+        raise RuntimeError(f'publication failed: {response.body.decode()}')
+    return response
 
 
 def measure_latency() -> dict[str, float]:
-    """Measure calls through one entry against direct ones.
+    """Compare calls through one entry with direct calls.
 
-    Both kinds alternate in one run over kept connections on loopback.
+    Both kinds alternate in one run over persistent connections on loopback.
 
     Returns
     -------
     dict of str to float
         ``p50`` and ``p99`` of the added latency in milliseconds: the
-        difference between the percentiles of both sides.
+        difference between the percentiles of both histograms.
     """
     with processes.open_processes() as scope:
         service = scope.start('status-1', 'standins.service')
         entry = scope.start_entry('bench-1')
-        publish_documents(entry, make_documents(service.ready['url']))
+        publish_documents(entry, build_documents(service.ready['url']))
         path = f'/v1/workspaces/{WORKSPACE}/services/{SERVICE}/read'
-        sides = asyncio.run(
-            _alternate(
+        latencies = asyncio.run(
+            _measure_alternately(
                 entry.ready['callers'] + path,
                 f'{service.ready["url"]}/v1/operations/read',
             )
@@ -99,8 +112,8 @@
     return {
         f'p{percentile}': round(
             (
-                sides.through.get_value_at_percentile(percentile)
-                - sides.direct.get_value_at_percentile(percentile)
+                latencies.through.get_value_at_percentile(percentile)
+                - latencies.direct.get_value_at_percentile(percentile)
             )
             / 1000,
             3,
@@ -109,24 +122,24 @@
     }
 
 
-async def _alternate(through_url: str, direct_url: str) -> Sides:
-    """Send calls by turns to both sides and time them."""
+async def _measure_alternately(through_url: str, direct_url: str) -> Latencies:
+    """Send calls alternately to both URLs and record their latency."""
     client = curl_httpclient.CurlAsyncHTTPClient(force_instance=True)
-    sides = Sides(
-        histogram.HdrHistogram(1, MAX_US, DIGITS),
-        histogram.HdrHistogram(1, MAX_US, DIGITS),
+    latencies = Latencies(
+        histogram.HdrHistogram(1, MAX_US, SIGNIFICANT_DIGITS),
+        histogram.HdrHistogram(1, MAX_US, SIGNIFICANT_DIGITS),
     )
-    for number in range(WARM_UP + CALLS):
-        for url, side in (
-            (through_url, sides.through),
-            (direct_url, sides.direct),
+    for number in range(WARM_UP_CALLS + CALLS):
+        for url, latency in (
+            (through_url, latencies.through),
+            (direct_url, latencies.direct),
         ):
             started = time.perf_counter_ns()
             await client.fetch(
                 httpclient.HTTPRequest(url, method='POST', body=b'{}')
             )
             microseconds = (time.perf_counter_ns() - started) // 1000
-            if number >= WARM_UP:
-                side.record_value(microseconds)
+            if number >= WARM_UP_CALLS:
+                latency.record_value(microseconds)
     client.close()
-    return sides
+    return latencies
--- a/tools/bench_load.py
+++ b/tools/bench_load.py
@@ -1,7 +1,7 @@
-"""Measure the decisions under load by a small discrete-event driver.
+"""Measure decisions under load in a discrete-event simulation.
 
-It drives admission's adaptive bound and the retry budget as the daemon
-does, in simulated time, with seeds that it prints. It opens no socket.
+It drives admission's adaptive limit and the retry budget as the daemon does,
+in simulated time and without sockets. The output has the seeds.
 """
 
 from __future__ import annotations
@@ -30,9 +30,12 @@
     from collections.abc import Callable
 
 LOADS = (0.5, 1.0, 1.5, 2.0, 3.0)
-ONE_KIND = (1.0,)
+UNIFORM_KINDS = (1.0,)
 MIXED_KINDS = (0.25, 0.5, 1.25, 2.0)
-"""Service times of one group's operations over `SERVICE_MS`; mean 1."""
+"""Service times of one group's operations as multiples of `SERVICE_MS`.
+
+Their mean is 1.
+"""
 
 SEEDS = (1, 2, 3)
 
@@ -47,7 +50,7 @@
 ADMISSIONS = 200_000
 RETRY_RATE_PER_S = 200
 RETRY_HEALTHY_MS = 10_000
-RETRY_DEAD_MS = 10_000
+RETRY_DOWN_MS = 10_000
 
 _MS_PER_S = 1000.0
 _INCARNATION = 'entry-100-019adf00-0000-7000-8000-000000000000'
@@ -55,7 +58,7 @@
 
 @attrs.frozen
 class _Job:
-    """A request at the entry that took it, and what it costs a server."""
+    """A request with its entry, its operation and its service time."""
 
     entry: int
     kind: str
@@ -64,21 +67,21 @@
 
 
 @attrs.define
-class _Load:
-    """Targets with one queue, fed by entries that decide alone."""
+class _Simulation:
+    """Servers with one queue and entries that admit independently."""
 
     random: random.Random
     rate: float
     limited: bool
-    kinds: tuple[float, ...] = ONE_KIND
+    kinds: tuple[float, ...] = UNIFORM_KINDS
     reported: bool = True
     now: int = 0
-    good: float = 0.0
+    completed_in_time: float = 0.0
     waits: list[int] = attrs.field(factory=list)
     refused: int = 0
     offered: int = 0
     busy: int = 0
-    order: int = 0
+    event_number: int = 0
     queue: list[_Job] = attrs.field(factory=list)
     events: list[tuple[int, int, Callable[[], None]]] = attrs.field(
         factory=list
@@ -88,44 +91,44 @@
     )
 
     def run(self) -> None:
-        self.plan(0, self.arrive)
+        self.schedule(0, self.arrive)
         if self.reported:
-            self.plan(0, self.report)
+            self.schedule(0, self.report)
         while self.events:
             self.now, _, action = heapq.heappop(self.events)
             if self.now > DURATION_MS:
                 return
             action()
 
-    def plan(self, delay: float, action: Callable[[], None]) -> None:
-        self.order += 1
-        event = (self.now + round(delay), self.order, action)
+    def schedule(self, delay: float, action: Callable[[], None]) -> None:
+        self.event_number += 1
+        event = (self.now + round(delay), self.event_number, action)
         heapq.heappush(self.events, event)
 
     def arrive(self) -> None:
-        self.plan(self.random.expovariate(self.rate), self.arrive)
+        self.schedule(self.random.expovariate(self.rate), self.arrive)
         index = self.random.randrange(ENTRIES)
-        counted = self.now >= WARM_UP_MS
-        self.offered += counted
+        is_measured = self.now >= WARM_UP_MS
+        self.offered += is_measured
         kind = self.random.randrange(len(self.kinds))
         job = _Job(index, str(kind), self.kinds[kind] * SERVICE_MS, self.now)
         if self.limited and self.refuse(job):
-            self.refused += counted
+            self.refused += is_measured
             return
         self.queue.append(job)
         self.serve()
 
     def report(self) -> None:
-        self.plan(REPORT_MS, self.report)
+        self.schedule(REPORT_MS, self.report)
         capacity = limit_messages.Capacity(SERVERS, len(self.queue))
         for entry in self.entries:
             entry.hear_capacity(capacity, ENTRIES, self.now)
 
     def refuse(self, job: _Job) -> bool:
-        asked = limit_messages.Asked(
+        request = limit_messages.Asked(
             'group', job.kind, 0, self.now + DEADLINE_MS
         )
-        answer = self.entries[job.entry].admit(asked, self.now)
+        answer = self.entries[job.entry].admit(request, self.now)
         return isinstance(answer, limit_messages.Refused)
 
     def serve(self) -> None:
@@ -133,7 +136,7 @@
             return
         job = self.queue.pop(0)
         self.busy += 1
-        self.plan(
+        self.schedule(
             self.random.uniform(0.5, 1.5) * job.service_ms,
             lambda: self.finish(job),
         )
@@ -142,9 +145,11 @@
         self.busy -= 1
         waited = self.now - job.started
         in_time = waited <= DEADLINE_MS
-        counted = self.now >= WARM_UP_MS
-        self.good += (in_time and counted) * job.service_ms / SERVICE_MS
-        if counted:
+        is_measured = self.now >= WARM_UP_MS
+        self.completed_in_time += (
+            (in_time and is_measured) * job.service_ms / SERVICE_MS
+        )
+        if is_measured:
             self.waits.append(waited)
         if self.limited:
             entry = self.entries[job.entry]
@@ -157,15 +162,15 @@
 
 
 @attrs.frozen
-class Served:
-    """What became of a load.
+class LoadResult:
+    """Results of an offered load.
 
     Attributes
     ----------
     goodput : float
-        Answers in time as a share of capacity.
+        Responses within the deadline as a share of the capacity.
     wait_p50_ms, wait_p95_ms : float
-        Time of all answers, late ones included.
+        Percentiles of the time of all responses, including late ones.
     """
 
     goodput: float
@@ -177,59 +182,59 @@
     load: float,
     limited: bool,
     seed: int,
-    kinds: tuple[float, ...] = ONE_KIND,
+    kinds: tuple[float, ...] = UNIFORM_KINDS,
     reported: bool = True,
-) -> Served:
-    """Measure what becomes of an offered load.
+) -> LoadResult:
+    """Measure the results of an offered load.
 
     Parameters
     ----------
     load : float
-        Offered requests over capacity.
+        Offered requests as a multiple of the capacity.
     limited : bool
-        Whether admission bounds what is in flight.
+        Whether admission limits the requests in flight.
     seed : int
         Seed of arrivals and service times.
     kinds : tuple of float, optional
-        Service times of the operations asked for, over `SERVICE_MS`.
+        Service times of the operations as multiples of `SERVICE_MS`.
     reported : bool, optional
-        Whether the servers report their load, each `REPORT_MS`.
+        Whether the servers report their load every `REPORT_MS`.
     """
     capacity = SERVERS / SERVICE_MS
-    draws = random.Random(seed)
-    run = _Load(draws, load * capacity, limited, kinds, reported)
+    random_source = random.Random(seed)
+    run = _Simulation(random_source, load * capacity, limited, kinds, reported)
     run.run()
     waits = sorted(run.waits)
-    return Served(
-        run.good / (capacity * (DURATION_MS - WARM_UP_MS)),
+    return LoadResult(
+        run.completed_in_time / (capacity * (DURATION_MS - WARM_UP_MS)),
         waits[len(waits) // 2],
         waits[len(waits) * 95 // 100],
     )
 
 
 def measure_goodput(load: float, limited: bool, seed: int) -> float:
-    """Measure answers in time as a share of capacity."""
+    """Return the responses within the deadline as a share of capacity."""
     return measure_served(load, limited, seed).goodput
 
 
 def measure_attempts(budgeted: bool, seed: int) -> float:
-    """Measure attempts per request while a target group is dead.
+    """Measure attempts per request while a target group is down.
 
-    The group serves well first, then refuses every connection.
+    The group first serves every request, then refuses every connection.
 
     Parameters
     ----------
     budgeted : bool
-        Whether the retry budget holds.
+        Whether the retry budget is enforced.
     seed : int
         Seed of the backoff.
     """
-    draw = random.Random(seed).random
+    draw_random = random.Random(seed).random
     budget = budgets.build_budget(0)
     interval = round(_MS_PER_S / RETRY_RATE_PER_S)
     for now in range(0, RETRY_HEALTHY_MS, interval):
         budget.record_success(now)
-    end = RETRY_HEALTHY_MS + RETRY_DEAD_MS
+    end = RETRY_HEALTHY_MS + RETRY_DOWN_MS
     waiting = [(now, 1) for now in range(RETRY_HEALTHY_MS, end, interval)]
     requests = len(waiting)
     attempts = 0
@@ -241,7 +246,7 @@
         failure = retry_messages.Failure(
             retry_messages.Fate.NOT_RUN, True, number, now + DURATION_MS
         )
-        answer = decisions.decide(failure, budget, now, draw())
+        answer = decisions.decide(failure, budget, now, draw_random())
         if isinstance(answer, retry_messages.Retry):
             heapq.heappush(waiting, (now + answer.delay_ms, number + 1))
     return attempts / requests
@@ -250,8 +255,9 @@
 def measure_report_bytes() -> dict[str, int]:
     """Measure the encoded size of reports and grants.
 
-    A line's size is what a second line adds to a message. A message is the
-    whole frame of one line, as sent between two entries, without TCP and IP.
+    The size of a line is the difference between messages of two lines and
+    of one. The size of a message is that of its whole frame between two
+    entries, without TCP and IP headers.
     """
     amounts = limit_messages.Amounts(12.3456, 4567.891, 17.0)
     line = limit_messages.WorkspaceDemand(
@@ -280,7 +286,7 @@
 
 
 def _encode_frame(message: object, recipient: bytes = b'') -> int:
-    """Return the bytes of a message in its frame."""
+    """Return the size of the frame of a message in bytes."""
     kind, body = registry.Registry().encode(message)
     frame = frames.Frame(
         _INCARNATION, 'tcp://10.1.1.200:7400', kind, 1_000, recipient, body
@@ -289,21 +295,21 @@
 
 
 def measure_admission_us() -> float:
-    """Measure processor time of one admission and its end, microseconds.
+    """Measure the processor time of one admission and its release, in us.
 
     The entry is one of 350 and has limits for each of 1,000 workspaces;
-    reports are collected as often as the daemon does.
+    reports are collected as often as in the daemon.
     """
-    subject = limiter.WorkspaceLimiter(350)
+    workspace_limiter = limiter.WorkspaceLimiter(350)
     limits = documents.Limits(1000.0, 10**6, 1000)
     started = time.process_time()
     for number in range(ADMISSIONS):
         now = number // 2
         name = f'w{number % 1000}'
-        if subject.admit(name, limits, now) is None:
-            subject.finish(name, 1, now)
+        if workspace_limiter.admit(name, limits, now) is None:
+            workspace_limiter.finish(name, 1, now)
         if number % 400 == 0:
-            subject.collect(now, 6)
+            workspace_limiter.collect(now, 6)
     used = time.process_time() - started
     return round(used / ADMISSIONS * 1e6, 2)
 
@@ -319,10 +325,10 @@
 
 def _measure_loads(
     limited: bool = True,
-    kinds: tuple[float, ...] = ONE_KIND,
+    kinds: tuple[float, ...] = UNIFORM_KINDS,
     reported: bool = True,
 ) -> dict[str, float]:
-    """Return the mean goodput of the seeds at each load."""
+    """Return the mean goodput over the seeds at each load."""
 
     def measure(load: float, seed: int) -> float:
         return measure_served(load, limited, seed, kinds, reported).goodput
@@ -333,18 +339,18 @@
 
 
 def measure_load() -> dict[str, typing.Any]:
-    """Measure goodput under load, and attempts under a dead target group.
+    """Measure goodput under load, and attempts while a group is down.
 
     Returns
     -------
     dict
-        ``seeds``; ``goodput_at_load``: load to share of capacity answered
-        in time, with admission; ``wait_p95_ms_at_load``: their time;
-        ``goodput_unlimited_at_load``: without admission;
-        ``goodput_mixed_at_load``: operations of different times;
-        ``goodput_unreported_at_load``: servers that report no load;
-        ``attempts_per_request``: with and without the retry budget;
-        ``message_bytes``; ``admission_us``.
+        ``seeds``; ``goodput_at_load``: share of capacity answered within
+        the deadline by load, with admission; ``wait_p95_ms_at_load``: 95th
+        percentile of the response time; ``goodput_unlimited_at_load``:
+        without admission; ``goodput_mixed_at_load``: operations with
+        different service times; ``goodput_unreported_at_load``: servers that
+        report no load; ``attempts_per_request``: with and without the retry
+        budget; ``message_bytes``; ``admission_us``.
     """
     return {
         'seeds': list(SEEDS),
--- a/tools/bench_membership.py
+++ b/tools/bench_membership.py
@@ -1,9 +1,9 @@
-"""Cost and speed of gossip at several sizes of the fleet.
+"""Measure the cost and speed of gossip at several sizes of the fleet.
 
-The pure machines run in one process over a network made of a heap, with
+The membership machines run in one process over a simulated network, with
 every message encoded and decoded as between entries. Time is simulated;
-processor time is measured. The cost of the sockets is not part of it;
-``measure_sockets`` gives it for each message.
+processor time is measured. It excludes the cost of the sockets, which
+``measure_sockets`` measures for each message.
 """
 
 from __future__ import annotations
@@ -37,16 +37,31 @@
 POLL_MS = 500
 SETTLE_MS = 5_000
 IDLE_MS = 20_000
-VICTIMS = 5
+CHANGED_NODES = 5
 VERSIONS = 5
-LIMIT_MS = 60_000
+TIMEOUT_MS = 60_000
 FIRST_IP_NUMBER = int(ipaddress.ip_address('10.1.0.1'))
 SEED = 20260
 
 
 @attrs.define
 class Node:
-    """A machine with its counts."""
+    """A membership machine with its traffic counts.
+
+    Attributes
+    ----------
+    machine : machine.Machine
+        The state machine of the entry.
+    address : str
+        Peer address.
+    is_up : bool
+        False after the node was killed.
+    bytes, sent : int
+        Bytes and messages that it sent.
+    applied_at : dict of int to int
+        Time at which each configuration version was applied, in
+        milliseconds.
+    """
 
     machine: machine.Machine
     address: str
@@ -57,7 +72,17 @@
 
 
 class Fleet:
-    """Machines and the messages on their way."""
+    """Nodes and the queue of their events.
+
+    Parameters
+    ----------
+    size : int
+        Number of nodes to start.
+    settings : settings_module.Settings, optional
+        Settings of the machines.
+    loss : float, optional
+        Probability that a message is lost.
+    """
 
     def __init__(
         self,
@@ -81,7 +106,7 @@
             self.start()
 
     def start(self) -> Node:
-        """Add a node that knows three others."""
+        """Add a node that has three others as its seeds."""
         number = next(self._numbers)
         ip_number = ipaddress.ip_address(FIRST_IP_NUMBER + number)
         address = f'tcp://{ip_number}:7400'
@@ -95,19 +120,23 @@
             address,
             f'http://{ip_number}:8400',
         )
-        made = machine.Machine(
+        new_machine = machine.Machine(
             identity, self.now, self._random, self._settings
         )
-        known = [n.address for n in self.nodes.values() if n.is_up]
-        made.set_seeds(self._random.sample(known, min(3, len(known))))
-        node = Node(made, address)
+        addresses = [
+            node.address for node in self.nodes.values() if node.is_up
+        ]
+        new_machine.set_seeds(
+            self._random.sample(addresses, min(3, len(addresses)))
+        )
+        node = Node(new_machine, address)
         self.nodes[address] = node
         offset = self._random.randrange(TICK_MS)
         self._schedule(offset, address, 'tick', None)
         return node
 
-    def introduce(self) -> None:
-        """Have all nodes know all others, with nothing left to spread."""
+    def exchange_all_records(self) -> None:
+        """Give every node the records of all others without pending gossip."""
         for member in self.nodes.values():
             updates = tuple(
                 records.describe(other.machine.own, with_identity=True)
@@ -120,26 +149,26 @@
             member.machine.receive('', reply, self.now)
 
     def run(self, milliseconds: int) -> None:
-        """Let simulated time pass."""
+        """Run the events of a span of simulated time."""
         end = self.now + milliseconds
         while self._heap and self._heap[0][0] <= end:
-            self.now, _, address, what, data = heapq.heappop(self._heap)
-            self._step(self.nodes[address], what, data)
+            self.now, _, address, event, data = heapq.heappop(self._heap)
+            self._step(self.nodes[address], event, data)
         self.now = end
 
     def apply(self, node: Node, version: int) -> None:
-        """Put a configuration version in force at one node."""
+        """Apply a configuration version at one node."""
         if version <= node.machine.own.version:
             return
         node.applied_at[version] = self.now
-        self._carry_out(node, node.machine.set_version(version))
+        self._execute(node, node.machine.set_version(version))
 
     def poll(self, node: Node, version: int) -> None:
-        """Have a node ask members that seem to be behind."""
+        """Poll the members whose known version is older from a node."""
         commands = node.machine.poll_versions(version, self.now)
-        self._carry_out(node, commands)
+        self._execute(node, commands)
 
-    def _step(self, node: Node, what: str, data: bytes | int | None) -> None:
+    def _step(self, node: Node, event: str, data: bytes | int | None) -> None:
         if not node.is_up:
             return
         begin = time.process_time()
@@ -147,16 +176,16 @@
             frame = frames.decode(data)
             message = self._registry.decode(frame.kind, frame.body)
             commands = node.machine.receive(frame.sender, message, self.now)
-            self._carry_out(node, commands)
+            self._execute(node, commands)
         elif isinstance(data, int):
             self.apply(node, data)
         else:
-            self._carry_out(node, node.machine.tick(self.now))
+            self._execute(node, node.machine.tick(self.now))
         self.cpu_s += time.process_time() - begin
-        if what == 'tick':
+        if event == 'tick':
             self._schedule(TICK_MS, node.address, 'tick', None)
 
-    def _carry_out(
+    def _execute(
         self, node: Node, commands: typing.Iterable[messages.Command]
     ) -> None:
         for command in commands:
@@ -181,13 +210,13 @@
             self._schedule(delay, command.address, 'message', data)
 
     def _schedule(
-        self, delay: int, address: str, what: str, data: bytes | int | None
+        self, delay: int, address: str, event: str, data: bytes | int | None
     ) -> None:
-        item = (self.now + delay, next(self._numbers), address, what, data)
+        item = (self.now + delay, next(self._numbers), address, event, data)
         heapq.heappush(self._heap, item)
 
 
-def _list_up(fleet: Fleet) -> list[Node]:
+def _list_running(fleet: Fleet) -> list[Node]:
     return [node for node in fleet.nodes.values() if node.is_up]
 
 
@@ -196,11 +225,11 @@
 
 
 def _measure_start(fleet: Fleet) -> dict[str, float]:
-    """Start all nodes at once and wait until all know all."""
-    nodes = _list_up(fleet)
-    while fleet.now < LIMIT_MS:
+    """Start all nodes at once and wait until each lists all others."""
+    nodes = _list_running(fleet)
+    while fleet.now < TIMEOUT_MS:
         fleet.run(TICK_MS)
-        sizes = [len(n.machine.view.list_live()) for n in nodes]
+        sizes = [len(node.machine.view.list_live()) for node in nodes]
         if min(sizes) == len(nodes):
             break
     return {
@@ -210,7 +239,7 @@
 
 
 def _measure_idle(fleet: Fleet) -> dict[str, float]:
-    nodes = _list_up(fleet)
+    nodes = _list_running(fleet)
     bytes_before = sum(node.bytes for node in nodes)
     sent_before = sum(node.sent for node in nodes)
     cpu_before = fleet.cpu_s
@@ -230,60 +259,64 @@
 def _measure_versions(
     fleet: Fleet, first: int, is_polled: bool
 ) -> dict[str, float]:
-    """Publish some versions, each at another node."""
+    """Publish some versions, each at a different node."""
     reached: list[float] = []
-    known: list[float] = []
+    confirmed: list[float] = []
     bytes_before = _count_bytes(fleet)
     idle_ms = 0
     for version in range(first, first + VERSIONS):
-        origin = _list_up(fleet)[version % 9]
+        origin = _list_running(fleet)[version % 9]
         start = fleet.now
         fleet.apply(origin, version)
-        while fleet.now < start + LIMIT_MS:
+        while fleet.now < start + TIMEOUT_MS:
             fleet.run(TICK_MS // 2)
             if is_polled and (fleet.now - start) % POLL_MS == 0:
                 fleet.poll(origin, version)
             view = origin.machine.view
-            if all(r.version >= version for r in view if r.is_live):
+            if all(
+                record.version >= version for record in view if record.is_live
+            ):
                 break
-        known.append(fleet.now - start)
-        times = [node.applied_at[version] for node in _list_up(fleet)]
+        confirmed.append(fleet.now - start)
+        times = [node.applied_at[version] for node in _list_running(fleet)]
         reached.append(max(times) - start)
         fleet.run(5000)
         idle_ms += fleet.now - start
-    spent = _count_bytes(fleet) - bytes_before
+    sent_bytes = _count_bytes(fleet) - bytes_before
     name = 'polled_version' if is_polled else 'version'
     return {
         f'{name}_to_all_ms_max': max(reached),
-        f'{name}_known_at_origin_ms_max': max(known),
-        f'{name}_bytes_per_node': spent / len(_list_up(fleet)) / VERSIONS,
+        f'{name}_known_at_origin_ms_max': max(confirmed),
+        f'{name}_bytes_per_node': sent_bytes
+        / len(_list_running(fleet))
+        / VERSIONS,
         f'{name}_window_ms': idle_ms / VERSIONS,
     }
 
 
 def _measure_deaths(fleet: Fleet) -> dict[str, float]:
-    """Kill some nodes and note when each other one lists them as dead."""
+    """Kill some nodes and measure when each other node detects it."""
     delays: list[int] = []
     before = _count_bytes(fleet)
     start = fleet.now
-    for _ in range(VICTIMS):
-        victim = _list_up(fleet)[-1]
+    for _ in range(CHANGED_NODES):
+        victim = _list_running(fleet)[-1]
         victim.is_up = False
         name = victim.machine.own.incarnation
-        died = fleet.now
-        waiting = _list_up(fleet)
-        while waiting and fleet.now < died + LIMIT_MS:
+        killed_at = fleet.now
+        waiting = _list_running(fleet)
+        while waiting and fleet.now < killed_at + TIMEOUT_MS:
             fleet.run(TICK_MS)
-            gone = [n for n in waiting if not _is_live(n, name)]
-            delays.extend(fleet.now - died for _ in gone)
-            waiting = [n for n in waiting if _is_live(n, name)]
-    spent = _count_bytes(fleet) - before
+            detected = [node for node in waiting if not _is_live(node, name)]
+            delays.extend(fleet.now - killed_at for _ in detected)
+            waiting = [node for node in waiting if _is_live(node, name)]
+    sent_bytes = _count_bytes(fleet) - before
     seconds = (fleet.now - start) / 1000
-    cuts = statistics.quantiles(delays, n=100)
+    percentiles = statistics.quantiles(delays, n=100)
     return {
-        'detection_ms_p50': cuts[49],
-        'detection_ms_p99': cuts[98],
-        'deaths_bytes_per_s': spent / len(_list_up(fleet)) / seconds,
+        'detection_ms_p50': percentiles[49],
+        'detection_ms_p99': percentiles[98],
+        'deaths_bytes_per_s': sent_bytes / len(_list_running(fleet)) / seconds,
     }
 
 
@@ -293,39 +326,39 @@
 
 
 def _measure_joins(fleet: Fleet) -> dict[str, float]:
-    """Start some nodes one after another."""
+    """Start some nodes in sequence and measure when the others list them."""
     delays: list[int] = []
     before = _count_bytes(fleet)
     start = fleet.now
-    for _ in range(VICTIMS):
-        others = _list_up(fleet)
+    for _ in range(CHANGED_NODES):
+        others = _list_running(fleet)
         joined = fleet.start()
         name = joined.machine.own.incarnation
         begin = fleet.now
-        while others and fleet.now < begin + LIMIT_MS:
+        while others and fleet.now < begin + TIMEOUT_MS:
             fleet.run(TICK_MS)
             delays.extend(
-                fleet.now - begin for n in others if _is_live(n, name)
+                fleet.now - begin for node in others if _is_live(node, name)
             )
-            others = [n for n in others if not _is_live(n, name)]
+            others = [node for node in others if not _is_live(node, name)]
         fleet.run(3000)
-    spent = _count_bytes(fleet) - before
+    sent_bytes = _count_bytes(fleet) - before
     seconds = (fleet.now - start) / 1000
     return {
         'join_to_all_ms_max': max(delays),
-        'joins_bytes_per_s': spent / len(_list_up(fleet)) / seconds,
+        'joins_bytes_per_s': sent_bytes / len(_list_running(fleet)) / seconds,
         'joins_window_s': seconds,
     }
 
 
-def _introduce(
+def _build_settled_fleet(
     size: int,
     settings: settings_module.Settings | None = None,
     loss: float = 0.0,
 ) -> Fleet:
-    """Make a fleet whose members know each other, at rest."""
+    """Build a fleet whose members list each other, and let it settle."""
     fleet = Fleet(size, settings, loss)
-    fleet.introduce()
+    fleet.exchange_all_records()
     fleet.run(SETTLE_MS)
     return fleet
 
@@ -340,13 +373,13 @@
     Returns
     -------
     dict of str to float
-        Bytes and messages are those sent by one node; the envelope is part
-        of them, TCP and IP are not. Times are in milliseconds.
+        Bytes and messages are those sent by one node, with the envelope and
+        without TCP and IP headers. Times are in milliseconds.
     """
     figures = _measure_start(Fleet(size, settings, loss))
-    fleet = _introduce(size, settings, loss)
+    fleet = _build_settled_fleet(size, settings, loss)
     figures |= _measure_idle(fleet)
-    counters = [n.machine.own.counter for n in _list_up(fleet)]
+    counters = [each.machine.own.counter for each in _list_running(fleet)]
     figures['refutations'] = sum(counters)
     figures |= _measure_versions(fleet, 1, is_polled=False)
     figures |= _measure_versions(fleet, 1 + VERSIONS, is_polled=True)
@@ -356,7 +389,7 @@
 
 
 async def _exchange(count: int) -> dict[str, float]:
-    """Send messages of the usual size one at a time over loopback."""
+    """Send messages of the typical size one at a time over loopback."""
     sender, receiver = [
         node.PeerNode(
             clock.Clock(),
@@ -368,10 +401,10 @@
     ]
     arrived = asyncio.Event()
 
-    async def note(_: str, message: messages.Ack) -> None:
+    async def record_arrival(_: str, message: messages.Ack) -> None:
         arrived.set()
 
-    receiver.handle(messages.Ack, note)
+    receiver.handle(messages.Ack, record_arrival)
     address = await receiver.start()
     await sender.start()
     ack = messages.Ack(1, messages.Gossip(0, 1, messages.Applied(1, 1, b'')))
@@ -379,11 +412,11 @@
     for _ in range(count):
         arrived.clear()
         sender.tell(address, ack)
-        await asyncio.wait_for(arrived.wait(), LIMIT_MS / 1000)
-    spent = time.process_time() - begin
+        await asyncio.wait_for(arrived.wait(), TIMEOUT_MS / 1000)
+    cpu_s = time.process_time() - begin
     await sender.stop()
     await receiver.stop()
-    return {'cpu_us_per_message_both_ends': round(spent / count * 1e6, 1)}
+    return {'cpu_us_per_message_both_ends': round(cpu_s / count * 1e6, 1)}
 
 
 def measure_sockets(count: int = 5000) -> dict[str, float]:
@@ -392,21 +425,21 @@
     Returns
     -------
     dict of str to float
-        Microseconds, sending and receiving end together.
+        Microseconds of the sender and the receiver together.
     """
     return asyncio.run(_exchange(count))
 
 
-def measure_rest(size: int) -> dict[str, float]:
-    """Measure a fleet of one size at rest, after its start has settled.
+def measure_idle(size: int) -> dict[str, float]:
+    """Measure an idle fleet of one size after its start has settled.
 
     Returns
     -------
     dict of str to float
-        A part of :func:`measure_size`, in a fraction of its time.
+        A subset of :func:`measure_size` that takes a fraction of its time.
     """
     figures = _measure_start(Fleet(size))
-    figures |= _measure_idle(_introduce(size))
+    figures |= _measure_idle(_build_settled_fleet(size))
     return {name: round(value, 3) for name, value in figures.items()}
 
 
--- a/tools/bench_pace.py
+++ b/tools/bench_pace.py
@@ -1,9 +1,9 @@
-"""Measures one entry at the pace of the design size.
+"""Measure one entry at the token rate of the design size.
 
-Real processes on loopback: one entry, engines that give each stream a token
-each 49 ms, and callers. The same streams are then read straight from the
-engines. The models are those of the design size, since admission bounds the
-requests in flight for each model.
+Real processes on loopback: one entry, engines that send a token of each
+stream every 49 ms, and callers. The same streams are then read directly from
+the engines. The number of models is that of the design size, since admission
+limits the requests in flight for each model.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
     from collections.abc import Callable
 
 STREAMS = 186
-PACE_MS = 49
+TOKEN_INTERVAL_MS = 49
 FIRST_TOKEN_MS = 840
 MODELS = 12
 ENGINES = 4
@@ -37,24 +37,24 @@
 RAMP_S = 3.0
 WINDOW_S = 6.0
 MARGIN_S = 0.5
-TOKENS = int((RAMP_S + WINDOW_S + 2 * MARGIN_S) * 1000 / PACE_MS)
+TOKENS = int((RAMP_S + WINDOW_S + 2 * MARGIN_S) * 1000 / TOKEN_INTERVAL_MS)
 PERCENTILES = (50, 95, 99)
 
 Figures = dict[str, typing.Any]
 
 
 @attrs.frozen
-class Answer:
-    """When the tokens of one stream came.
+class StreamTimes:
+    """Times of one stream.
 
     Attributes
     ----------
     started : float
-        Seconds of the monotonic clock at which it was sent.
+        Time of the request, in seconds of the monotonic clock.
     tokens : list of float
-        The same for each token.
+        Arrival time of each token, in seconds of the same clock.
     refusals : int
-        How often it was refused before it was taken.
+        Number of refusals before the request was accepted.
     """
 
     started: float
@@ -64,92 +64,96 @@
 
 @attrs.frozen
 class Window:
-    """The part of a run in which all streams are open.
+    """The measurement window, in which all streams are open.
 
     Attributes
     ----------
     begin, end : float
         Seconds of the monotonic clock.
     cpu_s : dict of str to float
-        Processor time that each process spent in it.
+        Processor time of each process in the window, in seconds.
     """
 
     begin: float
     end: float
     cpu_s: dict[str, float]
 
-    def read_percent(self, name: str) -> float:
+    def compute_cpu_percent(self, name: str) -> float:
         """Return the processor time of a process in percent of a core."""
         return round(self.cpu_s[name] / (self.end - self.begin) * 100, 1)
 
 
-def read_entry_answer(stream: pace_caller.Stream) -> Answer:
-    """Check an answer of the entry and time its tokens.
+def parse_entry_stream(stream: pace_caller.Stream) -> StreamTimes:
+    """Validate a response of the entry and return its token times.
 
     Raises
     ------
     ConnectionError
-        A token is missing or the end does not count them all.
+        When a token is missing or the count at the end differs.
     """
     *events, end = requester.read_events(stream.body.encode())
     tokens: list[float] = []
     for (name, data), arrival in zip(events, stream.arrivals, strict=False):
         if name != 'tokens' or data['first_index'] != len(tokens):
-            raise ConnectionError(f'not the next tokens: {name} {data}')
+            raise ConnectionError(
+                f'unexpected event, expected the next tokens: {name} {data}'
+            )
         tokens += [arrival] * len(data['texts'])
     if end != ('end', {'count': len(tokens)}) or len(tokens) != TOKENS:
         raise ConnectionError(f'{len(tokens)} tokens, then {end}')
-    return Answer(stream.started, tokens, stream.refusals)
+    return StreamTimes(stream.started, tokens, stream.refusals)
 
 
-def read_engine_answer(stream: pace_caller.Stream) -> Answer:
-    """Check an answer of an engine and time its tokens.
+def parse_engine_stream(stream: pace_caller.Stream) -> StreamTimes:
+    """Validate a response of an engine and return its token times.
 
     Raises
     ------
     ConnectionError
-        A token is missing or the end does not count them all.
+        When a token is missing or the count at the end differs.
     """
     *frames, end = map(json.loads, stream.body.splitlines())
     indexes = [frame['index'] for frame in frames]
     if indexes != list(range(TOKENS)) or end['end'] != TOKENS:
         raise ConnectionError(f'{len(frames)} tokens, then {end}')
-    return Answer(stream.started, stream.arrivals[:-1], stream.refusals)
-
-
-def sum_up(answers: list[Answer], window: Window) -> Figures:
-    """Return the rate in the window and the times at the callers, in ms."""
-    gaps: list[float] = []
-    firsts: list[float] = []
-    count = 0
-    for answer in answers:
-        tokens = answer.tokens
-        firsts.append((tokens[0] - answer.started) * 1000)
-        gaps += [
+    return StreamTimes(stream.started, stream.arrivals[:-1], stream.refusals)
+
+
+def summarize(stream_times: list[StreamTimes], window: Window) -> Figures:
+    """Return the token rate in the window and the caller times in ms."""
+    token_intervals: list[float] = []
+    first_token_times: list[float] = []
+    tokens_in_window = 0
+    for times in stream_times:
+        tokens = times.tokens
+        first_token_times.append((tokens[0] - times.started) * 1000)
+        token_intervals += [
             (after - before) * 1000
             for before, after in itertools.pairwise(tokens)
         ]
-        count += sum(window.begin <= token < window.end for token in tokens)
+        tokens_in_window += sum(
+            window.begin <= token < window.end for token in tokens
+        )
     return {
-        'tokens_per_s': round(count / (window.end - window.begin)),
-        'first_token_ms': _list_percentiles(firsts),
-        'between_tokens_ms': _list_percentiles(gaps),
-        'refusals': sum(answer.refusals for answer in answers),
+        'tokens_per_s': round(tokens_in_window / (window.end - window.begin)),
+        'first_token_ms': _compute_percentiles(first_token_times),
+        'between_tokens_ms': _compute_percentiles(token_intervals),
+        'refusals': sum(times.refusals for times in stream_times),
     }
 
 
-def _list_percentiles(values: list[float]) -> dict[str, float]:
+def _compute_percentiles(values: list[float]) -> dict[str, float]:
     ordered = sorted(values)
     return {
-        f'p{percent}': round(samples.read_percentile(ordered, percent), 2)
+        f'p{percent}': round(samples.compute_percentile(ordered, percent), 2)
         for percent in PERCENTILES
     }
 
 
-def _make_documents(
+def _build_documents(
     engines: list[processes.Process],
 ) -> list[bench_deployment.Document]:
-    """Make the documents of one workspace and the models on all engines."""
+    """Build the documents of one workspace with all models on all engines."""
     names = [f'text-{number}' for number in range(MODELS)]
     layers = {'first_layer': 0, 'end_layer': bench_deployment.LAYERS}
     return [
@@ -159,7 +163,7 @@
             'models': names,
             'objective': {
                 'first_token_ms': FIRST_TOKEN_MS,
-                'between_tokens_ms': PACE_MS,
+                'between_tokens_ms': TOKEN_INTERVAL_MS,
             },
         },
         *(
@@ -188,7 +192,7 @@
     ]
 
 
-def _make_entry_order(
+def _build_entry_order(
     entry: processes.Process, number: int
 ) -> pace_caller.Order:
     path = f'{bench_deployment.BASE}/models/text-{number % MODELS}/generate'
@@ -201,7 +205,7 @@
     )
 
 
-def _make_engine_order(
+def _build_engine_order(
     engine: processes.Process, number: int
 ) -> pace_caller.Order:
     url = engine.ready['url']
@@ -231,14 +235,14 @@
     )
 
 
-def _run(
+def _run_callers(
     scope: processes.Processes,
     name: str,
     orders: list[pace_caller.Order],
-    watched: list[processes.Process],
-    read: Callable[[pace_caller.Stream], Answer],
-) -> tuple[list[Answer], Window]:
-    """Read all streams by several callers and watch some processes."""
+    measured: list[processes.Process],
+    parse: Callable[[pace_caller.Stream], StreamTimes],
+) -> tuple[list[StreamTimes], Window]:
+    """Read all streams with several callers and measure processes."""
     callers = []
     for number in range(CALLERS):
         path = scope.folder / f'{name}-{number}.json'
@@ -247,29 +251,31 @@
             scope.start(f'{name}-{number}', 'tools.pace_caller', str(path))
         )
     time.sleep(RAMP_S + MARGIN_S)
-    window = _watch(watched)
-    answers = []
+    window = _measure_window(measured)
+    stream_times = []
     for caller in callers:
         output, _ = caller.popen.communicate(
-            timeout=pace_caller.ANSWER_TIMEOUT_S
+            timeout=pace_caller.RESPONSE_TIMEOUT_S
         )
         streams = msgspec.json.decode(output, type=list[pace_caller.Stream])
-        answers += [read(stream) for stream in streams]
-    return answers, window
+        stream_times += [parse(stream) for stream in streams]
+    return stream_times, window
 
 
-def _watch(watched: list[processes.Process]) -> Window:
-    """Read what processes spend while all streams are open."""
+def _measure_window(measured: list[processes.Process]) -> Window:
+    """Measure the processor time of processes while all streams are open."""
     begin = time.monotonic()
     before = {
-        one.name: bench_control.read_cpu_s(one.popen.pid) for one in watched
+        process.name: bench_control.read_cpu_s(process.popen.pid)
+        for process in measured
     }
     time.sleep(WINDOW_S)
-    spent = {
-        one.name: bench_control.read_cpu_s(one.popen.pid) - before[one.name]
-        for one in watched
+    cpu_s = {
+        process.name: bench_control.read_cpu_s(process.popen.pid)
+        - before[process.name]
+        for process in measured
     }
-    return Window(begin, time.monotonic(), spent)
+    return Window(begin, time.monotonic(), cpu_s)
 
 
 async def _publish(
@@ -277,54 +283,62 @@
 ) -> None:
     session = bench_deployment.Session()
     try:
-        documents = _make_documents(engines)
+        documents = _build_documents(engines)
         await bench_deployment.publish(session, entry, documents, 0)
     finally:
         session.close()
 
 
 def measure_pace() -> Figures:
-    """Measure an entry at the pace of the design size.
+    """Measure an entry at the token rate of the design size.
 
     Returns
     -------
     dict
         ``entry_cpu_percent`` of a core while all streams were open; under
-        ``through`` and ``direct``, the tokens a second in that time and, in
-        milliseconds at the callers, first tokens and times between tokens.
+        ``through`` and ``direct``, the tokens a second in that window and
+        the times to the first token and between tokens at the callers, in
+        milliseconds.
     """
     with processes.open_processes() as scope:
         engines = [
             scope.start(
                 f'engine-{number}',
                 'standins.engine',
-                *('--name', f'engine-{number}', '--pace-ms', str(PACE_MS)),
+                *(
+                    '--name',
+                    f'engine-{number}',
+                    '--pace-ms',
+                    str(TOKEN_INTERVAL_MS),
+                ),
                 *('--end-layer', str(bench_deployment.LAYERS)),
             )
             for number in range(ENGINES)
         ]
         entry = scope.start_entry('entry-0')
         asyncio.run(_publish(entry, engines))
-        watched = [entry, *engines]
-        orders = [_make_entry_order(entry, one) for one in range(STREAMS)]
-        through, window = _run(
-            scope, 'through', orders, watched, read_entry_answer
+        measured = [entry, *engines]
+        orders = [
+            _build_entry_order(entry, number) for number in range(STREAMS)
+        ]
+        through, window = _run_callers(
+            scope, 'through', orders, measured, parse_entry_stream
         )
         orders = [
-            _make_engine_order(engines[one % ENGINES], one)
-            for one in range(STREAMS)
+            _build_engine_order(engines[number % ENGINES], number)
+            for number in range(STREAMS)
         ]
-        direct, beside = _run(
-            scope, 'direct', orders, watched, read_engine_answer
+        direct, direct_window = _run_callers(
+            scope, 'direct', orders, measured, parse_engine_stream
         )
     return {
         'streams': STREAMS,
-        'entry_cpu_percent': window.read_percent(entry.name),
+        'entry_cpu_percent': window.compute_cpu_percent(entry.name),
         'engine_cpu_percent': max(
-            window.read_percent(engine.name) for engine in engines
+            window.compute_cpu_percent(engine.name) for engine in engines
         ),
-        'through': sum_up(through, window),
-        'direct': sum_up(direct, beside),
+        'through': summarize(through, window),
+        'direct': summarize(direct, direct_window),
     }
 
 
--- a/tools/bench_quarantine.py
+++ b/tools/bench_quarantine.py
@@ -1,7 +1,7 @@
-"""Measures the time of a verdict on a suspect and on other requests.
+"""Measure the time of a quarantine check by the kind of request.
 
 ``python -m tools.bench_quarantine`` prints one line for each number of
-records, once with all of them of one target and once spread over many.
+records, with all records of one target and with records of many targets.
 """
 
 from __future__ import annotations
@@ -19,26 +19,28 @@
 
 
 def build_records(size: int, targets: int) -> records.QuarantineRecords:
-    """Build suspects of targets that died, one of which runs again."""
-    known = records.QuarantineRecords('entry')
+    """Build records of crashed targets, with one request on trial."""
+    quarantine = records.QuarantineRecords('entry')
     for target in range(targets):
-        names = frozenset(f'r{one}' for one in range(target, size, targets))
-        known.note_death(f't{target}', names, frozenset(), 0)
-    tried = frozenset({'r0'})
-    known.note_death('u', tried, tried, 1)
-    return known
+        names = frozenset(
+            f'r{number}' for number in range(target, size, targets)
+        )
+        quarantine.note_death(f't{target}', names, frozenset(), 0)
+    trial_requests = frozenset({'r0'})
+    quarantine.note_death('u', trial_requests, trial_requests, 1)
+    return quarantine
 
 
-def measure(known: records.QuarantineRecords, fingerprint: str) -> float:
-    """Return the microseconds of one verdict."""
+def measure(quarantine: records.QuarantineRecords, fingerprint: str) -> float:
+    """Return the microseconds of one check."""
     started = time.perf_counter_ns()
     for _ in range(ROUNDS):
-        known.check(fingerprint, records.GRACE_MS // 2)
+        quarantine.check(fingerprint, records.GRACE_MS // 2)
     return (time.perf_counter_ns() - started) / ROUNDS / _NS_PER_US
 
 
 def main() -> None:
-    """Measure and print."""
+    """Measure all sizes and print the times."""
     started = time.perf_counter_ns()
     for _ in range(ROUNDS):
         fingerprints.compute_fingerprint('w', 's/o', BODY)
@@ -46,12 +48,12 @@
     print(f'fingerprint_us={spent:.1f}')
     for size in SIZES:
         for targets in TARGETS:
-            known = build_records(size, targets)
+            quarantine = build_records(size, targets)
             print(
                 f'records={size} targets={targets}',
-                f'suspect_us={measure(known, "r1"):.1f}',
-                f'tried_us={measure(known, "r0"):.1f}',
-                f'clear_us={measure(known, "other"):.1f}',
+                f'suspect_us={measure(quarantine, "r1"):.1f}',
+                f'tried_us={measure(quarantine, "r0"):.1f}',
+                f'clear_us={measure(quarantine, "other"):.1f}',
             )
 
 
--- a/tools/bench_recovery.py
+++ b/tools/bench_recovery.py
@@ -1,9 +1,9 @@
-"""Measure how long callers wait after kills, outages and publications.
+"""Measure the time that callers wait after kills, outages and publications.
 
-Real processes on loopback. A process is ended by SIGKILL, so that its
-connections are refused at once; in the kinds that are named silent it is
-stopped by SIGSTOP in place of a host that vanishes without a reset. Times
-are those of the wall, seen from the caller.
+Real processes on loopback. SIGKILL ends a process, so that its connections
+are refused at once. The measurements named ``silent`` suspend it with SIGSTOP
+instead, as with a host that disappears without a TCP reset. Times are wall
+times at the caller.
 """
 
 from __future__ import annotations
@@ -33,18 +33,18 @@
 STAGE_KILLS = 12
 ENTRY_KILLS = 10
 OWNER_KILLS = 8
-SILENCES = 4
-OUTAGES = 6
-CHANGES = 30
+SUSPENSIONS = 4
+PLATFORM_OUTAGES = 6
+PUBLICATIONS = 30
 TOKENS = 120
 KILL_AFTER_TOKENS = 20
 SEED = 20261202
 OUTAGE_S = 2.0
-PAUSE_S = 0.02
-POLL_S = 0.01
-WARM_S = 0.3
-POLLED_S = 2.0
-LIMIT_S = 15.0
+ACTION_INTERVAL_S = 0.02
+VERSION_POLL_S = 0.01
+WARM_UP_S = 0.3
+LOAD_POLL_WAIT_S = 2.0
+TIMEOUT_S = 15.0
 
 Session = bench_deployment.Session
 Deployment = bench_deployment.Deployment
@@ -52,17 +52,17 @@
 
 
 @attrs.frozen
-class Run:
-    """What every measurement needs.
+class Environment:
+    """Environment of a measurement.
 
     Attributes
     ----------
     session : Session
-        Client.
+        HTTP client.
     deployment : Deployment
         The processes.
     random : random.Random
-        Source of keys.
+        Random source for keys.
     """
 
     session: Session
@@ -70,184 +70,202 @@
     random: random.Random
 
 
-async def measure_stage(run: Run) -> samples_module.Samples:
-    """Kill an engine in mid-stream, first and last stage by turns."""
+async def measure_stage(environment: Environment) -> samples_module.Samples:
+    """Kill an engine in mid-stream, alternating first and last stage."""
     samples = samples_module.Samples()
     for number in range(STAGE_KILLS):
-        samples.add(await _end_stage(run, number, signal.SIGKILL))
+        samples.add(await _fail_stage(environment, number, signal.SIGKILL))
     return samples
 
 
-async def measure_stage_silent(run: Run) -> samples_module.Samples:
-    """Stop an engine in mid-stream, so that its connections stay open."""
+async def measure_stage_silent(
+    environment: Environment,
+) -> samples_module.Samples:
+    """Suspend an engine in mid-stream, so that its connections stay open."""
     samples = samples_module.Samples()
-    for number in range(SILENCES):
-        samples.add(await _end_stage(run, number, signal.SIGSTOP))
+    for number in range(SUSPENSIONS):
+        samples.add(await _fail_stage(environment, number, signal.SIGSTOP))
     return samples
 
 
-async def measure_start_silent(run: Run) -> samples_module.Samples:
-    """Stop an engine; each entry is sent a request just after.
+async def measure_start_silent(
+    environment: Environment,
+) -> samples_module.Samples:
+    """Suspend an engine and send each entry a request directly after.
 
-    Each gives one figure: its first token after the stop.
+    Each entry gives one sample: the time to its first token.
     """
     samples = samples_module.Samples()
-    for number in range(SILENCES):
-        place = number % len(bench_deployment.STAGES)
-        victim = f'engine-{number % CHAINS}-{place}'
-        stopped = run.deployment.targets[victim]
+    for number in range(SUSPENSIONS):
+        stage = number % len(bench_deployment.STAGES)
+        victim = f'engine-{number % CHAINS}-{stage}'
+        stopped = environment.deployment.targets[victim]
         stopped.send_signal(signal.SIGSTOP)
         values = await asyncio.gather(
             *(
-                _wait_first_token(run, entry, f'Bid {number}')
-                for entry in run.deployment.entries
+                _wait_first_token(environment, entry, f'Bid {number}')
+                for entry in environment.deployment.entries
             )
         )
         for value in values:
             samples.add(value)
-        await _restart_engine(run, victim)
+        await _restart_engine(environment, victim)
     return samples
 
 
 async def _wait_first_token(
-    run: Run, entry: processes.Process, prompt: str
+    environment: Environment, entry: processes.Process, prompt: str
 ) -> float | None:
-    """Return the milliseconds from a request to its first token."""
+    """Return the milliseconds to the first token; None without a token."""
     started = time.perf_counter()
     arrivals: list[float] = []
 
-    def take(chunk: bytes) -> None:
+    def record_arrival(chunk: bytes) -> None:
         if b'event: tokens' in chunk:
             arrivals.append(time.perf_counter())
 
     body = json.dumps({'prompt': prompt, 'max_tokens': KILL_AFTER_TOKENS})
-    await run.session.send(
+    await environment.session.send(
         'POST',
         entry.ready['callers'] + bench_deployment.GENERATE_PATH,
         body.encode(),
-        on_chunk=take,
-        timeout_s=LIMIT_S,
+        on_chunk=record_arrival,
+        timeout_s=TIMEOUT_S,
     )
     return (arrivals[0] - started) * 1000 if arrivals else None
 
 
-async def _restart_engine(run: Run, name: str) -> None:
-    """Start an engine in the place of one, and let entries hear of it."""
-    deployment = run.deployment
+async def _restart_engine(environment: Environment, name: str) -> None:
+    """Replace an engine on its port and wait until entries have polled it."""
+    deployment = environment.deployment
     killed = deployment.targets[name]
     await asyncio.to_thread(killed.kill)
     port = int(killed.ready['url'].rsplit(':', 1)[1])
     await asyncio.to_thread(deployment.start_engine, name, port)
-    await asyncio.sleep(POLLED_S)
+    await asyncio.sleep(LOAD_POLL_WAIT_S)
 
 
-async def _end_stage(
-    run: Run, number: int, how: signal.Signals
+async def _fail_stage(
+    environment: Environment, number: int, signal_number: signal.Signals
 ) -> float | None:
-    deployment = run.deployment
-    known = {line['request'] for _, line in await _read_counts(run)}
+    deployment = environment.deployment
+    known_requests = {
+        line['request'] for _, line in await _read_counts(environment)
+    }
     arrivals: list[float] = []
     received = bytearray()
-    enough = asyncio.Event()
+    kill_ready = asyncio.Event()
 
-    def take(chunk: bytes) -> None:
+    def store_chunk(chunk: bytes) -> None:
         received.extend(chunk)
         if b'event: tokens' in chunk:
             arrivals.append(time.perf_counter())
         if received.count(b'event: tokens') >= KILL_AFTER_TOKENS:
-            enough.set()
+            kill_ready.set()
 
     entry = deployment.entries[number % len(deployment.entries)]
     body = json.dumps({'prompt': f'Slot {number}', 'max_tokens': TOKENS})
     stream = asyncio.ensure_future(
-        run.session.send(
+        environment.session.send(
             'POST',
             entry.ready['callers'] + bench_deployment.GENERATE_PATH,
             body.encode(),
-            on_chunk=take,
-            timeout_s=LIMIT_S,
+            on_chunk=store_chunk,
+            timeout_s=TIMEOUT_S,
         )
     )
-    await asyncio.wait_for(enough.wait(), LIMIT_S)
-    place = number % len(bench_deployment.STAGES)
+    await asyncio.wait_for(kill_ready.wait(), TIMEOUT_S)
+    stage = number % len(bench_deployment.STAGES)
     victim = next(
         name
-        for name, line in await _read_counts(run)
-        if line['request'] not in known and name.endswith(f'-{place}')
+        for name, line in await _read_counts(environment)
+        if line['request'] not in known_requests and name.endswith(f'-{stage}')
     )
     killed = deployment.targets[victim]
     killed_at = time.perf_counter()
-    killed.send_signal(how)
+    killed.send_signal(signal_number)
     await stream
     await asyncio.to_thread(killed.kill)
     port = int(killed.ready['url'].rsplit(':', 1)[1])
     await asyncio.to_thread(deployment.start_engine, victim, port)
-    if not is_whole(bytes(received)):
+    if not is_complete_stream(bytes(received)):
         return None
-    return samples_module.find_recovery_ms(arrivals, killed_at)
+    return samples_module.compute_recovery_ms(arrivals, killed_at)
 
 
-async def _read_counts(run: Run) -> list[tuple[str, typing.Any]]:
-    """Read what each engine computed so far."""
-    engines = run.deployment.list_engines()
-    answers = await asyncio.gather(
+async def _read_counts(
+    environment: Environment,
+) -> list[tuple[str, typing.Any]]:
+    """Read the counts of computed tokens of each engine."""
+    engines = environment.deployment.list_engines()
+    counts = await asyncio.gather(
         *(
-            run.session.read_json(f'{one.ready["url"]}/control/counts')
-            for one in engines.values()
+            environment.session.read_json(
+                f'{engine.ready["url"]}/control/counts'
+            )
+            for engine in engines.values()
         )
     )
     return [
         (name, line)
-        for name, lines in zip(engines, answers, strict=True)
+        for name, lines in zip(engines, counts, strict=True)
         for line in lines
     ]
 
 
-def is_whole(body: bytes) -> bool:
-    """Tell whether a stream holds each token once, in order, and its end."""
+def is_complete_stream(body: bytes) -> bool:
+    """Return whether a stream has each token once, in order, and its end."""
     events = requester.read_events(body)
     indexes = [
-        data['first_index'] + place
+        data['first_index'] + offset
         for name, data in events
         if name == 'tokens'
-        for place in range(len(data['texts']))
+        for offset in range(len(data['texts']))
     ]
     return indexes == list(range(TOKENS)) and events[-1][0] == 'end'
 
 
-async def measure_entry(run: Run) -> samples_module.Samples:
-    """Kill the entry that a caller uses; it goes on at the next address."""
+async def measure_entry(environment: Environment) -> samples_module.Samples:
+    """Kill the entry that a caller uses; it fails over to another one."""
     samples = samples_module.Samples()
     for _ in range(ENTRY_KILLS):
-        used = run.deployment.entries[0]
-        listed = await run.session.read_json(
+        used = environment.deployment.entries[0]
+        listed = await environment.session.read_json(
             f'{used.ready["callers"]}/v1/entries'
         )
-        others = [one['url'] for one in listed['entries']]
+        entry_urls = [entry['url'] for entry in listed['entries']]
         urls = [
             used.ready['callers'],
-            *(url for url in others if url != used.ready['callers']),
+            *(url for url in entry_urls if url != used.ready['callers']),
         ]
         killed_at = time.perf_counter()
         used.popen.kill()
-        done_at = await _use_another(run, urls, killed_at + LIMIT_S)
+        done_at = await _fail_over(environment, urls, killed_at + TIMEOUT_S)
         samples.add(None if done_at is None else (done_at - killed_at) * 1000)
-        await _replace(run, used)
+        await _replace_entry(environment, used)
     return samples
 
 
-async def _use_another(run: Run, urls: list[str], end: float) -> float | None:
-    """Go through the addresses until a call and an action succeeded."""
-    key = bench_deployment.make_key(run.random)
+async def _fail_over(
+    environment: Environment, urls: list[str], end: float
+) -> float | None:
+    """Try the addresses in turn until a call and an action succeed.
+
+    Returns
+    -------
+    float or None
+        Time of the success in seconds; None after the end time.
+    """
+    key = bench_deployment.make_key(environment.random)
     called = acted = resent = False
     for url in itertools.cycle(urls):
         if not called:
-            response = await run.session.send(
+            response = await environment.session.send(
                 'POST', url + bench_deployment.CALL_PATH, b'{}'
             )
             called = response.code == 200
         if called and not acted:
-            response = await run.session.act(url, key, resent)
+            response = await environment.session.act(url, key, resent)
             acted = response.code == 200
             resent = True
         now = time.perf_counter()
@@ -258,70 +276,84 @@
     return None
 
 
-async def _replace(run: Run, killed: processes.Process) -> None:
-    """Start an entry in the place of one that was killed."""
-    deployment = run.deployment
+async def _replace_entry(
+    environment: Environment, killed: processes.Process
+) -> None:
+    """Kill an entry and start another one in its place."""
+    deployment = environment.deployment
     await asyncio.to_thread(killed.kill)
     deployment.entries.remove(killed)
     await asyncio.to_thread(deployment.start_entry)
-    await bench_deployment.wait_settled(run.session, deployment)
+    await bench_deployment.wait_settled(environment.session, deployment)
 
 
-async def measure_page_owner(run: Run) -> samples_module.Samples:
-    """Kill the preferred writer of a page while actions run on it.
+async def measure_page_owner(
+    environment: Environment,
+) -> samples_module.Samples:
+    """Kill the preferred writer of a page while actions use the page.
 
-    Each other entry gives one figure: its own first success after the kill.
+    Each other entry gives one sample: its first success after the kill.
     """
     samples = samples_module.Samples()
     for _ in range(OWNER_KILLS):
-        for value in await _end_page_owner(run, signal.SIGKILL):
+        for value in await _fail_page_owner(environment, signal.SIGKILL):
             samples.add(value)
     return samples
 
 
-async def measure_page_owner_silent(run: Run) -> samples_module.Samples:
-    """Stop the preferred writer of a page while actions run on it."""
+async def measure_page_owner_silent(
+    environment: Environment,
+) -> samples_module.Samples:
+    """Suspend the preferred writer of a page while actions use the page."""
     samples = samples_module.Samples()
-    for _ in range(SILENCES):
-        for value in await _end_page_owner(run, signal.SIGSTOP):
+    for _ in range(SUSPENSIONS):
+        for value in await _fail_page_owner(environment, signal.SIGSTOP):
             samples.add(value)
     return samples
 
 
-async def _end_page_owner(run: Run, how: signal.Signals) -> list[float | None]:
+async def _fail_page_owner(
+    environment: Environment, signal_number: signal.Signals
+) -> list[float | None]:
     wall = clock.Clock().wall()
     layout = keys.Layout()
-    bucket = run.random.randrange(layout.buckets)
+    bucket = environment.random.randrange(layout.buckets)
     page = keys.PageAddress(bucket, wall // layout.slot_ms)
-    owner = find_writer(run.deployment.entries, page)
+    owner = find_writer(environment.deployment.entries, page)
 
     def make_key() -> str:
-        return _make_page_key(run.random, wall, page)
+        return _make_page_key(environment.random, wall, page)
 
     killed_at: asyncio.Future[float] = asyncio.Future()
     loops = [
         asyncio.ensure_future(
-            _act_until_success(run, one, make_key, killed_at)
+            _act_until_success(environment, entry, make_key, killed_at)
         )
-        for one in run.deployment.entries
-        if one is not owner
+        for entry in environment.deployment.entries
+        if entry is not owner
     ]
-    await asyncio.sleep(WARM_S)
+    await asyncio.sleep(WARM_UP_S)
     killed = time.perf_counter()
-    owner.send_signal(how)
+    owner.send_signal(signal_number)
     killed_at.set_result(killed)
     values = await asyncio.gather(*loops)
-    await _replace(run, owner)
+    await _replace_entry(environment, owner)
     return values
 
 
 def find_writer(
     entries: list[processes.Process], page: keys.PageAddress
 ) -> processes.Process:
-    """Return the entry that is asked first to write a page."""
+    """Return the preferred writer of a page.
+
+    Raises
+    ------
+    ValueError
+        When there are no entries.
+    """
     members = [
-        ports.Member(one.ready['incarnation'], '', '', '', '', '')
-        for one in entries
+        ports.Member(entry.ready['incarnation'], '', '', '', '', '')
+        for entry in entries
     ]
     chosen = ledger_router.choose_writer(members, page.bucket, page.slot)
     if chosen is None:
@@ -332,7 +364,7 @@
 def _make_page_key(
     random_source: random.Random, wall: int, page: keys.PageAddress
 ) -> str:
-    """Make a key whose record belongs to a page."""
+    """Generate a key whose record belongs to a page."""
     while True:
         text = bench_deployment.make_key(random_source, wall)
         key = keys.parse_key(bench_deployment.WORKSPACE, text, wall)
@@ -341,104 +373,120 @@
 
 
 async def _act_until_success(
-    run: Run,
+    environment: Environment,
     entry: processes.Process,
     make_key: typing.Callable[[], str],
     event_at: asyncio.Future[float],
 ) -> float | None:
-    """Send actions one after another until one begun after an event succeeds.
+    """Send actions in sequence until one that starts after an event succeeds.
+
+    Each action has its own key, like those of independent callers.
 
-    Each has a key of its own, as those of independent callers.
+    Returns
+    -------
+    float or None
+        Milliseconds from the event to the success; None after the limit.
     """
     url = entry.ready['callers']
     while True:
         started = time.perf_counter()
-        response = await run.session.act(url, make_key())
+        response = await environment.session.act(url, make_key())
         succeeded = response.code == 200
         if event_at.done():
             waited = time.perf_counter() - event_at.result()
             if succeeded and started >= event_at.result():
                 return waited * 1000
-            if waited > LIMIT_S:
+            if waited > TIMEOUT_S:
                 return None
-        await asyncio.sleep(PAUSE_S)
+        await asyncio.sleep(ACTION_INTERVAL_S)
 
 
-async def measure_platform(run: Run) -> samples_module.Samples:
-    """Take the platform down for a while and bring it back.
+async def measure_platform(environment: Environment) -> samples_module.Samples:
+    """Make the platform unavailable for ``OUTAGE_S``.
 
-    Each entry gives one figure: its first success after the return.
+    Each entry gives one sample: its first success after the outage.
     """
     samples = samples_module.Samples()
-    for _ in range(OUTAGES):
-        await _set_down(run, True)
-        back_at: asyncio.Future[float] = asyncio.Future()
+    for _ in range(PLATFORM_OUTAGES):
+        await _set_unavailable(environment, True)
+        restored_at: asyncio.Future[float] = asyncio.Future()
         loops = [
             asyncio.ensure_future(
                 _act_until_success(
-                    run,
-                    one,
-                    lambda: bench_deployment.make_key(run.random),
-                    back_at,
+                    environment,
+                    entry,
+                    lambda: bench_deployment.make_key(environment.random),
+                    restored_at,
                 )
             )
-            for one in run.deployment.entries
+            for entry in environment.deployment.entries
         ]
         await asyncio.sleep(OUTAGE_S)
-        returned = time.perf_counter()
-        await _set_down(run, False)
-        back_at.set_result(returned)
+        restored = time.perf_counter()
+        await _set_unavailable(environment, False)
+        restored_at.set_result(restored)
         for value in await asyncio.gather(*loops):
             samples.add(value)
     return samples
 
 
-async def _set_down(run: Run, is_down: bool) -> None:
-    url = f'{run.deployment.platform.ready["url"]}/control/faults'
-    body = json.dumps({'down': is_down}).encode()
-    response = await run.session.send('POST', url, body)
+async def _set_unavailable(
+    environment: Environment, is_unavailable: bool
+) -> None:
+    url = f'{environment.deployment.platform.ready["url"]}/control/faults'
+    body = json.dumps({'down': is_unavailable}).encode()
+    response = await environment.session.send('POST', url, body)
     if response.code != 200:
         raise ConnectionError(f'{url}: {response.code}')
 
 
-async def measure_configuration(run: Run) -> samples_module.Samples:
-    """Publish small changes and wait until every entry reports each.
+async def measure_configuration(
+    environment: Environment,
+) -> samples_module.Samples:
+    """Publish small changes and wait until every entry applies each.
 
-    The time runs from the sending of the publication, so that it holds the
-    time until acceptance as well.
+    The time starts when the publication is sent, so that it includes the
+    time until its acceptance.
     """
     samples = samples_module.Samples()
-    entries = run.deployment.entries
-    version = await bench_deployment.read_version(run.session, entries[0])
-    workspace = run.deployment.documents[0]
-    for number in range(CHANGES):
+    entries = environment.deployment.entries
+    version = await bench_deployment.read_version(
+        environment.session, entries[0]
+    )
+    workspace = environment.deployment.documents[0]
+    for number in range(PUBLICATIONS):
         changed = {**workspace, 'limits': {'requests_per_s': 1_000 + number}}
         started = time.perf_counter()
         waiting = [
-            asyncio.ensure_future(_wait_version(run, one, version + 1))
-            for one in entries
+            asyncio.ensure_future(
+                _wait_version(environment, entry, version + 1)
+            )
+            for entry in entries
         ]
         await bench_deployment.publish(
-            run.session, entries[number % len(entries)], [changed], version
+            environment.session,
+            entries[number % len(entries)],
+            [changed],
+            version,
         )
-        seen = await asyncio.gather(*waiting)
+        applied_at = await asyncio.gather(*waiting)
         version += 1
-        reached = [one for one in seen if one is not None]
-        complete = len(reached) == len(seen)
+        reached = [time_s for time_s in applied_at if time_s is not None]
+        complete = len(reached) == len(applied_at)
         samples.add((max(reached) - started) * 1000 if complete else None)
     return samples
 
 
 async def _wait_version(
-    run: Run, entry: processes.Process, version: int
+    environment: Environment, entry: processes.Process, version: int
 ) -> float | None:
-    """Return the second at which an entry reports a version or a later."""
-    end = time.perf_counter() + LIMIT_S
+    """Return the time at which an entry reports at least a version."""
+    end = time.perf_counter() + TIMEOUT_S
     while time.perf_counter() < end:
-        found = await bench_deployment.read_version(run.session, entry)
+        found = await bench_deployment.read_version(environment.session, entry)
         if found >= version:
             return time.perf_counter()
-        await asyncio.sleep(POLL_S)
+        await asyncio.sleep(VERSION_POLL_S)
     return None
 
 
@@ -462,12 +510,12 @@
     Parameters
     ----------
     names : iterable of str, optional
-        Of ``MEASUREMENTS``.
+        Keys of ``MEASUREMENTS``.
 
     Returns
     -------
     dict of str to Figures
-        Milliseconds by kind, with the numbers of tries.
+        Milliseconds by measurement, with the numbers of samples.
     """
     return {name: asyncio.run(_measure(name)) for name in names}
 
@@ -476,20 +524,20 @@
     with processes.open_processes() as scope:
         deployment = bench_deployment.start_deployment(scope, ENTRIES, CHAINS)
         session = Session()
-        run = Run(session, deployment, random.Random(SEED))
+        environment = Environment(session, deployment, random.Random(SEED))
         try:
             first = deployment.entries[0]
             await bench_deployment.publish(
                 session, first, deployment.documents, 0
             )
             await bench_deployment.wait_settled(session, deployment)
-            return (await MEASUREMENTS[name](run)).sum_up()
+            return (await MEASUREMENTS[name](environment)).summarize()
         finally:
             session.close()
 
 
 def main() -> int:
-    """Print one JSON object; names of measurements may be given."""
+    """Print one JSON object; the arguments select measurements."""
     names = sys.argv[1:] or tuple(MEASUREMENTS)
     print(json.dumps(measure_recovery(names)))
     return 0
--- a/tools/bench_relay.py
+++ b/tools/bench_relay.py
@@ -1,7 +1,7 @@
-"""Measure how many tokens a second one entry relays and checks.
+"""Measure how many tokens a second one entry relays and verifies.
 
-A stand-in engine in a process of its own streams without a step time; the
-client, the verifier and the use case run in this process.
+A stand-in engine in a separate process streams without a step time; the
+engine client, the verifier and the generation service run in this process.
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 _STREAMS = 8
 _TOKENS = 25_000
 _LAYERS = 32
-_WAIT_MS = 60_000
+_TIMEOUT_MS = 60_000
 
 
 class _ReadyTargets:
-    """Every target is ready and none has reported."""
+    """Target states where every target is ready and none has reported."""
 
     def read_readiness(self, target: str) -> target_messages.Readiness:
         return target_messages.Readiness.READY
@@ -56,7 +56,7 @@
 async def _read(
     service: generation.GenerationService, number: int, tokens: int
 ) -> tuple[int, int]:
-    """Read one answer; return its tokens and its chunks."""
+    """Read one response; return the numbers of its tokens and its chunks."""
     request = generation_messages.GenerationRequest(
         request_id=f'request-{number}',
         workspace='brokers',
@@ -64,16 +64,16 @@
         prompt=f'Prompt {number}',
         max_tokens=tokens,
         priority=0,
-        deadline=clock.Clock().now() + _WAIT_MS,
+        deadline=clock.Clock().now() + _TIMEOUT_MS,
     )
     received = chunks = 0
-    last: generation_messages.GenerationEvent | None = None
-    async for last in service.stream(request):
-        if isinstance(last, generation_messages.Tokens):
-            received += len(last.texts)
+    last_event: generation_messages.GenerationEvent | None = None
+    async for last_event in service.stream(request):
+        if isinstance(last_event, generation_messages.Tokens):
+            received += len(last_event.texts)
             chunks += 1
-    if last != generation_messages.Finished(tokens):
-        raise RuntimeError(f'The answer is not whole: {last}.')
+    if last_event != generation_messages.Finished(tokens):
+        raise RuntimeError(f'incomplete response: {last_event}.')
     return received, chunks
 
 
@@ -84,20 +84,20 @@
         'entry-1', lambda: snapshot, _ReadyTargets(), random.Random(1)
     )
     service = generation.GenerationService(clock.Clock(), client, planning)
-    wall, processor = time.monotonic(), time.process_time()
-    read = await asyncio.gather(
+    wall_s, cpu_s = time.monotonic(), time.process_time()
+    results = await asyncio.gather(
         *(_read(service, number, tokens) for number in range(_STREAMS))
     )
-    wall = time.monotonic() - wall
-    processor = time.process_time() - processor
+    wall_s = time.monotonic() - wall_s
+    cpu_s = time.process_time() - cpu_s
     await service.close()
     await client.close()
-    count = sum(received for received, _ in read)
+    count = sum(received for received, _ in results)
     return {
         'tokens': count,
-        'chunks': sum(chunks for _, chunks in read),
-        'tokens_per_s': round(count / wall),
-        'tokens_per_core_s': round(count / processor),
+        'chunks': sum(chunks for _, chunks in results),
+        'tokens_per_s': round(count / wall_s),
+        'tokens_per_core_s': round(count / cpu_s),
     }
 
 
@@ -116,14 +116,14 @@
 
 
 def measure_relay() -> dict[str, dict[str, float]]:
-    """Measure the relay with many and with single tokens in a frame burst.
+    """Measure the relay with bursts of frames and with single frames.
 
     Returns
     -------
     dict of str to dict
-        ``bursts`` and ``single``, each with ``tokens``, ``chunks`` handed
-        on, ``tokens_per_s`` of the wall clock (the stand-in's pace is part
-        of it) and ``tokens_per_core_s`` of this process's processor time.
+        ``bursts`` and ``single``, each with ``tokens``, relayed ``chunks``,
+        ``tokens_per_s`` of wall time (which includes the time of the
+        stand-in) and ``tokens_per_core_s`` of this process's processor time.
     """
     return {
         'bursts': _measure(64, _TOKENS),
@@ -132,7 +132,7 @@
 
 
 def measure_entry_relay(tokens: int = _TOKENS // 5) -> dict[str, float]:
-    """Measure a whole entry process at one token a chunk.
+    """Measure an entry process with one token a chunk.
 
     The entry, a stand-in engine without a step time and the caller are three
     processes; the caller is this one. The entry writes server-sent events.
@@ -140,13 +140,13 @@
     Parameters
     ----------
     tokens : int
-        Tokens of each of the streams.
+        Tokens of each stream.
 
     Returns
     -------
     dict of str to float
-        ``tokens``; ``tokens_per_s`` of the wall clock, with the stand-in's
-        pace in it; ``tokens_per_core_s`` of the entry's processor time.
+        ``tokens``; ``tokens_per_s`` of wall time, which includes the time of
+        the stand-in; ``tokens_per_core_s`` of the entry's processor time.
     """
     with processes.open_processes() as scope:
         engine = scope.start(
@@ -157,15 +157,15 @@
         )
         entry = scope.start_entry('host-1')
         _publish(scope, entry, engine)
-        asyncio.run(_ask_all(entry, 100))
-        before, wall = _read_processor_s(entry), time.monotonic()
-        count = asyncio.run(_ask_all(entry, tokens))
-        wall = time.monotonic() - wall
-        processor = _read_processor_s(entry) - before
+        asyncio.run(_read_all(entry, 100))
+        cpu_before_s, wall_s = _read_cpu_s(entry), time.monotonic()
+        count = asyncio.run(_read_all(entry, tokens))
+        wall_s = time.monotonic() - wall_s
+        cpu_s = _read_cpu_s(entry) - cpu_before_s
     return {
         'tokens': count,
-        'tokens_per_s': round(count / wall),
-        'tokens_per_core_s': round(count / processor),
+        'tokens_per_s': round(count / wall_s),
+        'tokens_per_core_s': round(count / cpu_s),
     }
 
 
@@ -174,10 +174,10 @@
     entry: processes.Process,
     engine: processes.Process,
 ) -> None:
-    """Publish one workspace, one model and the engine that holds it."""
+    """Publish one workspace, one model and the engine that serves it."""
     folder = scope.folder / 'services'
     folder.mkdir()
-    listed = (
+    listed_documents = (
         {'kind': 'workspace', 'name': 'brokers', 'models': ['text']},
         {
             'kind': 'target',
@@ -201,19 +201,19 @@
             ],
         },
     )
-    for document in listed:
+    for document in listed_documents:
         path = folder / f'{document["name"]}.json'
         path.write_text(json.dumps(document))
     deployment = demo.Deployment(scope, {}, (entry,))
     demo.run_tool(deployment, 'publish', str(folder))
 
 
-async def _ask_all(entry: processes.Process, tokens: int) -> int:
-    """Read all streams at once and check the end of each."""
+async def _read_all(entry: processes.Process, tokens: int) -> int:
+    """Read all streams concurrently and check the end of each."""
     url = (
         entry.ready['callers'] + '/v1/workspaces/brokers/models/text/generate'
     )
-    answers = await asyncio.gather(
+    responses = await asyncio.gather(
         *(
             requester.send_async(
                 'POST',
@@ -225,15 +225,15 @@
             for number in range(_STREAMS)
         )
     )
-    for answer in answers:
-        end = requester.read_events(answer.body)[-1]
+    for response in responses:
+        end = requester.read_events(response.body)[-1]
         if end != ('end', {'count': tokens}):
-            raise RuntimeError(f'The answer is not whole: {end}.')
-    return tokens * len(answers)
+            raise RuntimeError(f'incomplete response: {end}.')
+    return tokens * len(responses)
 
 
-def _read_processor_s(process: processes.Process) -> float:
-    """Read the processor time of a process, in seconds (proc(5))."""
+def _read_cpu_s(process: processes.Process) -> float:
+    """Return the processor time of a process in seconds, see proc(5)."""
     path = pathlib.Path(f'/proc/{process.popen.pid}/stat')
     fields = path.read_text().rpartition(')')[2].split()
     ticks = int(fields[11]) + int(fields[12])
--- a/tools/bench_routing.py
+++ b/tools/bench_routing.py
@@ -1,7 +1,8 @@
 """Measure the decisions of an entry on the platform, without a network.
 
-``python -m tools.bench_routing`` prints one line a measurement: placement
-of all engines, the search of a path, and the size of news between entries.
+``python -m tools.bench_routing`` prints one line for each measurement: the
+placement of all engines, the path search, the size and the coding time of
+state updates between entries, and the detection of stalled streams.
 """
 
 from __future__ import annotations
@@ -35,7 +36,7 @@
 
 
 def build_fleet(engines: int, domains: int) -> list[fleet.Server]:
-    """Build empty engines of mixed kinds in some failure domains."""
+    """Build empty engines of several kinds in some failure domains."""
     return [
         builders.build_engine(
             f'{chr(97 + number % domains)}-{number}',
@@ -45,13 +46,13 @@
     ]
 
 
-def measure(work: Callable[[], object]) -> float:
-    """Return the median milliseconds of a piece of work."""
+def measure(function: Callable[[], object]) -> float:
+    """Return the median run time of a function in milliseconds."""
     times = []
     for _ in range(REPEATS):
-        began = time.perf_counter()
-        work()
-        times.append((time.perf_counter() - began) * 1000)
+        started = time.perf_counter()
+        function()
+        times.append((time.perf_counter() - started) * 1000)
     return statistics.median(times)
 
 
@@ -59,8 +60,8 @@
     """Print the measurements of one fleet."""
     model = builders.build_model()
     empty = build_fleet(engines, domains)
-    holdings = [orders_module.Holding(one) for one in empty]
-    orders = planning.plan_orders(holdings, model)
+    empty_holdings = [orders_module.Holding(engine) for engine in empty]
+    orders = planning.plan_orders(empty_holdings, model)
     placed = [
         builders.build_engine(
             order.server.id,
@@ -70,22 +71,22 @@
         )
         for order in orders
     ]
-    settled = [orders_module.Holding(one) for one in placed]
-    taken = reservations.Reservations()
+    placed_holdings = [orders_module.Holding(engine) for engine in placed]
+    reserved = reservations.Reservations()
     situation = choice.Situation(
         model,
         tuple(placed),
         frozenset(),
-        taken,
+        reserved,
         {},
         'a',
         lambda: 0.5,
         bounds=bounds.compute_bounds(model, placed),
     )
     need = choice.Need(760, 170)
-    found = choice.choose_path(situation, need)
-    hops = 0 if isinstance(found, choice.Lack) else len(found.hops)
-    news = messages.News(
+    path = choice.choose_path(situation, need)
+    hops = 0 if isinstance(path, choice.Lack) else len(path.hops)
+    update = messages.News(
         'edge-host-12',
         'edge-host-12-0123456789ab',
         messages.State.SERVING,
@@ -93,44 +94,49 @@
         10**9,
         10**6,
         900,
-        {marks.compute_mark(one.id): 90_000.0 for one in placed[:hops]},
+        {marks.compute_mark(engine.id): 90_000.0 for engine in placed[:hops]},
         (),
     )
-    rest = attrs.evolve(
-        news,
+    combined_update = attrs.evolve(
+        update,
         scope=messages.Scope.REST,
-        taken={marks.compute_mark(one.id): 90_000.0 for one in placed},
+        taken={marks.compute_mark(engine.id): 90_000.0 for engine in placed},
     )
-    told = peers.encode_news(rest)
-    tell = measure(
+    encoded = peers.encode_news(combined_update)
+    encode_ms = measure(
         lambda: peers.encode_news(
-            attrs.evolve(rest, taken=totals.subtract(rest.taken, news.taken))
+            attrs.evolve(
+                combined_update,
+                taken=totals.subtract(combined_update.taken, update.taken),
+            )
         )
     )
-    hear = measure(lambda: peers.decode(peers.encode_news(news)))
-    first = measure(lambda: planning.plan_orders(holdings, model))
-    again = measure(lambda: planning.plan_orders(settled, model))
-    path = measure(lambda: choice.choose_path(situation, need))
+    decode_ms = measure(lambda: peers.decode(peers.encode_news(update)))
+    first_plan_ms = measure(
+        lambda: planning.plan_orders(empty_holdings, model)
+    )
+    plan_ms = measure(lambda: planning.plan_orders(placed_holdings, model))
+    path_ms = measure(lambda: choice.choose_path(situation, need))
     print(
         f'engines={engines} domains={domains} '
-        f'first_plan_ms={first:.1f} plan_ms={again:.1f} '
-        f'path_ms={path:.2f} hops={hops} '
-        f'news_bytes={len(peers.encode_news(news))} '
-        f'collector_news_bytes={len(told)} tell_ms={tell:.3f} '
-        f'hear_ms={hear:.3f}'
+        f'first_plan_ms={first_plan_ms:.1f} plan_ms={plan_ms:.1f} '
+        f'path_ms={path_ms:.2f} hops={hops} '
+        f'news_bytes={len(peers.encode_news(update))} '
+        f'collector_news_bytes={len(encoded)} tell_ms={encode_ms:.3f} '
+        f'hear_ms={decode_ms:.3f}'
     )
 
 
-def measure_looks(streams: int, hops: int) -> None:
-    """Print the time of one look at the streams of an entry."""
+def measure_stall_checks(streams: int, hops: int) -> None:
+    """Print the time of one check of all streams for stalls."""
     names = [f'a-{number}' for number in range(hops)]
-    moving = [(names, 1.0)] * streams
-    silent = [(names, 3.0)] * streams
-    calm = measure(lambda: silence.find_doubtful(moving))
-    lost = measure(lambda: silence.find_doubtful(silent))
+    active = [(names, 1.0)] * streams
+    stalled = [(names, 3.0)] * streams
+    active_ms = measure(lambda: silence.find_doubtful(active))
+    stalled_ms = measure(lambda: silence.find_doubtful(stalled))
     print(
-        f'streams={streams} hops={hops} look_ms={calm:.4f} '
-        f'look_when_silent_ms={lost:.3f}'
+        f'streams={streams} hops={hops} look_ms={active_ms:.4f} '
+        f'look_when_silent_ms={stalled_ms:.3f}'
     )
 
 
@@ -138,7 +144,7 @@
     """Run the measurements."""
     argparse.ArgumentParser(description=__doc__).parse_args()
     for streams in (10, 40, 200):
-        measure_looks(streams, 12)
+        measure_stall_checks(streams, 12)
     for engines, domains in ((39, 3), (98, 4), (345, 7), (690, 7)):
         measure_fleet(engines, domains)
 
--- a/tools/bench_throughput.py
+++ b/tools/bench_throughput.py
@@ -1,9 +1,9 @@
-"""Measure the planner's throughput against the maximum-flow bound.
+"""Measure the planner's throughput relative to the maximum-flow bound.
 
-A small discrete-event driver: entries plan routes with loads that lag,
-engines of mixed kinds run steps of a bounded batch, links differ a
-hundredfold in time and rate. Nothing but the placement differs between the
-policies that are compared.
+A discrete-event simulation: entries plan routes with delayed load reports,
+engines of several kinds run steps with a maximum batch, and links differ by
+a factor of 100 in latency and rate. The compared policies differ only in the
+selection of routes.
 """
 
 from __future__ import annotations
@@ -32,28 +32,29 @@
 SEEDS = (1, 2, 3)
 
 _REPORT_LAG_MS = 250
-_WARM_MS = 10_000
+_WARM_UP_MS = 10_000
 _END_MS = 25_000
-_TOKENS = (40, 120)
-_CROWDING = 3.0
+_TOKEN_RANGE = (40, 120)
+_IN_FLIGHT_FACTOR = 3.0
 _TYPICAL_CYCLE_MS = 100.0
 
 
 @attrs.frozen
 class Scenario:
-    """How much entries know.
+    """Reports that are available to entries.
 
     Attributes
     ----------
     entries : int
-        Entries that plan, each for itself.
+        Entries that plan independently.
     report_ms : int
-        Time between two load reports of an engine; 0 for one at the start,
-        when all are idle, which tells of their kinds.
+        Interval between load reports of an engine, in milliseconds; 0 for a
+        single report at the start, when all engines are idle, which has
+        their step times and batch limits.
     limits : questions.Limits or None
-        How often entries ask engines to tell loads and times of links with
-        an answer; None where loads are published, and times of links come
-        with one token in sixteen.
+        Rates at which entries request reports of loads and link times with
+        a response; None if loads are published and every 16th token has the
+        link times.
     """
 
     entries: int
@@ -61,19 +62,22 @@
     limits: questions.Limits | None = None
 
 
-USUAL = Scenario(entries=6, report_ms=500)
+PUBLISHED = Scenario(entries=6, report_ms=500)
 STALE = Scenario(entries=60, report_ms=5_000)
-"""Each entry knows a sixtieth of the load, from reports of seconds ago."""
+"""Each entry sends 1/60 of the load, with reports that are seconds old."""
 
-ASKED = Scenario(entries=60, report_ms=0, limits=questions.Limits(0.043, 1.3))
-"""As often for each engine and each link as at the size to design for.
+REQUESTED = Scenario(
+    entries=60, report_ms=0, limits=questions.Limits(0.043, 1.3)
+)
+"""The same rate of reports for each engine and link as at the design size.
 
-There an entry asks for 0.25 answers a second with the loads of 4 engines of
-288, and for 3 with the times of 3 links of 42. Here a route has 2.4 of 30
-engines and crosses about one of 6 links between domains.
+At the design size, an entry requests 0.25 responses a second with the loads
+of 4 of 288 engines, and 3 a second with the times of 3 of 42 links. In this
+simulation a route has 2.4 of 30 engines and crosses about one of 6 links
+between domains.
 """
 
-ASKED_TODAY = Scenario(
+REQUESTED_CURRENT = Scenario(
     entries=6, report_ms=0, limits=questions.compute_limits(6)
 )
 
@@ -82,7 +86,7 @@
     throughput_policies.Policy,
 ]
 
-_HOPS_EVERY = 16
+_HOPS_REPORT_INTERVAL = 16
 
 POLICIES: dict[str, BuildPolicy] = {
     'thornspool': throughput_policies.PlannerPolicy,
@@ -93,7 +97,7 @@
 
 @attrs.define(eq=False)
 class _Engine:
-    """An engine: its queue and what its batch holds."""
+    """An engine with its queue and its current batch."""
 
     name: str
     step_ms: float
@@ -104,20 +108,20 @@
 
 @attrs.define(eq=False)
 class _Request:
-    """A request: where it is on its route and how much is left."""
+    """A request with its position on the route and its progress."""
 
     entry: int
     route: routes.Route
-    left: int
-    tell: questions.Tell
-    done: int = 0
+    remaining_tokens: int
+    requested_reports: questions.Tell
+    completed_tokens: int = 0
     position: int = 0
     hops: list[float] = attrs.field(factory=list)
     meter: stage_times.PaceMeter = attrs.field(factory=stage_times.PaceMeter)
 
 
-class Driver:
-    """A run of one policy in one world, event by event.
+class Simulation:
+    """Simulation of one policy with one set of engines and links.
 
     Parameters
     ----------
@@ -126,9 +130,9 @@
     build_policy : callable
         Builds the policy of an entry.
     seed : int
-        Seed of the lengths of answers and of the policies.
+        Seed of the lengths of responses and of the policies.
     scenario : Scenario, optional
-        How much entries know.
+        Reports that are available to entries.
     """
 
     def __init__(
@@ -136,7 +140,7 @@
         world: throughput_world.World,
         build_policy: BuildPolicy,
         seed: int,
-        scenario: Scenario = USUAL,
+        scenario: Scenario = PUBLISHED,
     ) -> None:
         self.tokens = 0
         self._scenario = scenario
@@ -153,28 +157,30 @@
         }
         self._link_free: dict[tuple[str, str], float] = {}
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._order = itertools.count()
+        self._event_numbers = itertools.count()
         self._now = 0.0
 
     def run(self, requests: int) -> float:
-        """Keep some requests in flight; return tokens a millisecond."""
+        """Keep a number of requests in flight; return tokens a millisecond."""
         for number in range(requests):
-            # Callers do not all start at once; the reports of the first
-            # ones are there when the others come.
-            begin = self._random.uniform(0, _WARM_MS / 2)
+            # Starts are spread out, so that later requests are planned with
+            # the reports of the first ones.
+            begin = self._random.uniform(0, _WARM_UP_MS / 2)
             entry = number % self._scenario.entries
-            self._at(begin, functools.partial(self._begin, entry))
-        self._at(0.0, self._report)
+            self._schedule(
+                begin, functools.partial(self._start_request, entry)
+            )
+        self._schedule(0.0, self._report)
         while self._events and self._now < _END_MS:
-            self._now, _, act = heapq.heappop(self._events)
-            act()
-        return self.tokens / (_END_MS - _WARM_MS)
+            self._now, _, action = heapq.heappop(self._events)
+            action()
+        return self.tokens / (_END_MS - _WARM_UP_MS)
 
-    def _at(self, time: float, act: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (time, next(self._order), act))
+    def _schedule(self, time: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (time, next(self._event_numbers), action))
 
     def _build_views(self) -> list[throughput_policies.LaggingView]:
-        """Build a view for each entry, or one for all of them."""
+        """Build a view for each entry, or one view that all entries share."""
         count = self._scenario.entries
         if self._scenario.limits is None:
             return [throughput_policies.LaggingView()] * count
@@ -182,21 +188,21 @@
 
     def _report(self) -> None:
         for view in dict.fromkeys(self._views):
-            self._tell_loads(view, self._engines)
+            self._publish_loads(view, self._engines)
         if self._scenario.limits is None:
-            self._at(self._now + self._scenario.report_ms, self._report)
+            self._schedule(self._now + self._scenario.report_ms, self._report)
 
-    def _tell_loads(
+    def _publish_loads(
         self,
         view: throughput_policies.LaggingView,
         targets: typing.Iterable[str],
     ) -> None:
-        """Have an entry know the present loads of engines a bit later."""
-        known_at = self._now + _REPORT_LAG_MS
+        """Publish the current loads of engines to a view after the lag."""
+        published_at = self._now + _REPORT_LAG_MS
         reports = [
             messages.LoadReport(
                 engine.name,
-                int(known_at),
+                int(published_at),
                 messages.Readiness.READY,
                 len(engine.batch),
                 len(engine.queue),
@@ -205,16 +211,16 @@
             )
             for engine in map(self._engines.__getitem__, targets)
         ]
-        self._at(known_at, lambda: view.publish(reports))
+        self._schedule(published_at, lambda: view.publish(reports))
 
-    def _begin(self, entry: int) -> None:
+    def _start_request(self, entry: int) -> None:
         policy = self._policies[entry]
         route = policy.plan(int(self._now))
-        tell = questions.NOTHING
+        requested_reports = questions.NOTHING
         if self._scenario.limits is not None:
-            tell = policy.choose_tell(route, int(self._now))
-        length = self._random.randint(*_TOKENS)
-        self._arrive(_Request(entry, route, length, tell))
+            requested_reports = policy.choose_tell(route, int(self._now))
+        length = self._random.randint(*_TOKEN_RANGE)
+        self._arrive(_Request(entry, route, length, requested_reports))
 
     def _arrive(self, request: _Request) -> None:
         target = request.route.stages[request.position].target
@@ -227,104 +233,110 @@
         count = min(engine.max_batch, len(engine.queue))
         engine.batch = [engine.queue.popleft() for _ in range(count)]
         if engine.batch:
-            self._at(
+            self._schedule(
                 self._now + engine.step_ms, lambda: self._end_step(engine)
             )
 
     def _end_step(self, engine: _Engine) -> None:
         batch, engine.batch = engine.batch, []
         for request in batch:
-            self._move_on(request)
+            self._advance(request)
         if not engine.batch:
             self._start_step(engine)
 
-    def _move_on(self, request: _Request) -> None:
+    def _advance(self, request: _Request) -> None:
         stages = request.route.stages
-        here = stages[request.position].failure_domain
+        domain = stages[request.position].failure_domain
         if request.position + 1 < len(stages):
             request.position += 1
-            there = stages[request.position].failure_domain
-            arrival = self._cross(here, there)
+            next_domain = stages[request.position].failure_domain
+            arrival = self._send_over_link(domain, next_domain)
             request.hops.append(arrival - self._now)
-            self._at(arrival, lambda: self._arrive(request))
+            self._schedule(arrival, lambda: self._arrive(request))
             return
-        # The way back carries a token and no activations, so it takes time
-        # but no part of the link's rate.
-        back = throughput_world.read_link_ms(here, stages[0].failure_domain)
-        self._at(self._now + back, lambda: self._end_token(request))
-
-    def _tells_hops(self, request: _Request) -> bool:
-        """Say whether the token that ends brings the times of links."""
+        # The token returns without activations: it takes the link's latency
+        # but none of its rate.
+        return_ms = throughput_world.read_link_ms(
+            domain, stages[0].failure_domain
+        )
+        self._schedule(self._now + return_ms, lambda: self._end_token(request))
+
+    def _has_hops(self, request: _Request) -> bool:
+        """Return whether the completed token has the link times."""
         if self._scenario.limits is None:
-            return request.left % _HOPS_EVERY == 0
-        return request.tell.hops and request.done == 1
-
-    def _cross(self, here: str, there: str) -> float:
-        """Return when something sent now arrives, behind what is sent."""
-        free = max(self._now, self._link_free.get((here, there), 0.0))
-        free += 1 / throughput_world.read_link_rate(here, there)
-        self._link_free[here, there] = free
-        return free + throughput_world.read_link_ms(here, there)
+            return request.remaining_tokens % _HOPS_REPORT_INTERVAL == 0
+        return request.requested_reports.hops and request.completed_tokens == 1
+
+    def _send_over_link(self, domain: str, next_domain: str) -> float:
+        """Return the arrival time of data sent now, after queued data."""
+        free_at = max(
+            self._now, self._link_free.get((domain, next_domain), 0.0)
+        )
+        free_at += 1 / throughput_world.read_link_rate(domain, next_domain)
+        self._link_free[domain, next_domain] = free_at
+        return free_at + throughput_world.read_link_ms(domain, next_domain)
 
     def _end_token(self, request: _Request) -> None:
         policy = self._policies[request.entry]
-        if self._now >= _WARM_MS:
+        if self._now >= _WARM_UP_MS:
             self.tokens += 1
-        if self._tells_hops(request):
+        if self._has_hops(request):
             policy.note_hops(request.route, request.hops, int(self._now))
-        pace = request.meter.count(1, int(self._now))
-        if pace is not None:
-            policy.note_pace(request.route, pace, int(self._now))
+        interval_ms = request.meter.count(1, int(self._now))
+        if interval_ms is not None:
+            policy.note_pace(request.route, interval_ms, int(self._now))
         request.hops = []
-        request.left -= 1
-        request.done += 1
-        if request.left:
+        request.remaining_tokens -= 1
+        request.completed_tokens += 1
+        if request.remaining_tokens:
             request.position = 0
             self._arrive(request)
             return
         policy.end(request.route)
-        if request.tell.loads:
+        if request.requested_reports.loads:
             view = self._views[request.entry]
-            self._tell_loads(view, request.route.list_targets())
-        self._begin(request.entry)
+            self._publish_loads(view, request.route.list_targets())
+        self._start_request(request.entry)
 
 
 def measure_seed(seed: int) -> dict[str, float]:
-    """Measure each policy in the world of one seed."""
+    """Measure each policy with the engines and links of one seed."""
     world = throughput_world.build_world(seed)
     bound = world.compute_bound()
-    requests = int(bound * _TYPICAL_CYCLE_MS * _CROWDING)
+    requests = int(bound * _TYPICAL_CYCLE_MS * _IN_FLIGHT_FACTOR)
     shares = {
-        name: Driver(world, build, seed).run(requests) / bound
+        name: Simulation(world, build, seed).run(requests) / bound
         for name, build in POLICIES.items()
     }
     planner = POLICIES['thornspool']
-    stale = Driver(world, planner, seed, STALE).run(requests) / bound
-    asked = _measure_asked(world, seed, requests, ASKED) / bound
-    asked_today = _measure_asked(world, seed, requests, ASKED_TODAY) / bound
+    stale = Simulation(world, planner, seed, STALE).run(requests) / bound
+    requested = _measure_requested(world, seed, requests, REQUESTED) / bound
+    requested_current = (
+        _measure_requested(world, seed, requests, REQUESTED_CURRENT) / bound
+    )
     return {
         'seed': seed,
         'bound_tokens_per_s': round(bound * 1000),
         'requests': requests,
         **{name: round(share, 3) for name, share in shares.items()},
         'thornspool_stale': round(stale, 3),
-        'thornspool_asked': round(asked, 3),
-        'thornspool_asked_today': round(asked_today, 3),
+        'thornspool_asked': round(requested, 3),
+        'thornspool_asked_today': round(requested_current, 3),
     }
 
 
-def _measure_asked(
+def _measure_requested(
     world: throughput_world.World,
     seed: int,
     requests: int,
     scenario: Scenario,
 ) -> float:
-    """Measure the planner where loads come with answers that are asked."""
+    """Measure the planner with loads that are requested with responses."""
     assert scenario.limits is not None
     build = functools.partial(
         throughput_policies.PlannerPolicy, limits=scenario.limits
     )
-    return Driver(world, build, seed, scenario).run(requests)
+    return Simulation(world, build, seed, scenario).run(requests)
 
 
 def _compute_mean(runs: list[dict[str, float]], name: str) -> float:
@@ -337,11 +349,11 @@
     Returns
     -------
     dict
-        ``throughput_to_bound`` with the mean share of each policy,
-        ``stale_reports`` with that of the planner when sixty entries plan
-        by reports of each 5 s, ``asked`` and ``asked_today`` when sixty and
-        six plan by what they ask engines to tell with answers, and ``runs``
-        with each run and its seed.
+        ``throughput_to_bound`` is the mean share of the bound by policy,
+        ``stale_reports`` that of the planner when 60 entries plan with
+        reports every 5 s, ``asked`` and ``asked_today`` when 60 and 6 entries
+        plan with the reports that they request with responses, and ``runs``
+        has the figures of each seed.
     """
     runs = [measure_seed(seed) for seed in SEEDS]
     means = {name: _compute_mean(runs, name) for name in POLICIES}
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -1,10 +1,10 @@
-"""Measures the slopes behind docs/CAPACITY.md and prints them as JSON.
+"""Measure the slopes in docs/CAPACITY.md and print them as JSON.
 
-Each slope is taken at three sizes or more: in this process (bytes of memory
-by tracemalloc, processor time by ``time.process_time``), of limits,
-quarantine and questions by ``tools.capacity_control``, of a real entry
-process by ``tools.capacity_processes``, and of simulated gossip by
-``tools.bench_membership``.
+Each slope is fitted to three or more sizes. This process measures memory with
+``tracemalloc`` and processor time with ``time.process_time``;
+``tools.capacity_control`` measures limits, quarantine and the reports that
+engines add to responses, ``tools.capacity_processes`` a real entry process,
+and ``tools.bench_membership`` simulated gossip.
 """
 
 from __future__ import annotations
@@ -54,11 +54,12 @@
     unit : str
         Unit of the values.
     sizes : tuple of int
-        Number of things.
+        Numbers of items.
     values : tuple of float
         The quantity at each size.
     slope : float
-        By least squares, in units for each further thing; 0 for one size.
+        Least-squares slope in units for each additional item; 0 for a
+        single size.
     """
 
     unit: str
@@ -70,38 +71,38 @@
 def fit_slope(
     unit: str, sizes: tuple[int, ...], values: tuple[float, ...]
 ) -> Measured:
-    """Fit a line through the values of a quantity."""
+    """Fit a line to the values of a quantity by least squares."""
     if len(sizes) == 1:
         return Measured(unit, sizes, values, 0.0)
     mean_size = sum(sizes) / len(sizes)
     mean_value = sum(values) / len(values)
-    above = sum(
+    covariance = sum(
         (size - mean_size) * (value - mean_value)
         for size, value in zip(sizes, values, strict=True)
     )
-    below = sum((size - mean_size) ** 2 for size in sizes)
+    variance = sum((size - mean_size) ** 2 for size in sizes)
     rounded = tuple(round(value, 4) for value in values)
-    return Measured(unit, sizes, rounded, round(above / below, 6))
+    return Measured(unit, sizes, rounded, round(covariance / variance, 6))
 
 
 def measure_memory(build: Build, sizes: tuple[int, ...]) -> Measured:
-    """Measure the memory that a structure holds at several sizes."""
+    """Measure the memory of a structure at several sizes."""
     values = []
     for size in sizes:
         gc.collect()
         tracemalloc.start()
-        held = build(size)
+        structure = build(size)
         gc.collect()
         values.append(float(tracemalloc.get_traced_memory()[0]))
         tracemalloc.stop()
-        del held
+        del structure
     return fit_slope('bytes', sizes, tuple(values))
 
 
 def measure_time(work: Build, sizes: tuple[int, ...]) -> Measured:
-    """Measure processor milliseconds that a function spends at sizes.
+    """Measure the processor time of a function at several sizes.
 
-    ``work`` returns what was timed as a pair of seconds and repetitions.
+    ``work`` returns the processor time in seconds and the repetitions.
     """
     values = []
     for size in sizes:
@@ -111,7 +112,7 @@
 
 
 def build_workspace(number: int) -> documents.Workspace:
-    """Build a workspace document of the usual length."""
+    """Build a workspace document of typical length."""
     return documents.Workspace(
         name=f'workspace-{number:05}',
         models=('drafter', 'describer'),
@@ -147,7 +148,13 @@
     contents: contents_module.Contents,
     additions: tuple[documents.Document, ...],
 ) -> contents_module.Contents:
-    """Publish documents and apply the version."""
+    """Publish documents and return the contents of the new version.
+
+    Raises
+    ------
+    TypeError
+        When the publication is not accepted.
+    """
     publication = publications.Publication(
         f'publication-{contents.head.version}',
         'capacity',
@@ -156,12 +163,12 @@
     )
     plan = publications.plan_publication(contents, publication, 0)
     if not isinstance(plan, publications.Plan):
-        raise TypeError(f'The publication was not planned: {plan}')
+        raise TypeError(f'publication was not accepted: {plan}')
     return contents_module.advance_contents(contents, plan.head, plan.values)
 
 
 def measure_configuration() -> dict[str, Measured]:
-    """Measure what a workspace's document costs an entry."""
+    """Measure the memory, bytes and time of a workspace document."""
     built = {size: build_contents(size) for size in WORKSPACE_SIZES}
     largest = tuple(
         float(max(len(value) for value in built[size].values.values()))
@@ -202,10 +209,10 @@
     """Build a ledger page of settled records."""
     random_source = random.Random(SEED)
     outcome = records.Outcome(200, 'application/json', OUTCOME)
-    made = {}
+    records_by_key = {}
     for _ in range(size):
         attempt = f'{random_source.getrandbits(128):032x}'
-        made[f'workspace-1/{attempt}'] = records.Record(
+        records_by_key[f'workspace-1/{attempt}'] = records.Record(
             records.RecordState.DONE,
             attempt,
             runner='perth-1-018f0000-0000-7000-8000-000000000000',
@@ -215,11 +222,11 @@
             deadline=1_790_000_000_000,
             outcome=outcome,
         )
-    return records.Page(1, 1, made)
+    return records.Page(1, 1, records_by_key)
 
 
 def measure_ledger() -> dict[str, Measured]:
-    """Measure what a record costs a page and its writer."""
+    """Measure the bytes, memory and time of a ledger record."""
     encoded = tuple(
         float(len(records.encode_page(build_page(size))))
         for size in RECORD_SIZES
@@ -242,7 +249,7 @@
 
 
 def measure_planning() -> dict[str, Measured]:
-    """Measure the time of one plan by the number of engines of a model."""
+    """Measure the time of one route plan by the engines of a model."""
 
     def plan(size: int) -> tuple[float, int]:
         ranges = ((0, 16), (16, 32), (32, LAYERS))
@@ -261,7 +268,7 @@
             for number, stage in enumerate(stages)
         }
         model = documents.Model('drafter', '1', LAYERS, stages)
-        costs = planner.Costs(lambda stage: 1.0, lambda one, other: 1.0)
+        costs = planner.Costs(lambda stage: 1.0, lambda first, second: 1.0)
         random_source = random.Random(SEED)
         started = time.process_time()
         for _ in range(PLANS):
@@ -282,8 +289,8 @@
 
 
 def build_counts(size: int) -> list[objective_counts.SlidingCounts]:
-    """Build the counts of subjects that were busy for three days."""
-    made = []
+    """Build the counts of subjects with traffic in every time slot."""
+    all_counts = []
     for _ in range(size):
         counts = objective_counts.SlidingCounts()
         for hour in range(objective_counts.COARSE_SLOTS):
@@ -292,12 +299,12 @@
         for minute in range(objective_counts.FINE_SLOTS):
             now = last + minute * objective_counts.MINUTE_MS
             counts.add(now, 1, 0)
-        made.append(counts)
-    return made
+        all_counts.append(counts)
+    return all_counts
 
 
-def measure_state() -> dict[str, Measured]:
-    """Measure the state for each target and each subject of the report."""
+def measure_report_state() -> dict[str, Measured]:
+    """Measure the memory for each target and each subject of objectives."""
     return {
         'load_report_memory_by_target': measure_memory(
             build_reports, TARGET_SIZES
@@ -307,7 +314,7 @@
 
 
 def measure_control() -> dict[str, Measured]:
-    """Measure the state of limits and quarantine."""
+    """Measure the memory of limits and quarantine."""
     workspaces = capacity_control.WORKSPACE_SIZES
     fingerprints = capacity_control.RECORD_SIZES
     return {
@@ -321,7 +328,7 @@
             capacity_control.build_quarantine, fingerprints
         ),
         'quarantine_memory_by_record_of_8_deaths': measure_memory(
-            capacity_control.build_often_dead, fingerprints
+            capacity_control.build_often_crashed, fingerprints
         ),
     }
 
@@ -329,15 +336,17 @@
 def fit_gossip(
     gossip: dict[str, dict[str, float]],
 ) -> dict[str, Measured]:
-    """Fit what a node spends for each round of gossip, one a second."""
-    # Beside the sizes stands what real sockets take.
-    found = [gossip[str(size)] for size in bench_membership.SIZES]
+    """Fit the bytes and time of a node for each gossip round of 1 s."""
+    # The mapping also has the figures of real sockets.
+    by_size = [gossip[str(size)] for size in bench_membership.SIZES]
     sizes = bench_membership.SIZES
-    sent = tuple(one['sent_bytes_per_s'] for one in found)
-    processor = tuple(one['cpu_percent'] * MS_PER_PERCENT for one in found)
+    sent = tuple(figures['sent_bytes_per_s'] for figures in by_size)
+    cpu_ms = tuple(
+        figures['cpu_percent'] * MS_PER_PERCENT for figures in by_size
+    )
     return {
         'gossip_bytes_per_round_by_member': fit_slope('bytes', sizes, sent),
-        'gossip_cpu_per_round_by_member': fit_slope('ms', sizes, processor),
+        'gossip_cpu_per_round_by_member': fit_slope('ms', sizes, cpu_ms),
     }
 
 
@@ -347,13 +356,13 @@
     Returns
     -------
     dict of str to Measured or figures
-        By name; sizes and values as measured.
+        Slopes by name, with their sizes and values.
     """
     slopes: dict[str, Measured] = {
         **measure_configuration(),
         **measure_ledger(),
         **measure_planning(),
-        **measure_state(),
+        **measure_report_state(),
         **measure_control(),
     }
     measured = {
@@ -364,13 +373,13 @@
         slopes[name] = fit_slope(unit, sizes, values)
     gossip = bench_membership.measure_membership()
     slopes.update(fit_gossip(gossip))
-    figures = {name: attrs.asdict(one) for name, one in slopes.items()}
+    figures = {name: attrs.asdict(slope) for name, slope in slopes.items()}
     figures['gossip'] = gossip
     return figures
 
 
 def main() -> int:
-    """Print one JSON object, indented, then the same on one line."""
+    """Print one JSON object, first indented, then on one line."""
     figures = measure_slopes()
     print(json.dumps(figures, indent=2))
     print(json.dumps(figures))
--- a/tools/capacity_control.py
+++ b/tools/capacity_control.py
@@ -1,7 +1,7 @@
-"""Measures what limits, quarantine and questions to engines cost an entry.
+"""Measure the cost of limits, quarantine and engine reports for an entry.
 
-Parts of one entry of 350 run in this process; others are replaced by their
-messages, which are encoded and decoded as on the wire. Nothing is sent.
+Parts of one entry of 350 run in this process. The messages of the other
+entries are encoded and decoded as on the wire, but nothing is sent.
 """
 
 from __future__ import annotations
@@ -35,63 +35,72 @@
 ROUNDS = 200
 ROUND_MS = 10_000
 LIMITS = documents.Limits(1_000.0, 1_000_000.0, 1_000)
-FAR_MS = 10**12
+FAR_DEADLINE_MS = 10**12
 
 Measured = tuple[str, tuple[tuple[int, ...], tuple[float, ...]]]
-"""Unit, then sizes and values."""
+"""Unit, with the sizes and the values."""
 
 
 class SteppedClock(clock_module.Clock):
-    """A clock that moves from round to round."""
+    """A clock that advances only between rounds."""
 
     def __init__(self) -> None:
-        self.at = 1_000_000
+        self.now_ms = 1_000_000
 
     def now(self) -> int:
-        """Return monotonic milliseconds."""
-        return self.at
+        """Return the simulated monotonic time in milliseconds."""
+        return self.now_ms
 
 
 class Members:
-    """A view of the whole fleet that does not change."""
+    """A constant membership view of the whole fleet."""
 
     def __init__(self) -> None:
-        self._members = tuple(build_member(at) for at in range(MEMBERS))
-        self._by_name = {one.incarnation: one for one in self._members}
+        self._members = tuple(
+            build_member(number) for number in range(MEMBERS)
+        )
+        self._by_name = {
+            member.incarnation: member for member in self._members
+        }
 
     def list_members(self) -> tuple[ports.Member, ...]:
         """Return all members."""
         return self._members
 
     def find(self, incarnation: str) -> ports.Member | None:
-        """Return a member."""
+        """Return the member with an incarnation, or None."""
         return self._by_name.get(incarnation)
 
 
-class Wire:
-    """Takes reports of one entry and answers them as owners would.
+class ReplyingPeers:
+    """Replies to the reports of one entry like the owners of workspaces.
+
+    Parameters
+    ----------
+    local_member : ports.Member
+        The entry that sends the reports.
 
     Attributes
     ----------
     handler : callable or None
-        Answers reports of others.
+        Handler for the reports of other entries.
     """
 
-    def __init__(self, own: ports.Member) -> None:
+    def __init__(self, local_member: ports.Member) -> None:
         self.handler: typing.Any = None
-        self._own = own
+        self._local_member = local_member
         self._registry = registry.Registry()
         for message_type in (messages.DemandReport, messages.GrantReply):
             self._registry.register(message_type)
 
     def handle(self, message_type: type, handler: typing.Any) -> None:
-        """Keep the handler of reports."""
+        """Register the handler of reports."""
         self.handler = handler
 
     async def ask(
         self, address: str, report: messages.DemandReport, timeout_ms: int
     ) -> messages.GrantReply:
-        """Encode a report, and decode an answer that grants little."""
+        """Encode a report and return a decoded reply with small grants."""
         self.encode(report)
         grants = [
             messages.WorkspaceGrant(
@@ -111,12 +120,12 @@
 
     def encode(self, message: object, is_reply: bool = False) -> bytes:
         """Encode a message in its frame."""
-        recipient = packing.digest_incarnation(self._own.incarnation)
+        recipient = packing.digest_incarnation(self._local_member.incarnation)
         kind, body = self._registry.encode(message)
         return frames.encode(
             frames.Frame(
-                self._own.incarnation,
-                self._own.peer_address,
+                self._local_member.incarnation,
+                self._local_member.peer_address,
                 kind,
                 1_000,
                 recipient if is_reply else frames.NO_RECIPIENT,
@@ -131,7 +140,7 @@
 
 
 def build_member(number: int) -> ports.Member:
-    """Build a member whose incarnation is like a real one."""
+    """Build a member with an incarnation of realistic length."""
     address = f'10.1.{number // 250}.{number % 250 + 1}'
     identifier = uuid.UUID(int=number << 64 | 0x7 << 76, version=4)
     return ports.Member(
@@ -145,12 +154,12 @@
 
 
 def build_service() -> tuple[
-    admission.AdmissionService, Wire, SteppedClock, list[str]
+    admission.AdmissionService, ReplyingPeers, SteppedClock, list[str]
 ]:
-    """Build the admission of one entry, for workspaces others look after."""
+    """Build the admission of one entry for workspaces of other owners."""
     clock, members = SteppedClock(), Members()
-    own = build_member(0)
-    wire = Wire(own)
+    local_member = build_member(0)
+    peers = ReplyingPeers(local_member)
     names = [f'workspace-{number:05}' for number in range(200)]
     snapshot = documents.Snapshot(
         1, {name: documents.Workspace(name, limits=LIMITS) for name in names}
@@ -158,71 +167,71 @@
     service = admission.AdmissionService(
         lambda: snapshot,
         members,
-        own.incarnation,
-        typing.cast('ports.Peers', wire),
+        local_member.incarnation,
+        typing.cast('ports.Peers', peers),
         clock,
         lambda: 0.5,
         lambda group: messages.Capacity(),
     )
-    return service, wire, clock, names
+    return service, peers, clock, names
 
 
-def time_reporting(lines: int) -> float:
-    """Return the milliseconds that one round of reports of lines takes."""
+def time_reports(lines: int) -> float:
+    """Return the milliseconds of one round of reports."""
     service, _, clock, names = build_service()
-    asked = messages.Asked('text', 'text', 0, FAR_MS)
+    request = messages.Asked('text', 'text', 0, FAR_DEADLINE_MS)
     loop = asyncio.new_event_loop()
     seconds = 0.0
     for _ in range(ROUNDS):
-        clock.at += ROUND_MS
+        clock.now_ms += ROUND_MS
         for name in names[:lines]:
             for _ in range(2):
-                service.admit(name, asked, clock.at)
+                service.admit(name, request, clock.now_ms)
         started = time.process_time()
-        loop.run_until_complete(service.share_demand(clock.at))
+        loop.run_until_complete(service.share_demand(clock.now_ms))
         seconds += time.process_time() - started
     loop.close()
     return seconds / ROUNDS * 1000
 
 
-def time_answering(lines: int) -> float:
-    """Return the milliseconds that an owner takes to answer one report."""
-    _, wire, clock, names = build_service()
+def time_replies(lines: int) -> float:
+    """Return the milliseconds in which an owner replies to one report."""
+    _, peers, clock, names = build_service()
     loop = asyncio.new_event_loop()
     amounts = messages.Amounts(12.3456, 4567.891, 17.0)
     seconds = 0.0
     for number in range(ROUNDS):
-        clock.at += ROUND_MS
+        clock.now_ms += ROUND_MS
         report = messages.pack_report(
             [
-                messages.WorkspaceDemand(name, clock.at, amounts, amounts)
+                messages.WorkspaceDemand(name, clock.now_ms, amounts, amounts)
                 for name in names[:lines]
             ]
         )
         sender = build_member(1 + number % (MEMBERS - 1)).incarnation
-        data = wire.encode(report)
+        data = peers.encode(report)
         started = time.process_time()
         reply = loop.run_until_complete(
-            wire.handler(sender, wire.decode(data))
+            peers.handler(sender, peers.decode(data))
         )
-        wire.encode(reply, True)
+        peers.encode(reply, True)
         seconds += time.process_time() - started
     loop.close()
     return seconds / ROUNDS * 1000
 
 
 def count_report_bytes(lines: int) -> float:
-    """Return the bytes of the frame of a report."""
+    """Return the size of the frame of a report in bytes."""
     amounts = messages.Amounts(12.3456, 4567.891, 17.0)
     line = messages.WorkspaceDemand(
         'workspace-12345', 1_234_567_890, amounts, amounts
     )
     report = messages.pack_report([line] * lines)
-    return float(len(Wire(build_member(100)).encode(report)))
+    return float(len(ReplyingPeers(build_member(100)).encode(report)))
 
 
 def count_reply_bytes(lines: int) -> float:
-    """Return the bytes of the frame of the answer to a report."""
+    """Return the size of the frame of the reply to a report in bytes."""
     share = messages.Amounts(12.3456, 4567.891, 17.0)
     grant = messages.WorkspaceGrant(
         'workspace-12345', 1_234_567_890, share, shares.GRANT_TTL_MS
@@ -230,15 +239,15 @@
     reply = messages.pack_reply(
         grant.sequence, shares.GRANT_TTL_MS, [grant] * lines
     )
-    return float(len(Wire(build_member(100)).encode(reply, True)))
+    return float(len(ReplyingPeers(build_member(100)).encode(reply, True)))
 
 
 def count_frame_bytes(body: int) -> float:
-    """Return the bytes of the frame of a question with a body."""
-    own = build_member(100)
+    """Return the size of the frame of a request with a body in bytes."""
+    local_member = build_member(100)
     frame = frames.Frame(
-        own.incarnation,
-        own.peer_address,
+        local_member.incarnation,
+        local_member.peer_address,
         'limits.DemandReport',
         1_000,
         frames.NO_RECIPIENT,
@@ -248,69 +257,79 @@
 
 
 def build_limiter(workspaces: int) -> limiter.WorkspaceLimiter:
-    """Build an entry's side of limits with active workspaces."""
-    made = limiter.WorkspaceLimiter(MEMBERS)
+    """Build the limiter of an entry with active workspaces."""
+    state = limiter.WorkspaceLimiter(MEMBERS)
     for number in range(workspaces):
         for _ in range(2):
-            made.admit(f'workspace-{number:05}', LIMITS, 1_000)
-    for report in made.collect(2_000, workspaces):
+            state.admit(f'workspace-{number:05}', LIMITS, 1_000)
+    for report in state.collect(2_000, workspaces):
         share = messages.Amounts(1.0, 1_000.0, 1.0)
-        made.apply(
+        state.apply(
             messages.WorkspaceGrant(
                 report.workspace, report.sequence, share, shares.GRANT_TTL_MS
             ),
             2_000,
         )
-    return made
+    return state
 
 
 def build_holdings(workspaces: int) -> shares.ShareLedger:
-    """Build an owner's side with one holder of each workspace."""
-    made = shares.ShareLedger()
+    """Build the share ledger of an owner with one holder a workspace."""
+    state = shares.ShareLedger()
     for number in range(workspaces):
         amounts = messages.Amounts(1.5 + number, 100.5 + number, 1.0)
         line = messages.WorkspaceDemand(
             f'workspace-{number:05}', 1_000 + number, amounts, amounts
         )
         holder = build_member(number % MEMBERS).incarnation
-        made.grant(holder, line, LIMITS, MEMBERS, True, 1_000)
-    return made
+        state.grant(holder, line, LIMITS, MEMBERS, True, 1_000)
+    return state
 
 
-def build_quarantine(size: int, deaths: int = 1) -> records.QuarantineRecords:
-    """Build records of requests that each were in flight at deaths."""
-    made = records.QuarantineRecords(build_member(0).incarnation)
+def build_quarantine(size: int, crashes: int = 1) -> records.QuarantineRecords:
+    """Build records of requests that were in flight at crashes.
+
+    Parameters
+    ----------
+    size : int
+        Number of requests.
+    crashes : int, optional
+        Number of crashes of each request.
+    """
+    state = records.QuarantineRecords(build_member(0).incarnation)
     for number in range(size):
         fingerprint = frozenset([f'{number:032x}'])
-        for death in range(deaths):
-            now = 1_000 + 2 * records.SAME_DEATH_MS * death
-            made.note_death(
+        for crash in range(crashes):
+            now = 1_000 + 2 * records.SAME_DEATH_MS * crash
+            state.note_death(
                 f'engine-{number % 690}', fingerprint, frozenset(), now
             )
-    return made
+    return state
 
 
-def build_often_dead(size: int) -> records.QuarantineRecords:
-    """Build records that hold the most deaths that are kept."""
+def build_often_crashed(size: int) -> records.QuarantineRecords:
+    """Build records with the maximum number of retained crashes."""
     return build_quarantine(size, records.MAX_DEATHS)
 
 
 def count_loads_bytes(stages: int) -> float:
-    """Return the bytes that loads add to the end of an answer."""
+    """Return the bytes that load reports add to the end of a response."""
     load = engine_messages.Load('engine-123', 'ready', 14, 3, 16, 12.5)
-    told = engine_messages.End('r', 0, 350, [load] * stages)
-    return _count_json(told) - _count_json(engine_messages.End('r', 0, 350))
+    end = engine_messages.End('r', 0, 350, [load] * stages)
+    return _count_json_bytes(end) - _count_json_bytes(
+        engine_messages.End('r', 0, 350)
+    )
 
 
 def count_hops_bytes(stages: int) -> float:
-    """Return the bytes that times of links add to a token."""
-    hops = [0.27 + 12.5 * (at % 2) for at in range(stages - 1)]
+    """Return the bytes that link times add to a token."""
+    hops = [0.27 + 12.5 * (number % 2) for number in range(stages - 1)]
     token = engine_messages.Frame('r', 0, 1, ' the', [])
-    told = engine_messages.Frame('r', 0, 1, ' the', [], hops)
-    return _count_json(told) - _count_json(token)
+    with_hops = engine_messages.Frame('r', 0, 1, ' the', [], hops)
+    return _count_json_bytes(with_hops) - _count_json_bytes(token)
 
 
-def _count_json(message: object) -> float:
+def _count_json_bytes(message: object) -> float:
     return float(len(msgspec.json.encode(message)))
 
 
@@ -326,18 +345,14 @@
     Returns
     -------
     dict of str to Measured
-        By name.
+        Quantities by name.
     """
-    # Types are registered and decoders built on the first use.
-    time_reporting(1)
-    time_answering(1)
+    # Warm-up: types are registered and decoders built on the first use.
+    time_reports(1)
+    time_replies(1)
     return {
-        'limits_report_cpu_by_line': _measure(
-            'ms', time_reporting, LINE_SIZES
-        ),
-        'limits_answer_cpu_by_line': _measure(
-            'ms', time_answering, LINE_SIZES
-        ),
+        'limits_report_cpu_by_line': _measure('ms', time_reports, LINE_SIZES),
+        'limits_answer_cpu_by_line': _measure('ms', time_replies, LINE_SIZES),
         'limits_report_bytes_by_line': _measure(
             'bytes', count_report_bytes, LINE_SIZES
         ),
--- a/tools/capacity_processes.py
+++ b/tools/capacity_processes.py
@@ -1,7 +1,7 @@
-"""Measures what one real entry process spends, at several sizes.
+"""Measure the resources of one real entry process at several sizes.
 
-One entry, stand-ins and this client share the machine; the figures are the
-processor time and the resident memory of the entry's process alone, by
+One entry, stand-ins and this client share the machine. The figures are the
+processor time and the resident memory of only the entry's process, from
 ``/proc``.
 """
 
@@ -27,13 +27,13 @@
 TOKEN_SIZES = (1_000, 3_000, 9_000)
 STREAM_SIZES = (4, 8, 16)
 TARGET_SIZES = (43, 200, 690)
-PARALLEL = 1
-"""More could be refused: calls by the adaptive bound when the machine is
-busy, actions because a lone entry, which writes every page of the ledger
-itself, uses up the calls that it may send to the platform."""
+CONCURRENCY = 1
+"""More concurrent requests could be refused: calls by the adaptive limit when
+the machine is busy, and actions because a single entry, which writes every
+page of the ledger itself, exhausts its limit of platform calls."""
 STREAM_TOKENS = 20_000
-PATIENCE_MS = 300_000
-HOLD_S = 2.0
+TIMEOUT_MS = 300_000
+SETTLE_S = 2.0
 POLL_WINDOW_S = 10.0
 SEED = 20261202
 
@@ -42,16 +42,16 @@
 
 @attrs.frozen
 class Measurer:
-    """One entry with its service and its engine.
+    """Client of the measured entry.
 
     Attributes
     ----------
     session : bench_deployment.Session
-        Client.
+        HTTP client.
     entry : processes.Process
-        What is measured.
+        The measured entry.
     random : random.Random
-        Source of keys.
+        Random source for keys.
     """
 
     session: bench_deployment.Session
@@ -59,11 +59,11 @@
     random: random.Random
 
     def read_cpu_ms(self) -> float:
-        """Return the processor time of the entry so far."""
+        """Return the processor time of the entry in milliseconds."""
         return bench_control.read_cpu_s(self.entry.popen.pid) * 1000
 
     def read_memory(self) -> float:
-        """Return the resident bytes of the entry."""
+        """Return the resident memory of the entry in bytes."""
         return float(bench_control.read_memory_bytes(self.entry.popen.pid))
 
     async def call(self) -> None:
@@ -84,13 +84,13 @@
     async def stream(
         self, tokens: int, on_chunk: Callable[[bytes], None]
     ) -> None:
-        """Send one request for text."""
+        """Send one generation request."""
         url = self.entry.ready['callers'] + bench_deployment.GENERATE_PATH
         body = json.dumps(
             {
                 'prompt': 'Compare.',
                 'max_tokens': tokens,
-                'timeout_ms': PATIENCE_MS,
+                'timeout_ms': TIMEOUT_MS,
             }
         )
         response = await self.session.send(
@@ -100,15 +100,15 @@
             raise ConnectionError(f'{response.code} {response.error}')
 
 
-async def _repeat(work: Callable[[], Awaitable[None]], count: int) -> None:
-    """Do something many times, a few at once."""
-    left = iter(range(count))
+async def _run_many(work: Callable[[], Awaitable[None]], count: int) -> None:
+    """Run a coroutine function many times with limited concurrency."""
+    remaining = iter(range(count))
 
-    async def go_on() -> None:
-        for _ in left:
+    async def run_next() -> None:
+        for _ in remaining:
             await work()
 
-    await asyncio.gather(*(go_on() for _ in range(PARALLEL)))
+    await asyncio.gather(*(run_next() for _ in range(CONCURRENCY)))
 
 
 async def _measure_cpu(
@@ -116,18 +116,18 @@
     work: Callable[[], Awaitable[None]],
     sizes: tuple[int, ...],
 ) -> Series:
-    """Measure processor time of the entry by the number of requests."""
-    await _repeat(work, PARALLEL)
+    """Measure the processor time of the entry by number of requests."""
+    await _run_many(work, CONCURRENCY)
     values = []
     for size in sizes:
         before = measurer.read_cpu_ms()
-        await _repeat(work, size)
+        await _run_many(work, size)
         values.append(measurer.read_cpu_ms() - before)
     return sizes, tuple(values)
 
 
 async def _measure_tokens(measurer: Measurer) -> Series:
-    """Measure processor time by the tokens of one stream."""
+    """Measure the processor time by the tokens of one stream."""
     values = []
     for size in TOKEN_SIZES:
         before = measurer.read_cpu_ms()
@@ -140,30 +140,30 @@
 
 
 async def _measure_streams(measurer: Measurer) -> Series:
-    """Measure resident memory by the streams that are open."""
+    """Measure the resident memory by the number of open streams."""
     values = []
     tasks: list[asyncio.Task[None]] = []
     for size in STREAM_SIZES:
         while len(tasks) < size:
             work = measurer.stream(STREAM_TOKENS, lambda chunk: None)
             tasks.append(asyncio.create_task(work))
-        await asyncio.sleep(HOLD_S)
+        await asyncio.sleep(SETTLE_S)
         values.append(measurer.read_memory())
     ended = [task for task in tasks if task.done()]
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
     if ended:
-        raise ConnectionError(f'{len(ended)} streams ended: {ended[0]}')
+        raise ConnectionError(f'{len(ended)} streams ended early: {ended[0]}')
     return STREAM_SIZES, tuple(values)
 
 
-def make_documents(
+def build_documents(
     urls: dict[str, str], engines: int = 1
 ) -> list[bench_deployment.Document]:
-    """Make the documents of one service and so many engines at one URL."""
+    """Build the documents of one service and of engines at one URL."""
     names = [f'engine-{number}' for number in range(engines)]
-    places = {'host': 'host-1', 'failure_domain': 'perth-a'}
+    location = {'host': 'host-1', 'failure_domain': 'perth-a'}
     stages = [
         {
             'target': name,
@@ -187,7 +187,7 @@
             'name': 'booking-1',
             'serves': 'service',
             'url': urls['service'],
-            **places,
+            **location,
         },
         *(
             {
@@ -195,7 +195,7 @@
                 'name': name,
                 'serves': 'engine',
                 'url': urls['engine'],
-                **places,
+                **location,
             }
             for name in names
         ),
@@ -219,18 +219,18 @@
 async def _measure_polls(
     entry: processes.Process, urls: dict[str, str]
 ) -> Series:
-    """Measure processor time a second by the targets that are polled."""
+    """Measure the processor time per second by the polled targets."""
     session = bench_deployment.Session()
     values = []
     try:
         for version, size in enumerate(TARGET_SIZES):
-            documents = make_documents(urls, size)
+            documents = build_documents(urls, size)
             await bench_deployment.publish(session, entry, documents, version)
-            await asyncio.sleep(HOLD_S)
+            await asyncio.sleep(SETTLE_S)
             before = bench_control.read_cpu_s(entry.popen.pid)
             await asyncio.sleep(POLL_WINDOW_S)
-            spent = bench_control.read_cpu_s(entry.popen.pid) - before
-            values.append(spent * 1000 / POLL_WINDOW_S)
+            cpu_s = bench_control.read_cpu_s(entry.popen.pid) - before
+            values.append(cpu_s * 1000 / POLL_WINDOW_S)
     finally:
         session.close()
     return TARGET_SIZES, tuple(values)
@@ -242,15 +242,17 @@
     session = bench_deployment.Session()
     measurer = Measurer(session, entry, random.Random(SEED))
     try:
-        at_rest = measurer.read_memory()
-        await bench_deployment.publish(session, entry, make_documents(urls), 0)
-        await asyncio.sleep(HOLD_S)
+        idle_memory = measurer.read_memory()
+        await bench_deployment.publish(
+            session, entry, build_documents(urls), 0
+        )
+        await asyncio.sleep(SETTLE_S)
         calls = await _measure_cpu(measurer, measurer.call, CALL_SIZES)
-        acts = await _measure_cpu(measurer, measurer.act, ACTION_SIZES)
+        actions = await _measure_cpu(measurer, measurer.act, ACTION_SIZES)
         return {
-            'entry_memory_at_rest': ('bytes', ((1,), (at_rest,))),
+            'entry_memory_at_rest': ('bytes', ((1,), (idle_memory,))),
             'entry_cpu_by_call': ('ms', calls),
-            'entry_cpu_by_action': ('ms', acts),
+            'entry_cpu_by_action': ('ms', actions),
             'entry_cpu_by_token': ('ms', await _measure_tokens(measurer)),
             'entry_memory_by_stream': (
                 'bytes',
@@ -267,7 +269,7 @@
     Returns
     -------
     dict of str to tuple
-        Unit, sizes and values by name; a single size gives no slope.
+        Unit, sizes and values by name; a single size has no slope.
     """
     with processes.open_processes() as scope:
         platform = scope.start('platform', 'standins.kv_store')
--- a/tools/maximum_flow.py
+++ b/tools/maximum_flow.py
@@ -1,4 +1,4 @@
-"""Bound on the tokens a second of a set of stages: a maximum flow."""
+"""Upper bound on the token rate of a set of stages, as a maximum flow."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
     stage_rate: Callable[[str], float],
     link_rate: Callable[[str, str], float],
 ) -> float:
-    """Compute the most tokens a millisecond that stages and links let pass.
+    """Compute the maximum token rate of stages and links.
 
-    Each boundary between layers has the whole rate of each link to itself,
-    and the way back to the first stage is free, so no planner can do
-    better than this bound.
+    Each boundary between layers is given the whole rate of each link, and
+    the return of tokens to the first stage has no cost, so no planner can
+    exceed this bound.
 
     Parameters
     ----------
@@ -35,9 +35,9 @@
     domains : dict of str to str
         Failure domain of each target.
     stage_rate : callable
-        From a target to tokens a millisecond.
+        Returns the tokens a millisecond of a target.
     link_rate : callable
-        From two failure domains to tokens a millisecond.
+        Returns the tokens a millisecond between two failure domains.
 
     Returns
     -------
@@ -63,44 +63,47 @@
 def _add_links(
     graph: Graph,
     model: documents.Model,
-    names: list[str],
+    domain_names: list[str],
     link_rate: Callable[[str, str], float],
 ) -> None:
     boundaries = {stage.end_layer for stage in model.stages}
     for boundary in boundaries:
-        for first in names:
-            for second in names:
+        for first in domain_names:
+            for second in domain_names:
                 graph[f'{boundary} {first} left'][
                     f'{boundary} {second} reached'
                 ] = link_rate(first, second)
 
 
 def _run_edmonds_karp(graph: Graph) -> float:
-    """Edmonds and Karp, 1972: augment along shortest paths."""
+    """Return the maximum flow by augmenting shortest paths.
+
+    The algorithm is that of Edmonds and Karp (1972).
+    """
     total = 0.0
     while True:
-        came_from = _search(graph)
-        if _SINK not in came_from:
+        predecessors = _find_predecessors(graph)
+        if _SINK not in predecessors:
             return total
         path = [_SINK]
         while path[-1] != _SOURCE:
-            path.append(came_from[path[-1]])
+            path.append(predecessors[path[-1]])
         edges = list(zip(path[1:], path, strict=False))
-        room = min(graph[first][second] for first, second in edges)
+        capacity = min(graph[first][second] for first, second in edges)
         for first, second in edges:
-            graph[first][second] -= room
-            back = graph[second].get(first, 0.0)
-            graph[second][first] = back + room
-        total += room
+            graph[first][second] -= capacity
+            reverse = graph[second].get(first, 0.0)
+            graph[second][first] = reverse + capacity
+        total += capacity
 
 
-def _search(graph: Graph) -> dict[str, str]:
-    came_from = {_SOURCE: ''}
+def _find_predecessors(graph: Graph) -> dict[str, str]:
+    predecessors = {_SOURCE: ''}
     waiting = collections.deque([_SOURCE])
     while waiting:
         node = waiting.popleft()
-        for following, room in graph.get(node, {}).items():
-            if room > 1e-9 and following not in came_from:
-                came_from[following] = node
-                waiting.append(following)
-    return came_from
+        for successor, capacity in graph.get(node, {}).items():
+            if capacity > 1e-9 and successor not in predecessors:
+                predecessors[successor] = node
+                waiting.append(successor)
+    return predecessors
