--- a/tools/pace_caller.py
+++ b/tools/pace_caller.py
@@ -1,7 +1,8 @@
-"""A caller of many streams at once that notes when each token came.
+"""Caller of many concurrent streams that records when each token arrives.
 
-It runs as a process of its own, so that its work is no part of what is
-measured. It prints one line when it is up and one with all streams.
+It runs as a separate process, so that its processor time is not part of the
+measured processes. It prints one line when it has started and one line with
+all streams.
 """
 
 from __future__ import annotations
@@ -22,8 +23,8 @@
     from collections.abc import Sequence
 
 CONNECT_TIMEOUT_S = 10.0
-ANSWER_TIMEOUT_S = 60.0
-REFUSED = 503
+RESPONSE_TIMEOUT_S = 60.0
+SERVICE_UNAVAILABLE = 503
 
 
 @attrs.frozen
@@ -33,11 +34,11 @@
     Attributes
     ----------
     url, body : str
-        What to send and where.
+        URL and body of the request.
     delay_s : float
-        Wait before it is sent.
+        Delay before it is sent, in seconds.
     separator : str
-        What ends a token's event: an empty line, or the end of the line.
+        Text that ends the event of a token: an empty line or a newline.
     """
 
     url: str
@@ -48,18 +49,18 @@
 
 @attrs.frozen
 class Stream:
-    """One answer.
+    """One response.
 
     Attributes
     ----------
     started : float
-        Seconds of the monotonic clock at which it was sent.
+        Time of the request, in seconds of the monotonic clock.
     arrivals : list of float
-        The same for each event, the end included.
+        Arrival time of each event with the end, in seconds of that clock.
     refusals : int
-        How often it was refused before it was taken.
+        Number of refusals before the request was accepted.
     body : str
-        The whole answer.
+        The whole body.
     """
 
     started: float
@@ -69,17 +70,23 @@
 
 
 class _Recorder:
-    """Notes when each event of an answer was whole."""
+    """Records when each event of a response was complete.
+
+    Parameters
+    ----------
+    separator : bytes
+        Bytes that end an event.
+    """
 
     def __init__(self, separator: bytes) -> None:
         self.arrivals: list[float] = []
         self.body = bytearray()
         self._separator = separator
 
-    def note(self, chunk: bytes) -> None:
-        """Note a chunk, which may hold several events or a part of one."""
+    def append_chunk(self, chunk: bytes) -> None:
+        """Append a chunk, which may have several events or a part of one."""
         now = time.monotonic()
-        # A separator may be cut in two by the end of a chunk.
+        # A separator may be split between two chunks.
         start = max(0, len(self.body) - len(self._separator) + 1)
         self.body += chunk
         self.arrivals += [now] * self.body.count(self._separator, start)
@@ -88,7 +95,7 @@
 async def read_stream(
     client: curl_httpclient.CurlAsyncHTTPClient, order: Order
 ) -> Stream:
-    """Send one request, again when it is refused, and read its answer."""
+    """Send one request, retry it while it is refused, and read its stream."""
     await asyncio.sleep(order.delay_s)
     refusals = 0
     while True:
@@ -100,20 +107,20 @@
                 method='POST',
                 body=order.body,
                 connect_timeout=CONNECT_TIMEOUT_S,
-                request_timeout=ANSWER_TIMEOUT_S,
-                streaming_callback=recorder.note,
+                request_timeout=RESPONSE_TIMEOUT_S,
+                streaming_callback=recorder.append_chunk,
             ),
             raise_error=False,
         )
         body = recorder.body.decode()
-        if response.code != REFUSED:
+        if response.code != SERVICE_UNAVAILABLE:
             return Stream(started, recorder.arrivals, refusals, body)
         refusals += 1
         await asyncio.sleep(json.loads(body)['retry_after_ms'] / 1000)
 
 
 async def read_all(orders: list[Order]) -> list[Stream]:
-    """Read all streams at once."""
+    """Read all streams concurrently."""
     client = curl_httpclient.CurlAsyncHTTPClient(
         force_instance=True, max_clients=len(orders)
     )
@@ -126,7 +133,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> None:
-    """Read the streams that a file lists."""
+    """Read the streams of the requests in a file."""
     parser = argparse.ArgumentParser(prog='pace_caller', description=__doc__)
     parser.add_argument('orders', type=argparse.FileType('rb'))
     content = parser.parse_args(arguments).orders.read()
--- a/tools/throughput_policies.py
+++ b/tools/throughput_policies.py
@@ -1,4 +1,4 @@
-"""Ways of placing requests, the planner's and two plain ones."""
+"""Route selection policies: the planner and two simple policies."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
     from thornspool.domain.configuration import documents
 
 _EXPECTED_TOKENS = 80
-_USUAL_LIMITS = questions.Limits()
+_DEFAULT_LIMITS = questions.Limits()
 
 
 class LaggingView:
-    """Load reports as entries see them: now and then, and late."""
+    """Load reports as entries receive them, at intervals and with a lag."""
 
     def __init__(self) -> None:
         self._reports: dict[str, messages.LoadReport] = {}
 
     def publish(self, reports: list[messages.LoadReport]) -> None:
-        """Take in reports in place of older ones."""
+        """Replace the reports of some targets."""
         self._reports.update({report.target: report for report in reports})
 
     def read_readiness(self, target: str) -> messages.Readiness:
@@ -41,40 +41,40 @@
 
 
 class Policy(typing.Protocol):
-    """Places requests of one entry."""
+    """Selects the routes of the requests of one entry."""
 
     def plan(self, now: int) -> routes.Route:
         """Choose a route."""
         ...
 
     def choose_tell(self, route: routes.Route, now: int) -> questions.Tell:
-        """Choose what engines are asked to tell."""
+        """Choose the reports that are requested with a response."""
         ...
 
     def end(self, route: routes.Route) -> None:
-        """Take note that a request is over."""
+        """Record the end of a request."""
         ...
 
     def note_hops(
         self, route: routes.Route, hops: list[float], now: int
     ) -> None:
-        """Take note of the times of links."""
+        """Record the link times of a token, in milliseconds."""
         ...
 
     def note_pace(self, route: routes.Route, pace: float, now: int) -> None:
-        """Take note of the milliseconds between tokens."""
+        """Record the milliseconds between the tokens of a stream."""
         ...
 
 
 class PlannerPolicy:
-    """The planner of an entry."""
+    """The planner of the daemon."""
 
     def __init__(
         self,
         world: throughput_world.World,
         view: LaggingView,
         seed: int,
-        limits: questions.Limits = _USUAL_LIMITS,
+        limits: questions.Limits = _DEFAULT_LIMITS,
     ) -> None:
         self._world = world
         self._planning = generation_planning.Planning(
@@ -90,37 +90,37 @@
         self.end = self._planning.end
 
     def plan(self, now: int) -> routes.Route:
-        """Plan and count a route."""
-        wish = generation_planning.Wish(
+        """Plan a route and count its load."""
+        route_request = generation_planning.Wish(
             self._world.model, now, _EXPECTED_TOKENS
         )
-        route = self._planning.plan(wish, now)
+        route = self._planning.plan(route_request, now)
         self._planning.start(route)
         return route
 
 
 class SimplePolicy:
-    """Walks the layers and picks each stage by a plain rule."""
+    """Selects the stages in layer order by a simple rule."""
 
     def __init__(
         self,
         world: throughput_world.World,
-        pick: Callable[[list[documents.Stage]], documents.Stage],
+        select: Callable[[list[documents.Stage]], documents.Stage],
     ) -> None:
         self._world = world
-        self._pick = pick
+        self._select_stage = select
 
     def plan(self, now: int) -> routes.Route:
-        """Pick stage after stage."""
+        """Select the stages of a route in layer order."""
         stages: list[routes.RouteStage] = []
         boundary = 0
         while boundary < throughput_world.LAYERS:
-            following = [
+            candidates = [
                 stage
                 for stage in self._world.model.stages
                 if stage.first_layer == boundary
             ]
-            stage = self._pick(following)
+            stage = self._select_stage(candidates)
             domain = self._world.get_domain(stage.target)
             stages.append(
                 routes.RouteStage(
@@ -135,44 +135,46 @@
         return routes.Route(tuple(stages))
 
     def choose_tell(self, route: routes.Route, now: int) -> questions.Tell:
-        """Ask nothing."""
+        """Request no reports."""
         return questions.NOTHING
 
     def end(self, route: routes.Route) -> None:
-        """Take note of nothing."""
+        """Do nothing, as the rule does not count requests."""
 
     def note_hops(
         self, route: routes.Route, hops: list[float], now: int
     ) -> None:
-        """Take note of nothing."""
+        """Do nothing, as the rule does not use link times."""
 
     def note_pace(self, route: routes.Route, pace: float, now: int) -> None:
-        """Take note of nothing."""
+        """Do nothing, as the rule does not use token times."""
 
 
 def build_least_loaded(
     world: throughput_world.World, view: LaggingView, seed: int
 ) -> SimplePolicy:
-    """Build a policy that picks the least load that was reported."""
-    source = random.Random(seed)
+    """Build a policy that selects the stage with the least reported load."""
+    random_source = random.Random(seed)
 
-    def read(stage: documents.Stage) -> tuple[float, float]:
+    def compute_load(stage: documents.Stage) -> tuple[float, float]:
         report = view.read_load(stage.target)
         load = report.running + report.waiting if report else 0
-        return load / (report.max_batch if report else 1), source.random()
+        return load / (
+            report.max_batch if report else 1
+        ), random_source.random()
 
-    return SimplePolicy(world, lambda stages: min(stages, key=read))
+    return SimplePolicy(world, lambda stages: min(stages, key=compute_load))
 
 
 def build_round_robin(
     world: throughput_world.World, _view: LaggingView, seed: int
 ) -> SimplePolicy:
-    """Build a policy that takes the stages in turn."""
-    turns: collections.Counter[int] = collections.Counter()
+    """Build a policy that selects the stages in round-robin order."""
+    counters: collections.Counter[int] = collections.Counter()
 
-    def pick(stages: list[documents.Stage]) -> documents.Stage:
+    def select(stages: list[documents.Stage]) -> documents.Stage:
         first = stages[0].first_layer
-        turns[first] += 1
-        return stages[(turns[first] + seed) % len(stages)]
+        counters[first] += 1
+        return stages[(counters[first] + seed) % len(stages)]
 
-    return SimplePolicy(world, pick)
+    return SimplePolicy(world, select)
--- a/tools/throughput_world.py
+++ b/tools/throughput_world.py
@@ -1,4 +1,4 @@
-"""A small world of engines and links for measuring the planner."""
+"""Engines and links of the throughput simulation, drawn from a seed."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 _FAST_MS, _SLOW_MS = 0.25, 25.0
 _FAST_RATE, _SLOW_RATE = 40.0, 0.4
 _KINDS = {'large': (8.0, 16), 'medium': (16.0, 16), 'small': (32.0, 8)}
-"""Step time in milliseconds and largest batch, by kind."""
+"""Step time in milliseconds and maximum batch, by kind."""
 
 
 @attrs.frozen
 class World:
-    """What a run is made of, drawn from a seed.
+    """The simulated engines with their model.
 
     Attributes
     ----------
     snapshot : documents.Snapshot
         Model and targets.
     kinds : dict of str to (float, int)
-        Step time and largest batch of each target.
+        Step time in milliseconds and maximum batch of each target.
     """
 
     snapshot: documents.Snapshot
@@ -60,20 +60,20 @@
 
 
 def read_link_rate(first: str, second: str) -> float:
-    """Return the tokens a millisecond that a link lets pass."""
+    """Return the rate of a link in tokens a millisecond."""
     if first == second:
         return float('inf')
     return _SLOW_RATE if _is_slow(first, second) else _FAST_RATE
 
 
 def read_link_ms(first: str, second: str) -> float:
-    """Return the one-way time of a link that is not crowded."""
+    """Return the one-way latency of an idle link in milliseconds."""
     return _SLOW_MS if _is_slow(first, second) else _FAST_MS
 
 
 def build_world(seed: int) -> World:
-    """Draw engines of mixed kinds: each range twice in each domain."""
-    source = random.Random(seed)
+    """Draw the kinds of engines, two for each range in each domain."""
+    random_source = random.Random(seed)
     kinds: dict[str, tuple[float, int]] = {}
     stages: list[documents.Stage] = []
     targets: dict[str, documents.Target] = {}
@@ -81,7 +81,7 @@
         itertools.product(_RANGES * 2, _DOMAINS)
     ):
         name = f'engine-{number}'
-        kind = source.choice(sorted(_KINDS))
+        kind = random_source.choice(sorted(_KINDS))
         kinds[name] = _KINDS[kind]
         stages.append(documents.Stage(name, *layers))
         targets[name] = documents.Target(
