--- a/tools/bench_routing.py
+++ b/tools/bench_routing.py
@@ -1,7 +1,8 @@
 """Measure the decisions of an entry on the platform, without a network.
 
-``python -m tools.bench_routing`` prints one line a measurement: placement
-of all engines, the search of a path, and the size of news between entries.
+``python -m tools.bench_routing`` prints one line for each measurement: the
+placement of all engines, the path search, the size and the coding time of
+state updates between entries, and the detection of stalled streams.
 """
 
 from __future__ import annotations
@@ -35,7 +36,7 @@
 
 
 def build_fleet(engines: int, domains: int) -> list[fleet.Server]:
-    """Build empty engines of mixed kinds in some failure domains."""
+    """Build empty engines of several kinds in some failure domains."""
     return [
         builders.build_engine(
             f'{chr(97 + number % domains)}-{number}',
@@ -45,13 +46,13 @@
     ]
 
 
-def measure(work: Callable[[], object]) -> float:
-    """Return the median milliseconds of a piece of work."""
+def measure(function: Callable[[], object]) -> float:
+    """Return the median run time of a function in milliseconds."""
     times = []
     for _ in range(REPEATS):
-        began = time.perf_counter()
-        work()
-        times.append((time.perf_counter() - began) * 1000)
+        started = time.perf_counter()
+        function()
+        times.append((time.perf_counter() - started) * 1000)
     return statistics.median(times)
 
 
@@ -59,8 +60,8 @@
     """Print the measurements of one fleet."""
     model = builders.build_model()
     empty = build_fleet(engines, domains)
-    holdings = [orders_module.Holding(one) for one in empty]
-    orders = planning.plan_orders(holdings, model)
+    empty_holdings = [orders_module.Holding(engine) for engine in empty]
+    orders = planning.plan_orders(empty_holdings, model)
     placed = [
         builders.build_engine(
             order.server.id,
@@ -70,21 +71,21 @@
         )
         for order in orders
     ]
-    settled = [orders_module.Holding(one) for one in placed]
-    taken = reservations.Reservations()
+    placed_holdings = [orders_module.Holding(engine) for engine in placed]
+    reserved = reservations.Reservations()
     fleet_snapshot = choice.FleetSnapshot(
         model,
         tuple(placed),
         frozenset(),
-        taken,
+        reserved,
         {},
         'a',
         lambda: 0.5,
         bounds=bounds.compute_bounds(model, placed),
     )
     request_size = choice.RequestSize(760, 170)
-    found = choice.choose_path(fleet_snapshot, request_size)
-    hops = 0 if isinstance(found, choice.NoPathReason) else len(found.hops)
+    path = choice.choose_path(fleet_snapshot, request_size)
+    hops = 0 if isinstance(path, choice.NoPathReason) else len(path.hops)
     update = messages.StateUpdate(
         'edge-host-12',
         'edge-host-12-0123456789ab',
@@ -94,53 +95,58 @@
         10**6,
         900,
         {
-            server_hashes.compute_server_hash(one.id): 90_000.0
-            for one in placed[:hops]
+            server_hashes.compute_server_hash(engine.id): 90_000.0
+            for engine in placed[:hops]
         },
         (),
     )
-    rest = attrs.evolve(
+    combined_update = attrs.evolve(
         update,
         scope=messages.Scope.REST,
         reserved={
-            server_hashes.compute_server_hash(one.id): 90_000.0
-            for one in placed
+            server_hashes.compute_server_hash(engine.id): 90_000.0
+            for engine in placed
         },
     )
-    told = peers.encode_state_update(rest)
-    tell = measure(
+    encoded = peers.encode_state_update(combined_update)
+    encode_ms = measure(
         lambda: peers.encode_state_update(
             attrs.evolve(
-                rest, reserved=totals.subtract(rest.reserved, update.reserved)
+                combined_update,
+                reserved=totals.subtract(
+                    combined_update.reserved, update.reserved
+                ),
             )
         )
     )
-    hear = measure(
+    decode_ms = measure(
         lambda: peers.decode_datagram(peers.encode_state_update(update))
     )
-    first = measure(lambda: planning.plan_orders(holdings, model))
-    again = measure(lambda: planning.plan_orders(settled, model))
-    path = measure(lambda: choice.choose_path(fleet_snapshot, request_size))
+    first_plan_ms = measure(
+        lambda: planning.plan_orders(empty_holdings, model)
+    )
+    plan_ms = measure(lambda: planning.plan_orders(placed_holdings, model))
+    path_ms = measure(lambda: choice.choose_path(fleet_snapshot, request_size))
     print(
         f'engines={engines} domains={domains} '
-        f'first_plan_ms={first:.1f} plan_ms={again:.1f} '
-        f'path_ms={path:.2f} hops={hops} '
+        f'first_plan_ms={first_plan_ms:.1f} plan_ms={plan_ms:.1f} '
+        f'path_ms={path_ms:.2f} hops={hops} '
         f'news_bytes={len(peers.encode_state_update(update))} '
-        f'collector_news_bytes={len(told)} tell_ms={tell:.3f} '
-        f'hear_ms={hear:.3f}'
+        f'collector_news_bytes={len(encoded)} tell_ms={encode_ms:.3f} '
+        f'hear_ms={decode_ms:.3f}'
     )
 
 
-def measure_looks(streams: int, hops: int) -> None:
-    """Print the time of one look at the streams of an entry."""
+def measure_stall_checks(streams: int, hops: int) -> None:
+    """Print the time of one check of all streams for stalls."""
     names = [f'a-{number}' for number in range(hops)]
-    moving = [(names, 1.0)] * streams
-    silent = [(names, 3.0)] * streams
-    calm = measure(lambda: stalls.find_suspects(moving))
-    lost = measure(lambda: stalls.find_suspects(silent))
+    active = [(names, 1.0)] * streams
+    stalled = [(names, 3.0)] * streams
+    active_ms = measure(lambda: stalls.find_suspects(active))
+    stalled_ms = measure(lambda: stalls.find_suspects(stalled))
     print(
-        f'streams={streams} hops={hops} look_ms={calm:.4f} '
-        f'look_when_silent_ms={lost:.3f}'
+        f'streams={streams} hops={hops} look_ms={active_ms:.4f} '
+        f'look_when_silent_ms={stalled_ms:.3f}'
     )
 
 
@@ -148,7 +154,7 @@
     """Run the measurements."""
     argparse.ArgumentParser(description=__doc__).parse_args()
     for streams in (10, 40, 200):
-        measure_looks(streams, 12)
+        measure_stall_checks(streams, 12)
     for engines, domains in ((39, 3), (98, 4), (345, 7), (690, 7)):
         measure_fleet(engines, domains)
 
