--- a/src/thornspool/adapters/callers/context.py
+++ b/src/thornspool/adapters/callers/context.py
@@ -42,6 +42,6 @@
     """Dependencies of the handlers."""
 
     requests: RequestPort
-    list_entries: typing.Callable[[], membership.EntriesAnswer]
+    list_entries: typing.Callable[[], membership.EntriesResponse]
     make_request_id: typing.Callable[[], str]
     is_ready: typing.Callable[[], bool]
--- a/src/thornspool/adapters/callers/handlers.py
+++ b/src/thornspool/adapters/callers/handlers.py
@@ -109,7 +109,7 @@
             operation=operation,
             key=self.request.headers.get('Idempotency-Key', ''),
             body=self.read_body(),
-            resent=self.request.headers.get(RESENT_HEADER) == 'true',
+            is_resent=self.request.headers.get(RESENT_HEADER) == 'true',
         )
         # A refusal at this point does not consult the ledger, so an earlier
         # request with the same key may have been executed.
@@ -184,7 +184,7 @@
             503,
             str(error),
             retry_after_ms=error.retry_after_ms,
-            instead=error.instead,
+            instead=error.alternatives,
         )
     if isinstance(error, exceptions.UnknownName):
         return problems.Problem(404, str(error))
--- a/src/thornspool/adapters/exceptions.py
+++ b/src/thornspool/adapters/exceptions.py
@@ -13,9 +13,9 @@
     """No byte of the request was written, and none will be."""
 
 
-class AnswerLost(TransportError):
+class ResponseLost(TransportError):
     """The request may have been sent; no complete response arrived."""
 
 
-class ConnectionBroken(AnswerLost):
+class ConnectionBroken(ResponseLost):
     """The connection closed during the request; it did not time out."""
--- a/src/thornspool/adapters/operators/browsing.py
+++ b/src/thornspool/adapters/operators/browsing.py
@@ -75,7 +75,7 @@
     for line in describe_history(contents, token):
         if line.version == version:
             return line
-    first = contents.head.horizon + 1
+    first = contents.head.history_base_version + 1
     raise exceptions.NotFound(
         f'Version {version} is not available.',
         f'The history has versions {first} to {contents.head.version}; a '
@@ -157,7 +157,7 @@
         key.kind.value,
         key.name,
         stored.version,
-        files.write_document(stored.document),
+        files.serialize_document(stored.document),
     )
 
 
--- a/src/thornspool/adapters/operators/handlers.py
+++ b/src/thornspool/adapters/operators/handlers.py
@@ -232,7 +232,7 @@
     def get(self) -> None:
         """Respond with the entries in the local view."""
         service = self.context.service
-        report = service.report(service.version())
+        report = service.report_stragglers(service.version())
         straggling = {straggler.incarnation for straggler in report.stragglers}
         lines = tuple(
             _describe_member(member, member.incarnation in straggling)
--- a/src/thornspool/adapters/operators/publishing.py
+++ b/src/thornspool/adapters/operators/publishing.py
@@ -69,7 +69,7 @@
     Publication or ProblemBody
         The publication, or a problem with all schema violations.
     """
-    collection = files.read_documents(body.documents)
+    collection = files.parse_documents(body.documents)
     if collection.problems:
         return _describe_invalid(collection.problems)
     return publications.Publication(
@@ -95,7 +95,7 @@
 
 
 def describe_plan(
-    planned: publications.Planned,
+    planned: publications.PlanResult,
 ) -> bodies.CheckedBody | bodies.ProblemBody:
     """Return the response body for a dry run."""
     if isinstance(planned, publications.Unchanged):
@@ -140,7 +140,7 @@
     publication: publications.Publication, result: publishing.Undecided
 ) -> bodies.ProblemBody:
     state = 'It was not accepted'
-    if result.written:
+    if result.head_sent:
         state = 'It may have been accepted or may be accepted later'
     return bodies.ProblemBody(
         f'{bodies.PROBLEM_TYPE_PREFIX}undecided',
@@ -148,7 +148,7 @@
         503,
         f'{result.reason} {state}. Retry with the same id.',
         publication=publication.id,
-        written=result.written,
+        written=result.head_sent,
     )
 
 
--- a/src/thornspool/adapters/operators/tokens.py
+++ b/src/thornspool/adapters/operators/tokens.py
@@ -114,7 +114,7 @@
             f'Version {snapshot.version} is in force; retry in a few seconds.',
         )
     for document in publication.additions:
-        _check_key(token, snapshot, documents.identify(document))
+        _check_key(token, snapshot, documents.build_key(document))
         if isinstance(document, documents.Service):
             check_workspace(token, document.workspace)
     for key in publication.removals:
--- a/src/thornspool/adapters/peers/node.py
+++ b/src/thornspool/adapters/peers/node.py
@@ -162,14 +162,14 @@
         self._registry.register(message_type)
         self._handlers[message_type] = handler
 
-    def tell(self, peer_address: str, message: typing.Any) -> None:
+    def send(self, peer_address: str, message: typing.Any) -> None:
         """Send a message without waiting; delivery is not guaranteed."""
         try:
             self._send(peer_address, message)
         except exceptions.PeersError as error:
             self._drop('not sent', peer=peer_address, reason=str(error))
 
-    async def ask(
+    async def request(
         self, peer_address: str, message: typing.Any, timeout_ms: int
     ) -> typing.Any:
         """Send a request and wait for its reply.
--- a/src/thornspool/adapters/servers.py
+++ b/src/thornspool/adapters/servers.py
@@ -214,7 +214,7 @@
         )
         self._server.add_sockets(self._sockets)
 
-    def send_away(self) -> None:
+    def disable_keep_alive(self) -> None:
         """Disable keep-alive: close each connection after its next response.
 
         Otherwise a client with a persistent connection may send a request
--- a/src/thornspool/adapters/store/client.py
+++ b/src/thornspool/adapters/store/client.py
@@ -154,20 +154,20 @@
         """Close every connection."""
         self._session.close()
 
-    def follow_outages(
+    def set_outage_callbacks(
         self,
         count_entries: Callable[[], int],
-        note_failing: Callable[[], None],
-        note_back: Callable[[], None],
+        on_outage: Callable[[], None],
+        on_recovery: Callable[[], None],
     ) -> None:
         """Set the callbacks that count entries and report outages."""
         self._count_entries = count_entries
-        self._on_outage = note_failing
-        self._on_recovery = note_back
+        self._on_outage = on_outage
+        self._on_recovery = on_recovery
 
-    def read_backoff(self) -> int | None:
+    def compute_backoff_ms(self) -> int | None:
         """Return the remaining backoff in milliseconds, or None."""
-        return self._gate.read_backoff(self._clock.now())
+        return self._gate.compute_backoff_ms(self._clock.now())
 
     def end_backoff(self) -> None:
         """End the backoff, so that the next call is sent immediately."""
--- a/src/thornspool/adapters/store/gate.py
+++ b/src/thornspool/adapters/store/gate.py
@@ -103,7 +103,9 @@
         backoff_ms = max(0, self._backoff_until - now) if backing_off else 0
         max_wait_ms = self._settings.max_wait_ms
         if backoff_ms > max_wait_ms or (backing_off and self._probing):
-            raise exceptions.PlatformHeldBack(max(backoff_ms, _PROBE_RETRY_MS))
+            raise exceptions.PlatformCallNotSent(
+                max(backoff_ms, _PROBE_RETRY_MS)
+            )
         delay_ms = self._get_bucket(now).reserve(1.0, now, max_wait_ms)
         if delay_ms is None:
             raise exceptions.PlatformError(
@@ -113,7 +115,7 @@
         self._probing = backing_off
         return max(delay_ms, backoff_ms)
 
-    def read_backoff(self, now: int) -> int | None:
+    def compute_backoff_ms(self, now: int) -> int | None:
         """Return the time until the next probe in milliseconds, or None."""
         if not self.is_backing_off:
             return None
--- a/src/thornspool/adapters/store/memory.py
+++ b/src/thornspool/adapters/store/memory.py
@@ -19,7 +19,7 @@
 if typing.TYPE_CHECKING:
     from collections.abc import Iterable
 
-LARGEST_VALUE = 1_000_000
+MAX_VALUE_BYTES = 1_000_000
 """Maximum size of a value in bytes."""
 
 DEFAULT_TIMEOUT_MS = 1000
@@ -65,7 +65,7 @@
     stale_reads: int = 0
     seed: int = 1
 
-    def use(self, name: str) -> bool:
+    def consume(self, name: str) -> bool:
         """Consume one occurrence of a counted fault; False if none remains."""
         remaining = getattr(self, name)
         if remaining <= 0:
@@ -121,7 +121,7 @@
     async def get(self, key: str) -> ports.Versioned:
         """Read a key; version 0 and an empty value if it does not exist."""
         await self._delay()
-        if self.faults.use('stale_reads'):
+        if self.faults.consume('stale_reads'):
             return self._previous.get(key, ports.Versioned(b'', 0))
         return self._read(key)
 
@@ -129,10 +129,10 @@
         self, key: str, value: bytes, expected_version: int
     ) -> ports.WriteResult:
         """Write a key if its version is the expected one."""
-        if len(value) > LARGEST_VALUE:
+        if len(value) > MAX_VALUE_BYTES:
             raise exceptions.PlatformError(
                 f'The value of {key} has {len(value)} bytes.',
-                f'Split it: the maximum is {LARGEST_VALUE} bytes.',
+                f'Split it: the maximum is {MAX_VALUE_BYTES} bytes.',
             )
         loop = asyncio.get_running_loop()
         if self.faults.slow_ms >= self._timeout_ms:
@@ -141,9 +141,9 @@
             await asyncio.sleep(self._timeout_ms / _MS_PER_S)
             return ports.WriteUnknown()
         await asyncio.sleep(self.faults.slow_ms / _MS_PER_S)
-        if self.faults.down or self.faults.use('drop_writes'):
+        if self.faults.down or self.faults.consume('drop_writes'):
             return ports.WriteUnknown()
-        if self.faults.use('late_writes'):
+        if self.faults.consume('late_writes'):
             delay = self.faults.late_ms / _MS_PER_S
             loop.call_later(delay, self._apply, key, value, expected_version)
             return ports.WriteUnknown()
@@ -213,7 +213,7 @@
     ) -> ports.WriteResult:
         if isinstance(result, ports.WriteConflict):
             return result
-        if self.faults.use('lose_writes'):
+        if self.faults.consume('lose_writes'):
             return ports.WriteUnknown()
         if self._random.random() < self.faults.lose_probability:
             return ports.WriteUnknown()
--- a/src/thornspool/adapters/targets/engine_messages.py
+++ b/src/thornspool/adapters/targets/engine_messages.py
@@ -14,7 +14,7 @@
     from thornspool.application.generation import (
         messages as generation_messages,
     )
-    from thornspool.domain.pipelines import questions
+    from thornspool.domain.pipelines import report_requests
 
 
 @attrs.frozen
@@ -118,15 +118,15 @@
             max_tokens=request.max_tokens,
             priority=request.priority,
             attachments=request.attachments,
-            tell=_name_requested_reports(call.tell),
+            tell=_name_requested_reports(call.requested_reports),
         )
     )
 
 
 def _name_requested_reports(
-    tell: questions.Tell,
+    requested: report_requests.ReportRequest,
 ) -> tuple[str, ...] | msgspec.UnsetType:
-    options = ((tell.loads, 'loads'), (tell.hops, 'hops'))
+    options = ((requested.loads, 'loads'), (requested.hops, 'hops'))
     names = tuple(name for is_requested, name in options if is_requested)
     return names or msgspec.UNSET
 
--- a/src/thornspool/adapters/targets/engines.py
+++ b/src/thornspool/adapters/targets/engines.py
@@ -130,13 +130,13 @@
 
         Raises
         ------
-        TargetNotReached
+        TargetUnreachable
             If no byte of the request was written.
         EngineRefused
             If the engine rejected the attempt.
         StreamMalformed
             If the stream contains an invalid frame.
-        TargetAnswerLost
+        TargetResponseLost
             If the stream broke.
         """
         reader = _ChunkReader(deliver)
@@ -175,7 +175,7 @@
 
         Raises
         ------
-        TargetNotReached, TargetAnswerLost
+        TargetUnreachable, TargetResponseLost
             As for ``generate``.
         """
         body = engine_messages.encode_cancel(request_id, attempt)
@@ -250,17 +250,17 @@
     error: httpclient.HTTPError, may_have_written: bool
 ) -> exceptions.TargetError:
     if may_have_written:
-        return exceptions.TargetAnswerLost(
+        return exceptions.TargetResponseLost(
             f'The stream of the engine broke: {error}.'
         )
-    return exceptions.TargetNotReached(
+    return exceptions.TargetUnreachable(
         f'The engine could not be reached: {error}.'
     )
 
 
 def _check_status(response: httpclient.HTTPResponse) -> None:
     if response.code != _OK:
-        raise exceptions.TargetAnswerLost(
+        raise exceptions.TargetResponseLost(
             f'The engine returned status {response.code}.',
             'See the log of the engine.',
         )
--- a/src/thornspool/adapters/targets/loads.py
+++ b/src/thornspool/adapters/targets/loads.py
@@ -69,7 +69,7 @@
             body = msgspec.json.decode(response.body, type=LoadBody)
         except (OSError, httpclient.HTTPError, msgspec.DecodeError) as error:
             reason = f'No load report from {target.name}: {error}.'
-            raise exceptions.TargetNotReached(reason) from error
+            raise exceptions.TargetUnreachable(reason) from error
         readiness = (
             messages.Readiness.LEAVING
             if body.state == messages.Readiness.LEAVING.value
--- a/src/thornspool/adapters/targets/services.py
+++ b/src/thornspool/adapters/targets/services.py
@@ -45,29 +45,29 @@
         """Close every connection."""
         self._session.close()
 
-    async def call(self, call: ports.ServiceCall) -> ports.ServiceAnswer:
+    async def call(self, call: ports.ServiceCall) -> ports.ServiceResponse:
         """Call an operation without retries.
 
         Raises
         ------
-        TargetNotReached
+        TargetUnreachable
             If no byte of the request was written.
         TargetLeaving
             If the target rejected the call before executing it, because it
             is leaving.
-        TargetAnswerLost
+        TargetResponseLost
             If a byte may have been written and no complete response arrived;
             ``TargetConnectionBroken`` if the connection closed.
         """
         try:
             response = await self._fetch(call)
         except transfer_errors.NotSent as error:
-            raise exceptions.TargetNotReached(
+            raise exceptions.TargetUnreachable(
                 f'The target at {call.url} could not be reached: {error}.',
                 'Nothing was executed; retry the request.',
             ) from error
-        except transfer_errors.AnswerLost as error:
-            error_type = exceptions.TargetAnswerLost
+        except transfer_errors.ResponseLost as error:
+            error_type = exceptions.TargetResponseLost
             if isinstance(error, transfer_errors.ConnectionBroken):
                 error_type = exceptions.TargetConnectionBroken
             raise error_type(
@@ -75,7 +75,7 @@
                 'It may have been executed; query the outcome of its key.',
             ) from error
         if not _is_complete(response):
-            raise exceptions.TargetAnswerLost(
+            raise exceptions.TargetResponseLost(
                 f'The response of {call.url} has no length.',
                 'It may have been executed; query the outcome of its key.',
             )
@@ -84,13 +84,13 @@
                 f'The target at {call.url} is leaving.',
                 'Nothing was executed; retry the request.',
             )
-        return ports.ServiceAnswer(
+        return ports.ServiceResponse(
             response.status,
             _find_header(response, 'Content-Type'),
             response.body,
         )
 
-    async def _fetch(self, call: ports.ServiceCall) -> transfers.Answer:
+    async def _fetch(self, call: ports.ServiceCall) -> transfers.Response:
         """Send a call when the number of concurrent calls permits it."""
         try:
             async with asyncio.timeout(call.timeout_ms / _MS_PER_S):
@@ -106,11 +106,11 @@
                     'POST',
                     _build_headers(call),
                     call.body,
-                    connect_ms=call.timeout_ms,
-                    total_ms=call.timeout_ms,
+                    connect_timeout_ms=call.timeout_ms,
+                    timeout_ms=call.timeout_ms,
                     # libcurl may resend only calls without a key.
-                    own_connection=bool(call.key or call.alone),
-                    max_body=_MAX_RESPONSE_BYTES,
+                    dedicated_connection=bool(call.key or call.runs_alone),
+                    max_body_bytes=_MAX_RESPONSE_BYTES,
                 )
             )
         finally:
@@ -134,7 +134,7 @@
     return tuple(headers)
 
 
-def _find_header(response: transfers.Answer, name: str) -> str:
+def _find_header(response: transfers.Response, name: str) -> str:
     """Return the value of a header; empty if it is missing."""
     return next(
         (
@@ -146,7 +146,7 @@
     )
 
 
-def _is_leaving(response: transfers.Answer) -> bool:
+def _is_leaving(response: transfers.Response) -> bool:
     """Return whether a leaving target rejected a call before executing it."""
     if response.status != http.HTTPStatus.CONFLICT:
         return False
@@ -157,7 +157,7 @@
     return conflict.state == messages.Readiness.LEAVING.value
 
 
-def _is_complete(response: transfers.Answer) -> bool:
+def _is_complete(response: transfers.Response) -> bool:
     """Return whether a response is known to be complete.
 
     libcurl reports an error if a body is shorter than its Content-Length or
--- a/src/thornspool/adapters/transfers.py
+++ b/src/thornspool/adapters/transfers.py
@@ -58,14 +58,14 @@
 logger = structlog.get_logger(__name__)
 
 
-class Ending(enum.Enum):
+class TransferResult(enum.Enum):
     """Result of a transfer.
 
     ``NOT_SENT`` guarantees that no byte of the request was written. After
     any other failure the server may have received the request.
     """
 
-    WHOLE = 'whole'
+    COMPLETE = 'whole'
     NOT_SENT = 'not_sent'
     BROKEN = 'broken'
     TIMED_OUT = 'timed_out'
@@ -87,18 +87,18 @@
         Request headers, in order.
     body : bytes or None
         Request body.
-    connect_ms : int
+    connect_timeout_ms : int
         Connect timeout in milliseconds.
-    total_ms : int
+    timeout_ms : int
         Timeout for the complete response in milliseconds; 0 for none.
-    pause_ms : int
+    idle_timeout_ms : int
         Idle timeout in milliseconds between parts of the response. If it is
-        set, ``total_ms`` limits only the time until the first byte, so that
+        set, ``timeout_ms`` limits only the time until the first byte, so that
         a large response on a slow link does not time out. Used by ``fetch``
         only.
-    own_connection : bool
+    dedicated_connection : bool
         Whether to use a new connection that is not reused afterwards.
-    max_body : int
+    max_body_bytes : int
         Maximum size of the response body in bytes; 0 for no limit. Used by
         ``fetch`` only.
     """
@@ -107,15 +107,15 @@
     method: str = 'GET'
     headers: Headers = ()
     body: bytes | None = None
-    connect_ms: int = 1000
-    total_ms: int = 0
-    pause_ms: int = 0
-    own_connection: bool = True
-    max_body: int = 0
+    connect_timeout_ms: int = 1000
+    timeout_ms: int = 0
+    idle_timeout_ms: int = 0
+    dedicated_connection: bool = True
+    max_body_bytes: int = 0
 
 
 @attrs.frozen
-class Answer:
+class Response:
     """A complete HTTP response."""
 
     status: int
@@ -131,7 +131,7 @@
         session: Session,
         on_head: Callable[[int, Headers], None],
         on_body: Callable[[bytes], None],
-        on_end: Callable[[Ending], None],
+        on_end: Callable[[TransferResult], None],
     ) -> None:
         self._session = session
         self._on_head = on_head
@@ -174,11 +174,11 @@
         self.sent = True
         return int(pycurl.PREREQFUNC_OK)
 
-    def finish(self, ending: Ending) -> None:
+    def finish(self, result: TransferResult) -> None:
         """Call the completion callback once."""
         if not self.done:
             self.done = True
-            self._on_end(ending)
+            self._on_end(result)
 
 
 def _split_header(line: str) -> tuple[str, str]:
@@ -206,7 +206,7 @@
         request: Request,
         on_head: Callable[[int, Headers], None],
         on_body: Callable[[bytes], None],
-        on_end: Callable[[Ending], None],
+        on_end: Callable[[TransferResult], None],
     ) -> Transfer:
         """Start a transfer.
 
@@ -230,24 +230,24 @@
         self._loop.call_soon(self._add, curl, request, transfer)
         return transfer
 
-    async def fetch(self, request: Request) -> Answer:
+    async def fetch(self, request: Request) -> Response:
         """Send a request and collect the complete response.
 
         Raises
         ------
         exceptions.NotSent
             If no byte of the request was written.
-        exceptions.AnswerLost
+        exceptions.ResponseLost
             If the server may have received the request and no complete
             response arrived; ``ConnectionBroken`` if the connection closed.
         """
-        done: asyncio.Future[Ending] = self._loop.create_future()
+        done: asyncio.Future[TransferResult] = self._loop.create_future()
         head: list[tuple[int, Headers]] = []
         body = bytearray()
 
-        def end(ending: Ending) -> None:
+        def end(result: TransferResult) -> None:
             if not done.done():
-                done.set_result(ending)
+                done.set_result(result)
 
         watchdog = _Watchdog(self._loop, request, end)
 
@@ -258,18 +258,18 @@
         def handle_body(chunk: bytes) -> None:
             watchdog.record_progress()
             body.extend(chunk)
-            if 0 < request.max_body < len(body):
-                end(Ending.TOO_LARGE)
+            if 0 < request.max_body_bytes < len(body):
+                end(TransferResult.TOO_LARGE)
 
         transfer = self.start(request, handle_head, handle_body, end)
         try:
-            ending = await done
+            result = await done
         finally:
             watchdog.stop()
             transfer.cancel()
-        if ending is Ending.WHOLE and head:
-            return Answer(*head[-1], bytes(body))
-        raise _build_error(request.url, ending)
+        if result is TransferResult.COMPLETE and head:
+            return Response(*head[-1], bytes(body))
+        raise _build_error(request.url, result)
 
     def discard(self, transfer: Transfer) -> None:
         """Remove a transfer; libcurl closes its connection."""
@@ -297,7 +297,7 @@
         except (ValueError, pycurl.error) as error:
             # Nothing was sent; without a result the owner would wait forever.
             logger.error('request_unsendable', reason=str(error))
-            self._complete(curl, Ending.NOT_SENT)
+            self._complete(curl, TransferResult.NOT_SENT)
             return
         self._multi.add_handle(curl)
 
@@ -357,7 +357,7 @@
         while True:
             remaining, succeeded, failed = self._multi.info_read()
             for curl in succeeded:
-                self._complete(curl, Ending.WHOLE)
+                self._complete(curl, TransferResult.COMPLETE)
             for curl, errno, _message in failed:
                 transfer = self._transfers.get(curl)
                 if transfer is not None:
@@ -365,12 +365,12 @@
             if not remaining:
                 return
 
-    def _complete(self, curl: pycurl.Curl, ending: Ending) -> None:
+    def _complete(self, curl: pycurl.Curl, result: TransferResult) -> None:
         transfer = self._transfers.get(curl)
         if transfer is None:
             return
         self._remove(transfer)
-        transfer.finish(ending)
+        transfer.finish(result)
 
 
 class _Watchdog:
@@ -380,14 +380,14 @@
         self,
         loop: asyncio.AbstractEventLoop,
         request: Request,
-        end: Callable[[Ending], None],
+        end: Callable[[TransferResult], None],
     ) -> None:
         self._loop = loop
-        self._idle_timeout_ms = request.pause_ms
+        self._idle_timeout_ms = request.idle_timeout_ms
         self._complete = end
         self._timer: asyncio.TimerHandle | None = None
         if self._idle_timeout_ms:
-            self._restart_timer(request.total_ms)
+            self._restart_timer(request.timeout_ms)
 
     def record_progress(self) -> None:
         """Restart the idle timeout after bytes arrived."""
@@ -402,33 +402,35 @@
     def _restart_timer(self, milliseconds: int) -> None:
         self.stop()
         self._timer = self._loop.call_later(
-            milliseconds / _MS_PER_S, self._complete, Ending.TIMED_OUT
+            milliseconds / _MS_PER_S, self._complete, TransferResult.TIMED_OUT
         )
 
 
-def _classify_error(errno: int, sent: bool) -> Ending:
+def _classify_error(errno: int, sent: bool) -> TransferResult:
     """Map a libcurl error to the result of a transfer.
 
     ``NOT_SENT`` needs two conditions: libcurl did not report that sending
     starts, and the error can occur before sending.
     """
     if not sent and errno in _UNSENT_ERRORS:
-        return Ending.NOT_SENT
+        return TransferResult.NOT_SENT
     if errno == pycurl.E_OPERATION_TIMEDOUT:
-        return Ending.TIMED_OUT
+        return TransferResult.TIMED_OUT
     if errno in _CONNECTION_ERRORS:
-        return Ending.BROKEN
-    return Ending.MALFORMED
+        return TransferResult.BROKEN
+    return TransferResult.MALFORMED
 
 
-def _build_error(url: str, ending: Ending) -> exceptions.TransportError:
-    if ending is Ending.NOT_SENT:
+def _build_error(
+    url: str, result: TransferResult
+) -> exceptions.TransportError:
+    if result is TransferResult.NOT_SENT:
         return exceptions.NotSent(f'{url} could not be reached.')
-    if ending is Ending.BROKEN:
+    if result is TransferResult.BROKEN:
         return exceptions.ConnectionBroken(
             f'{url}: the connection was closed.'
         )
-    return exceptions.AnswerLost(f'{url}: {ending.value}.')
+    return exceptions.ResponseLost(f'{url}: {result.value}.')
 
 
 def _configure(
@@ -440,11 +442,11 @@
     curl.setopt(pycurl.PROXY, '')
     curl.setopt(pycurl.HTTP_VERSION, pycurl.CURL_HTTP_VERSION_1_1)
     curl.setopt(pycurl.PATH_AS_IS, 1)
-    curl.setopt(pycurl.CONNECTTIMEOUT_MS, max(1, request.connect_ms))
-    total_ms = 0 if request.pause_ms else request.total_ms
-    curl.setopt(pycurl.TIMEOUT_MS, max(0, total_ms))
-    curl.setopt(pycurl.FRESH_CONNECT, int(request.own_connection))
-    curl.setopt(pycurl.FORBID_REUSE, int(request.own_connection))
+    curl.setopt(pycurl.CONNECTTIMEOUT_MS, max(1, request.connect_timeout_ms))
+    timeout_ms = 0 if request.idle_timeout_ms else request.timeout_ms
+    curl.setopt(pycurl.TIMEOUT_MS, max(0, timeout_ms))
+    curl.setopt(pycurl.FRESH_CONNECT, int(request.dedicated_connection))
+    curl.setopt(pycurl.FORBID_REUSE, int(request.dedicated_connection))
     curl.setopt(pycurl.PREREQFUNCTION, transfer.record_sending)
     curl.setopt(pycurl.HEADERFUNCTION, transfer.receive_line)
     curl.setopt(pycurl.WRITEFUNCTION, transfer.receive_body)
--- a/src/thornspool/application/actions/requests.py
+++ b/src/thornspool/application/actions/requests.py
@@ -38,7 +38,7 @@
         Whether the service itself runs a key at most once.
     timeout_ms : int
         Maximum time in milliseconds for the target's complete answer.
-    resent : bool
+    is_resent : bool
         Whether the caller declared that it sent the key before.
     fingerprint : str
         Identifies the content of the request regardless of its key; empty
@@ -54,7 +54,7 @@
     targets: tuple[documents.Target, ...]
     deduplicates: bool = False
     timeout_ms: int = 2_000
-    resent: bool = False
+    is_resent: bool = False
     fingerprint: str = ''
 
 
@@ -66,7 +66,7 @@
     ----------
     layout : keys.Layout
         Dimensions of the ledger; equal on all entries.
-    pace : writer.Pace
+    write_limits : writer.WriteLimits
         Limits on the writes of a ledger page.
     attempts : runner.RunnerSettings
         Limits of attempts in memory.
@@ -83,7 +83,7 @@
     """
 
     layout: keys.Layout = attrs.field(factory=keys.Layout)
-    pace: writer.Pace = attrs.field(factory=writer.Pace)
+    write_limits: writer.WriteLimits = attrs.field(factory=writer.WriteLimits)
     attempts: runner.RunnerSettings = attrs.field(
         factory=runner.RunnerSettings
     )
--- a/src/thornspool/application/actions/runs.py
+++ b/src/thornspool/application/actions/runs.py
@@ -209,7 +209,7 @@
             return await self._answer_query(incarnation, query)
         timeout = wait_ms + self._settings.router.reply_timeout_ms
         try:
-            report: messages.AttemptReport = await self._peers.ask(
+            report: messages.AttemptReport = await self._peers.request(
                 address, query, timeout
             )
         except exceptions.PeerUnreachable:
@@ -252,15 +252,15 @@
         attempt = command.attempt
         try:
             answer = await self._services.call(service_call)
-        except exceptions.TargetNotReached:
-            self._handle(events.TargetNotReached(attempt))
-        except exceptions.TargetAnswerLost:
-            self._handle(events.TargetAnswerLost(attempt))
+        except exceptions.TargetUnreachable:
+            self._handle(events.TargetUnreachable(attempt))
+        except exceptions.TargetResponseLost:
+            self._handle(events.TargetResponseLost(attempt))
         except Exception:
             # The call may or may not have been sent, and an attempt that
             # never ends would hold its key forever.
             logger.exception('action_call_failed', attempt=attempt)
-            self._handle(events.TargetAnswerLost(attempt))
+            self._handle(events.TargetResponseLost(attempt))
         else:
             outcome = records.Outcome(
                 answer.status, answer.content_type, answer.body
--- a/src/thornspool/application/actions/service.py
+++ b/src/thornspool/application/actions/service.py
@@ -11,8 +11,8 @@
 from thornspool.application import exceptions
 from thornspool.application.actions import requests as action_requests
 from thornspool.application.actions import runs as action_runs
+from thornspool.application.ledger import page_writers
 from thornspool.application.ledger import router as ledger_router
-from thornspool.application.ledger import writing as ledger
 from thornspool.domain.actions import events
 from thornspool.domain.actions import exceptions as actions_exceptions
 from thornspool.domain.actions import keys
@@ -77,8 +77,8 @@
         self._member = member
         self._random = random_source
         self._settings = settings or ActionSettings()
-        self._ledger = ledger.Ledger(
-            clock, platform, self._settings.layout, self._settings.pace
+        self._ledger = page_writers.Ledger(
+            clock, platform, self._settings.layout, self._settings.write_limits
         )
         router = ledger_router.LedgerRouter(
             clock,
@@ -97,9 +97,9 @@
         """Number of open attempts and of unconfirmed releases."""
         return self._runs.runner.open_count
 
-    def note_platform_back(self) -> None:
+    def record_platform_recovery(self) -> None:
         """Admit ledger proposals again after an outage of the platform."""
-        self._ledger.note_platform_back()
+        self._ledger.record_platform_recovery()
 
     async def run(self, request: ActionRequest) -> results.ActionResult:
         """Run an action, or join, replay or refuse it.
@@ -218,7 +218,7 @@
             deadline=request.deadline,
             targets=len(request.targets),
             deduplicates=request.deduplicates,
-            resent=request.resent or self._may_be_resent(key),
+            is_resent=request.is_resent or self._may_be_resent(key),
             bound_time=key.time if key.incarnation else 0,
         )
 
--- a/src/thornspool/application/admission.py
+++ b/src/thornspool/application/admission.py
@@ -99,22 +99,22 @@
         return self._groups
 
     def admit(
-        self, workspace: str, request: messages.Asked, now: int
-    ) -> messages.Admitted | messages.Refused:
+        self, workspace: str, request: messages.RequestEstimate, now: int
+    ) -> messages.Admitted | messages.Rejection:
         """Admit a request, or refuse it before anything runs.
 
         Parameters
         ----------
         workspace : str
             Workspace of the caller.
-        request : messages.Asked
+        request : messages.RequestEstimate
             Group, kind, size and deadline of the request.
         now : int
             Monotonic milliseconds.
 
         Returns
         -------
-        Admitted or Refused
+        Admitted or Rejection
             The caller must call `finish` once for each `Admitted`.
         """
         limits = self._get_limits(workspace)
@@ -123,10 +123,10 @@
             return self._add_retry_jitter(refused)
         group = self._get_group(request.group)
         capacity = self._read_capacity(request.group)
-        group.hear_capacity(capacity, len(self._members_in_view), now)
+        group.apply_capacity(capacity, len(self._members_in_view), now)
         refused = group.admit(request, now)
         if refused is not None:
-            self._limiter.withdraw(workspace, now)
+            self._limiter.undo_admission(workspace, now)
             return self._add_retry_jitter(refused)
         return messages.Admitted(messages.Ticket(workspace, request, now))
 
@@ -134,19 +134,19 @@
         self, group: str, kind: str, duration_ms: int, now: int
     ) -> None:
         """Record the time to a response of a target, or to its first token."""
-        self._get_group(group).observe(kind, duration_ms, now)
+        self._get_group(group).observe_answer(kind, duration_ms, now)
 
-    def observe_rest(
+    def observe_following_tokens(
         self, ticket: messages.Ticket, units: int, duration_ms: int, now: int
     ) -> None:
         """Record the time of the tokens after the first of a response."""
-        request = ticket.asked
+        request = ticket.estimate
         group = self._get_group(request.group)
-        group.observe_rest(request.kind, units, duration_ms, now)
+        group.observe_following_tokens(request.kind, units, duration_ms, now)
 
-    def note_late(self, group: str, started: int, now: int) -> None:
+    def record_timeout(self, group: str, started: int, now: int) -> None:
         """Record that a target did not respond in time."""
-        self._get_group(group).note_late(started, now)
+        self._get_group(group).record_timeout(started, now)
 
     def finish(self, ticket: messages.Ticket, tokens: int, now: int) -> None:
         """End an admitted request.
@@ -160,20 +160,22 @@
         now : int
             Monotonic milliseconds.
         """
-        self._limiter.finish(ticket.workspace, tokens, now)
-        self._get_group(ticket.asked.group).release()
+        self._limiter.finish_request(ticket.workspace, tokens, now)
+        self._get_group(ticket.estimate.group).release()
 
     def _get_group(self, name: str) -> concurrency.GroupLimit:
         return self._groups.setdefault(name, concurrency.GroupLimit())
 
-    async def share_demand(self, now: int) -> None:
+    async def exchange_shares(self, now: int) -> None:
         """Report demand to the owners of limits and apply their grants.
 
         Called every `SHARE_INTERVAL_MS`.
         """
         incarnations = self._refresh_members(now)
         self._line_budget.refill(now)
-        lines = self._limiter.collect(now, int(self._line_budget.level))
+        lines = self._limiter.collect_reports(
+            now, int(self._line_budget.level)
+        )
         self._line_budget.level -= len(lines)
         by_owner: dict[str, list[messages.WorkspaceDemand]] = {}
         for line in lines:
@@ -189,7 +191,7 @@
     async def run(self) -> None:
         """Exchange demand and grants periodically until cancelled."""
         while True:
-            await self.share_demand(self._clock.now())
+            await self.exchange_shares(self._clock.now())
             await asyncio.sleep(SHARE_INTERVAL_MS / _MS_PER_S)
 
     async def _report(
@@ -202,14 +204,16 @@
             self._record_owner_lost(owner, lines)
             return
         for grant in messages.unpack_reply(reply):
-            self._limiter.apply(grant, self._clock.now())
+            self._limiter.apply_grant(grant, self._clock.now())
 
     def _record_owner_lost(
         self, owner: str, lines: Sequence[messages.WorkspaceDemand]
     ) -> None:
         now = self._clock.now()
         names = [line.workspace for line in lines]
-        lost = [self._limiter.note_owner_lost(name, now) for name in names]
+        lost = [
+            self._limiter.record_owner_unreachable(name, now) for name in names
+        ]
         if any(lost):
             logger.warning(
                 'limits_owner_lost', owner=owner, workspaces=sum(lost)
@@ -223,7 +227,7 @@
         member = self._members.find(owner)
         if member is None:
             raise exceptions.PeerUnreachable(f'{owner} is not in view.')
-        reply = await self._peers.ask(
+        reply = await self._peers.request(
             member.peer_address, report, REPORT_TIMEOUT_MS
         )
         return typing.cast('messages.GrantReply', reply)
@@ -263,7 +267,9 @@
         found = self._configuration().workspaces.get(workspace)
         return found.limits if found else documents.Limits()
 
-    def _add_retry_jitter(self, refused: messages.Refused) -> messages.Refused:
+    def _add_retry_jitter(
+        self, refused: messages.Rejection
+    ) -> messages.Rejection:
         """Add jitter, so that refused callers do not all retry at once."""
         factor = 1.0 + _RETRY_JITTER * self._draw()
         return attrs.evolve(
--- a/src/thornspool/application/gates.py
+++ b/src/thornspool/application/admission_gate.py
@@ -25,7 +25,7 @@
 _CONDEMNED = 'This request crashed the targets that ran it.'
 
 
-class Gatekeeper:
+class AdmissionGate:
     """Admits work, or refuses it before anything runs.
 
     Parameters
@@ -59,13 +59,13 @@
         verdict = self._quarantine.check(work.fingerprint)
         if isinstance(verdict, quarantine_messages.Condemned):
             raise requests.RequestRefused(_CONDEMNED, verdict.retry_after_ms)
-        request = limit_messages.Asked(
+        request = limit_messages.RequestEstimate(
             work.group, work.kind, max(0, work.tokens - 1), work.deadline
         )
         admitted = self._service.admit(
             work.workspace, request, self._clock.now()
         )
-        if isinstance(admitted, limit_messages.Refused):
+        if isinstance(admitted, limit_messages.Rejection):
             reason = f'Request refused: {admitted.reason.value}.'
             raise requests.RequestRefused(
                 reason,
@@ -96,7 +96,7 @@
 
     def record_first_token(self) -> None:
         """Record the time to the first token as soon as it arrives."""
-        request, now = self._ticket.asked, self._clock.now()
+        request, now = self._ticket.estimate, self._clock.now()
         self._first_at = now
         waited_ms = now - self._ticket.admitted_at
         self._service.observe(request.group, request.kind, waited_ms, now)
@@ -114,8 +114,8 @@
             self._observe_rest(self._first_at, tokens, outcome, now)
         elif self._has_timed_out(outcome, now):
             ticket = self._ticket
-            self._service.note_late(
-                ticket.asked.group, ticket.admitted_at, now
+            self._service.record_timeout(
+                ticket.estimate.group, ticket.admitted_at, now
             )
         self._service.finish(self._ticket, tokens, now)
 
@@ -129,11 +129,15 @@
         if outcome is not observation.Outcome.DONE:
             return
         rest_ms = now - first_at
-        self._service.observe_rest(self._ticket, tokens - 1, rest_ms, now)
+        self._service.observe_following_tokens(
+            self._ticket, tokens - 1, rest_ms, now
+        )
 
     def _has_timed_out(self, outcome: observation.Outcome, now: int) -> bool:
         """Return whether a stream had not started by its deadline."""
         failed = outcome not in observation.CALLER_CAUSED
         return (
-            self._is_stream and failed and now >= self._ticket.asked.deadline
+            self._is_stream
+            and failed
+            and now >= self._ticket.estimate.deadline
         )
--- a/src/thornspool/application/calls.py
+++ b/src/thornspool/application/calls.py
@@ -41,7 +41,7 @@
 class CallAnswered:
     """A target returned a complete response."""
 
-    response: ports.ServiceAnswer
+    response: ports.ServiceResponse
 
 
 @attrs.frozen
@@ -162,14 +162,14 @@
                 response = await self._send(
                     target, resolved, body, fingerprint, deadline
                 )
-            except exceptions.TargetHeldBack as error:
+            except exceptions.TargetCallBlocked as error:
                 failure = CallFailed(
                     error.message, may_have_run, RETRY_AFTER_MS
                 )
                 continue
             except exceptions.TargetError as error:
                 may_have_run |= not isinstance(
-                    error, exceptions.TargetNotReached
+                    error, exceptions.TargetUnreachable
                 )
                 failure = CallFailed(
                     error.message, may_have_run, RETRY_AFTER_MS
@@ -224,7 +224,7 @@
         candidates = service_trials.rank_targets(
             self._trials, fingerprint, ready
         )[:2]
-        is_new = not self._trials.is_proven(fingerprint)
+        is_new = not self._trials.has_completed_recently(fingerprint)
         if len(candidates) < 2 or (
             is_new and self._in_flight_by_fingerprint[fingerprint]
         ):
@@ -257,7 +257,7 @@
         body: bytes,
         fingerprint: str,
         deadline: int,
-    ) -> ports.ServiceAnswer:
+    ) -> ports.ServiceResponse:
         """Send one attempt."""
         call = ports.ServiceCall(
             url=target.url,
--- a/src/thornspool/application/configuration/following.py
+++ b/src/thornspool/application/configuration/following.py
@@ -39,7 +39,7 @@
 
     Attributes
     ----------
-    decide : int
+    decision_timeout_ms : int
         Maximum time until the outcome of a publication is returned.
     in_force_timeout_ms : int
         Maximum time to wait until all entries report an accepted version.
@@ -62,7 +62,7 @@
         Time since the last contact after which this entry is isolated.
     """
 
-    decide: int = 10_000
+    decision_timeout_ms: int = 10_000
     in_force_timeout_ms: int = 4_000
     report_interval_ms: int = 100
     poll_interval_ms: int = 500
--- a/src/thornspool/application/configuration/publishing.py
+++ b/src/thornspool/application/configuration/publishing.py
@@ -105,7 +105,7 @@
 
     async def plan(
         self, publication: publications.Publication
-    ) -> publications.Planned:
+    ) -> publications.PlanResult:
         """Plan a publication on the latest version without writing it.
 
         Raises
--- a/src/thornspool/application/configuration/pulling.py
+++ b/src/thornspool/application/configuration/pulling.py
@@ -157,7 +157,7 @@
             As for ``sync_with_any_peer``.
         """
         request = messages.FetchHead(self._store.version)
-        reply: messages.HeadReply = await self._peers.ask(
+        reply: messages.HeadReply = await self._peers.request(
             address, request, PEER_TIMEOUT_MS
         )
         self.record_response()
@@ -236,7 +236,7 @@
 
     async def _fetch_from_peer(self, address: str, digest: str) -> bytes:
         try:
-            reply: messages.BucketReply = await self._peers.ask(
+            reply: messages.BucketReply = await self._peers.request(
                 address, messages.FetchBucket(digest), PEER_TIMEOUT_MS
             )
         except exceptions.PeerUnreachable:
--- a/src/thornspool/application/configuration/service.py
+++ b/src/thornspool/application/configuration/service.py
@@ -112,7 +112,7 @@
         peers.handle(messages.FetchHead, self._handle_fetch_head)
         peers.handle(messages.FetchBucket, self._handle_fetch_bucket)
 
-    def ask_stragglers_with(self, poll: Callable[[int], None]) -> None:
+    def set_version_poll(self, poll: Callable[[int], None]) -> None:
         """Set the function that polls entries for their version.
 
         Parameters
@@ -161,7 +161,7 @@
         last = self._puller.last_contact
         return last is None or now - last > self._timing.isolation_timeout_ms
 
-    def hear_version(self, peer_address: str, version: int) -> None:
+    def record_reported_version(self, peer_address: str, version: int) -> None:
         """Record the version that a peer reports.
 
         Parameters
@@ -194,11 +194,11 @@
         Returns
         -------
         Accepted, Conflict, Invalid or Undecided
-            Returned after at most the timeouts ``decide`` plus
+            Returned after at most the timeouts ``decision_timeout_ms`` plus
             ``in_force_timeout_ms`` of the timing.
         """
         outcome = await self._publisher.publish(
-            publication, self._timing.decide
+            publication, self._timing.decision_timeout_ms
         )
         logger.info(
             'configuration_published',
@@ -212,7 +212,7 @@
 
     async def plan(
         self, publication: publications.Publication
-    ) -> publications.Planned:
+    ) -> publications.PlanResult:
         """Plan a publication on the latest version without writing it.
 
         Raises
@@ -222,7 +222,9 @@
         """
         return await self._publisher.plan(publication)
 
-    def report(self, version: int) -> configuration_results.Accepted:
+    def report_stragglers(
+        self, version: int
+    ) -> configuration_results.Accepted:
         """Return which members reported a version and which did not."""
         current: list[str] = []
         stragglers: list[configuration_results.Straggler] = []
@@ -253,14 +255,14 @@
         now = self._clock.now()
         deadline = now + self._timing.in_force_timeout_ms
         next_poll_at = now + self._timing.poll_interval_ms
-        report = self.report(version)
+        report = self.report_stragglers(version)
         while report.stragglers and now < deadline:
             await asyncio.sleep(self._timing.report_interval_ms / 1000)
             now = self._clock.now()
             if now >= next_poll_at:
                 self._poll_versions(version)
                 next_poll_at = now + self._timing.poll_interval_ms
-            report = self.report(version)
+            report = self.report_stragglers(version)
         return report
 
     async def _handle_fetch_head(
--- a/src/thornspool/application/exceptions.py
+++ b/src/thornspool/application/exceptions.py
@@ -13,7 +13,7 @@
     """The platform did not respond within the timeout."""
 
 
-class PlatformHeldBack(PlatformError):
+class PlatformCallNotSent(PlatformError):
     """The call was not sent, because recent calls to the platform failed.
 
     Attributes
@@ -42,23 +42,23 @@
     """Base class of the errors of calls to targets."""
 
 
-class TargetNotReached(TargetError):
+class TargetUnreachable(TargetError):
     """No byte of the call was written to the target."""
 
 
-class TargetAnswerLost(TargetError):
+class TargetResponseLost(TargetError):
     """The call was at least partly sent, without a complete response."""
 
 
-class TargetConnectionBroken(TargetAnswerLost):
+class TargetConnectionBroken(TargetResponseLost):
     """The connection closed during the call; the target may have crashed."""
 
 
-class TargetHeldBack(TargetNotReached):
+class TargetCallBlocked(TargetUnreachable):
     """The call is suspected of crashing targets and was not sent."""
 
 
-class TargetLeaving(TargetNotReached):
+class TargetLeaving(TargetUnreachable):
     """The target refused the call because it is leaving; nothing ran."""
 
 
--- a/src/thornspool/application/generation/attempts.py
+++ b/src/thornspool/application/generation/attempts.py
@@ -68,14 +68,14 @@
     ----------
     take_retry : callable
         Takes one retry from the budget; returns False when it is exhausted.
-    note_failure : callable
+    record_failure : callable
         Called with a target's name and why an attempt on it failed.
-    note_death : callable
+    record_crash : callable
         Called with a target's name and the fingerprints in flight on it,
         once for each crash of a target.
-    note_loads : callable
+    record_loads : callable
         Called with the loads that stages reported in a stream.
-    is_answering : coroutine function
+    is_responsive : coroutine function
         Probes a target and returns whether it responds.
     fingerprint : callable
         Computes the fingerprint of a request's content.
@@ -84,12 +84,14 @@
     """
 
     take_retry: Callable[[], bool] = lambda: True
-    note_failure: Callable[[str, messages.Reason], None] = _ignore_failure
-    note_death: Callable[[str, tuple[str, ...]], None] = (
+    record_failure: Callable[[str, messages.Reason], None] = _ignore_failure
+    record_crash: Callable[[str, tuple[str, ...]], None] = (
         generation_in_flight.ignore_crash
     )
-    note_loads: Callable[[list[frames_module.StageLoad]], None] = _ignore_loads
-    is_answering: Callable[[str], Awaitable[bool]] = _assume_responsive
+    record_loads: Callable[[list[frames_module.StageLoad]], None] = (
+        _ignore_loads
+    )
+    is_responsive: Callable[[str], Awaitable[bool]] = _assume_responsive
     fingerprint: Callable[[generation_messages.GenerationRequest], str] = (
         fingerprint_request
     )
@@ -125,7 +127,7 @@
         self.planning = planning
         self.hooks = hooks
         self.in_flight = generation_in_flight.InFlightAttempts(
-            hooks.note_death
+            hooks.record_crash
         )
         self.background: set[asyncio.Task[None]] = set()
         self.attempts: set[Attempt] = set()
@@ -167,11 +169,11 @@
         self.nothing_ran = False
         self._context = context
         self._call = call
-        self._tell = put_event
+        self._put_event = put_event
         self._route = call.route
         self._started_at = context.clock.now()
         self._last_token_at = -1
-        self._interval_meter = stage_times.PaceMeter()
+        self._interval_meter = stage_times.TokenIntervalMeter()
         self._task: asyncio.Task[None] | None = None
         self._on_trial = False
         self._in_flight_attempt = context.in_flight.start(
@@ -182,7 +184,7 @@
     def start(self) -> None:
         """Register the attempt and send it."""
         for target in self._in_flight_attempt.targets:
-            self._on_trial |= self._context.hooks.trials.start(
+            self._on_trial |= self._context.hooks.trials.record_start(
                 self._in_flight_attempt.fingerprint, target
             )
         self._context.attempts.add(self)
@@ -196,7 +198,7 @@
             self._in_flight_attempt.fingerprint in fingerprints
             and not self._on_trial
         ):
-            self._tell(
+            self._put_event(
                 messages.StreamClosed(
                     self._call.attempt, messages.Reason.SUSPECTED
                 )
@@ -216,12 +218,12 @@
         self._context.hold_task(loop.create_task(self._probe_stages()))
 
     async def _probe_stages(self) -> None:
-        is_answering = self._context.hooks.is_answering
+        is_responsive = self._context.hooks.is_responsive
         responses = await asyncio.gather(
-            *(is_answering(target) for target in self._route.list_targets())
+            *(is_responsive(target) for target in self._route.list_targets())
         )
         if not all(responses):
-            self._tell(messages.StageUnresponsive(self._call.attempt))
+            self._put_event(messages.StageUnresponsive(self._call.attempt))
 
     def attribute_fault(self, command: messages.Cancel) -> None:
         """Record a stall, and report the target that failed."""
@@ -232,7 +234,7 @@
             context.planning.record_stall(self._route, idle_ms, now)
         if not command.suspect:
             return
-        context.hooks.note_failure(command.suspect, command.reason)
+        context.hooks.record_failure(command.suspect, command.reason)
         if command.reason is messages.Reason.STAGE_LOST:
             context.in_flight.report_crash(
                 command.suspect, self._in_flight_attempt
@@ -258,7 +260,7 @@
             self._in_flight_attempt.fingerprint,
         )
         for target in self._in_flight_attempt.targets:
-            trials.finish(fingerprint, target, succeeded=not cancel)
+            trials.record_end(fingerprint, target, succeeded=not cancel)
         if not cancel:
             return
         if self._task is not None:
@@ -279,15 +281,15 @@
             )
 
     async def _run(self) -> None:
-        self._tell(await self._follow())
+        self._put_event(await self._run_stream())
 
-    async def _follow(self) -> messages.StreamClosed:
+    async def _run_stream(self) -> messages.StreamClosed:
         """Run the stream to its end and return how it ended."""
         attempt, first = self._call.attempt, self._route.stages[0].target
         reasons = messages.Reason
         try:
             await self._context.engines.generate(self._call, self._deliver)
-        except exceptions.TargetNotReached:
+        except exceptions.TargetUnreachable:
             self.nothing_ran = True
             return messages.StreamClosed(attempt, reasons.NOT_REACHED, first)
         except generation_exceptions.EngineRefused:
@@ -303,12 +305,12 @@
         if not frames:
             return
         if frames[-1].loads:
-            self._context.hooks.note_loads(frames[-1].loads)
+            self._context.hooks.record_loads(frames[-1].loads)
         now = self._context.clock.now()
         planning = self._context.planning
         if frames[-1].hops:
-            planning.note_hops(self._route, frames[-1].hops, now)
+            planning.record_hops(self._route, frames[-1].hops, now)
         interval_ms = self._interval_meter.count(len(frames), now)
         if interval_ms is not None:
-            planning.note_pace(self._route, interval_ms, now)
-        self._tell(messages.FramesReceived(self._call.attempt, frames))
+            planning.record_token_interval(self._route, interval_ms, now)
+        self._put_event(messages.FramesReceived(self._call.attempt, frames))
--- a/src/thornspool/application/generation/events.py
+++ b/src/thornspool/application/generation/events.py
@@ -51,7 +51,7 @@
         Returns
         -------
         messages.Event
-            ``TimePassed`` after a timeout. Consecutive queued frames are
+            ``TimerExpired`` after a timeout. Consecutive queued frames are
             merged, so that their tokens are sent to the caller in one
             write: one system call for each token was most of the cost of
             an entry with a backlog.
@@ -59,7 +59,7 @@
         if not self._events:
             await self._wait(wake_at)
         if not self._events:
-            return messages.TimePassed()
+            return messages.TimerExpired()
         event = self._events.popleft()
         if self._events and isinstance(event, messages.FramesReceived):
             return self._merge_frames(event)
--- a/src/thornspool/application/generation/messages.py
+++ b/src/thornspool/application/generation/messages.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from thornspool.domain.pipelines import questions
+from thornspool.domain.pipelines import report_requests
 
 if typing.TYPE_CHECKING:
     from collections.abc import Callable
@@ -134,7 +134,7 @@
         Tokens verified so far; the engine continues after them.
     timeout_ms : int
         Timeout of the whole stream.
-    tell : questions.Tell
+    requested_reports : report_requests.ReportRequest
         Reports that the engines add to the stream.
     """
 
@@ -145,16 +145,18 @@
     route: routes.Route
     resume: tuple[str, ...]
     timeout_ms: int
-    tell: questions.Tell = questions.NOTHING
+    requested_reports: report_requests.ReportRequest = (
+        report_requests.NO_REPORTS
+    )
 
 
 class Engines(typing.Protocol):
     """Calls to model engines.
 
-    ``generate`` raises ``TargetNotReached`` when no byte was written,
+    ``generate`` raises ``TargetUnreachable`` when no byte was written,
     ``EngineRefused`` when the engine refused the request,
     ``StreamMalformed`` when it sent bytes that are not a frame, and
-    ``TargetAnswerLost`` when the stream broke. Cancelling the coroutine
+    ``TargetResponseLost`` when the stream broke. Cancelling the coroutine
     closes the connection.
     """
 
--- a/src/thornspool/application/generation/planning.py
+++ b/src/thornspool/application/generation/planning.py
@@ -14,7 +14,7 @@
 from thornspool.domain.pipelines import links
 from thornspool.domain.pipelines import loads
 from thornspool.domain.pipelines import planner
-from thornspool.domain.pipelines import questions
+from thornspool.domain.pipelines import report_requests
 from thornspool.domain.pipelines import stage_times
 
 if typing.TYPE_CHECKING:
@@ -33,7 +33,7 @@
 
 
 @attrs.frozen
-class Wish:
+class RouteRequest:
     """Request for a route.
 
     Attributes
@@ -97,14 +97,16 @@
         random_source: random.Random,
         link_times: links.LinkTimes | None = None,
         per_range: int = _CANDIDATES_PER_RANGE,
-        read_limits: Callable[[], questions.Limits] = questions.Limits,
+        read_limits: Callable[
+            [], report_requests.ReportLimits
+        ] = report_requests.ReportLimits,
     ) -> None:
         self.links = link_times or links.LinkTimes()
         self.affinity = affinity.PrefixAffinity()
         self.local_requests = loads.LocalRequests()
         self._stage_times = stage_times.StageTimes()
-        self._loads_limiter = questions.ReportLimiter(_LOADS_MAX_AGE_MS)
-        self._hops_limiter = questions.ReportLimiter(_HOPS_MAX_AGE_MS)
+        self._loads_limiter = report_requests.ReportLimiter(_LOADS_MAX_AGE_MS)
+        self._hops_limiter = report_requests.ReportLimiter(_HOPS_MAX_AGE_MS)
         self._read_limits = read_limits
         self._entry = entry
         self._snapshot = snapshot
@@ -128,7 +130,7 @@
             self._candidates[model.name] = cached
         return cached.stages
 
-    def plan(self, request: Wish, now: int) -> routes.Route:
+    def plan(self, request: RouteRequest, now: int) -> routes.Route:
         """Plan a route, adding more targets until the layers are covered.
 
         Raises
@@ -152,7 +154,7 @@
 
     def _plan(
         self,
-        request: Wish,
+        request: RouteRequest,
         stages: list[documents.Stage],
         excluded: frozenset[str],
         now: int,
@@ -180,7 +182,7 @@
         )
 
     def _compute_cost(
-        self, request: Wish, stage: documents.Stage, now: int
+        self, request: RouteRequest, stage: documents.Stage, now: int
     ) -> float:
         """Compute the cost of a stage in milliseconds a token."""
         estimate = self._estimate(stage.target, now)
@@ -205,11 +207,11 @@
         report_weight = loads.compute_report_weight(report, now)
         return self._stage_times.refine(target, time, report_weight, now)
 
-    def _draw(self, request: Wish, stage: documents.Stage) -> float:
+    def _draw(self, request: RouteRequest, stage: documents.Stage) -> float:
         """Draw a number from 0 to 1, the same on every entry for a request."""
         if not request.fingerprint:
             return self._random.random()
-        return rendezvous.draw(request.fingerprint, stage.target)
+        return rendezvous.compute_fraction(request.fingerprint, stage.target)
 
     def start(self, route: routes.Route) -> None:
         """Add an attempt to the request counts of its targets."""
@@ -229,7 +231,9 @@
             layers = (stage.first_layer, stage.end_layer)
             self.affinity.record(prefix, layers, stage.target, now)
 
-    def choose_tell(self, route: routes.Route, now: int) -> questions.Tell:
+    def choose_reports(
+        self, route: routes.Route, now: int
+    ) -> report_requests.ReportRequest:
         """Choose the reports to request from the engines of a route.
 
         At the design size, loads in each response and link times with one
@@ -246,7 +250,7 @@
             for link in route.list_links()[:-1]
         ]
         limits = self._read_limits()
-        return questions.Tell(
+        return report_requests.ReportRequest(
             self._loads_limiter.should_request(
                 load_reports, limits.loads_per_s, now
             ),
@@ -259,14 +263,14 @@
         report = self._targets.read_load(target)
         return None if report is None else report.received_at
 
-    def note_hops(
+    def record_hops(
         self, route: routes.Route, hops: list[float], now: int
     ) -> None:
         """Learn link times from the times between stages, in milliseconds."""
         for link, time_ms in zip(route.list_links(), hops, strict=False):
             self.links.record_hop(*link, time_ms, now)
 
-    def note_pace(
+    def record_token_interval(
         self, route: routes.Route, interval_ms: float, now: int
     ) -> None:
         """Learn stage times from the token interval in milliseconds."""
@@ -278,7 +282,9 @@
             self.links.read(first, second, now)
             for first, second in route.list_links()
         )
-        self._stage_times.note_pace(expected, interval_ms - links_ms, now)
+        self._stage_times.record_token_interval(
+            expected, interval_ms - links_ms, now
+        )
 
     def record_stall(
         self, route: routes.Route, idle_ms: float, now: int
--- a/src/thornspool/application/generation/service.py
+++ b/src/thornspool/application/generation/service.py
@@ -76,7 +76,7 @@
             clock, engines, planning, hooks or generation_attempts.Hooks()
         )
 
-    def leave_suspects(self, fingerprints: frozenset[str]) -> None:
+    def abandon_suspects(self, fingerprints: frozenset[str]) -> None:
         """Abandon the attempts of requests suspected of crashing a target."""
         self._context.abandon_suspects(fingerprints)
 
@@ -150,7 +150,7 @@
                 if isinstance(command, messages.Replan):
                     await self._start(command)
                     continue
-                event = self._carry_out(command)
+                event = self._execute(command)
                 if event is not None:
                     yield event
             if self._verifier.is_finished:
@@ -172,7 +172,7 @@
             return self._verifier.fail(reason)
         return [messages.Replan(0, frozenset(), frozenset())]
 
-    def _carry_out(
+    def _execute(
         self, command: messages.Command
     ) -> generation_messages.GenerationEvent | None:
         if isinstance(command, messages.Deliver):
@@ -186,7 +186,7 @@
             self._probe_stages()
             return None
         assert isinstance(command, messages.Cancel)
-        self._leave(command)
+        self._abandon_attempt(command)
         return None
 
     def _probe_stages(self) -> None:
@@ -219,7 +219,7 @@
             reason, outcome, self._retry_after_ms, delivered
         )
 
-    def _leave(self, command: messages.Cancel) -> None:
+    def _abandon_attempt(self, command: messages.Cancel) -> None:
         """End the current attempt and attribute its failure."""
         attempt = self._attempt
         if attempt is None:
@@ -247,14 +247,14 @@
                 request.deadline,
             )
         except pipeline_exceptions.NoPipeline:
-            self._give_up(messages.Reason.NO_PIPELINE)
+            self._fail_request(messages.Reason.NO_PIPELINE)
             return
-        except generation_trials.TimeSpent:
-            self._give_up(messages.Reason.DEADLINE)
+        except generation_trials.DeadlineExceeded:
+            self._fail_request(messages.Reason.DEADLINE)
             return
-        if isinstance(route, generation_trials.Condemned):
+        if isinstance(route, generation_trials.QuarantinedRequest):
             self._retry_after_ms = route.retry_after_ms
-            self._give_up(messages.Reason.CONDEMNED)
+            self._fail_request(messages.Reason.CONDEMNED)
             return
         self._send(command.attempt, route, resume)
 
@@ -263,7 +263,7 @@
     ) -> routes.Route:
         """Plan a route; busy targets are used only if no others can be."""
         assert self._model is not None
-        route_request = generation_planning.Wish(
+        route_request = generation_planning.RouteRequest(
             self._model,
             self._prefix,
             self._request.max_tokens - len(self._verifier.tokens),
@@ -275,7 +275,7 @@
             route_request, self._context.clock.now()
         )
 
-    def _give_up(self, reason: messages.Reason) -> None:
+    def _fail_request(self, reason: messages.Reason) -> None:
         self._commands.extend(self._verifier.fail(reason))
 
     def _send(
@@ -293,7 +293,7 @@
             route,
             resume,
             max(1, request.deadline - now),
-            context.planning.choose_tell(route, now),
+            context.planning.choose_reports(route, now),
         )
         self._verifier.handle(messages.Started(route), now)
         self._attempt = generation_attempts.Attempt(
--- a/src/thornspool/application/generation/trials.py
+++ b/src/thornspool/application/generation/trials.py
@@ -27,17 +27,19 @@
         """Return whether a request may run."""
         ...
 
-    async def may_run_on_all(
+    async def reserve_run_on_all(
         self, fingerprint: str, targets: tuple[str, ...], longest_ms: int
     ) -> bool:
         """Return whether a request may run on all these targets now."""
         ...
 
-    def start(self, fingerprint: str, target: str) -> bool:
+    def record_start(self, fingerprint: str, target: str) -> bool:
         """Record the start of a request on a target; True if on trial."""
         ...
 
-    def finish(self, fingerprint: str, target: str, succeeded: bool) -> None:
+    def record_end(
+        self, fingerprint: str, target: str, succeeded: bool
+    ) -> None:
         """Record the end of a request on a target."""
         ...
 
@@ -49,22 +51,24 @@
         """Return that the request may run."""
         return quarantine_messages.Clear()
 
-    async def may_run_on_all(
+    async def reserve_run_on_all(
         self, fingerprint: str, targets: tuple[str, ...], longest_ms: int
     ) -> bool:
         """Return that the request may run."""
         return True
 
-    def start(self, fingerprint: str, target: str) -> bool:
+    def record_start(self, fingerprint: str, target: str) -> bool:
         """Return that the request is not on trial."""
         return False
 
-    def finish(self, fingerprint: str, target: str, succeeded: bool) -> None:
+    def record_end(
+        self, fingerprint: str, target: str, succeeded: bool
+    ) -> None:
         """Do nothing."""
 
 
 @attrs.frozen
-class Condemned:
+class QuarantinedRequest:
     """The request crashed the targets that ran it and may not run.
 
     Attributes
@@ -87,7 +91,7 @@
 Placed = typing.TypeVar('Placed', bound=Placement)
 
 
-class TimeSpent(Exception):
+class DeadlineExceeded(Exception):
     """The deadline passed before the request's targets were available."""
 
 
@@ -97,8 +101,8 @@
     plan: Callable[[frozenset[str]], Placed],
     clock: clock_module.Clock,
     deadline: int,
-    keep_ms: int = 0,
-) -> Placed | Condemned:
+    min_reservation_ms: int = 0,
+) -> Placed | QuarantinedRequest:
     """Plan a route on which a request may run, and wait for it if needed.
 
     Parameters
@@ -113,19 +117,19 @@
         Source of time.
     deadline : int
         Monotonic milliseconds after which the wait ends.
-    keep_ms : int, optional
+    min_reservation_ms : int, optional
         Minimum time in milliseconds for which the targets are reserved,
         for runs that may continue after the deadline.
 
     Returns
     -------
-    Placement or Condemned
+    Placement or QuarantinedRequest
         The planned route, or the quarantine of the request. After a route,
-        `finish` must be called for each of its targets.
+        `record_end` must be called for each of its targets.
 
     Raises
     ------
-    TimeSpent
+    DeadlineExceeded
         No route became available before the deadline.
     """
     verdict = trials.check(fingerprint)
@@ -135,10 +139,10 @@
     try:
         async with asyncio.timeout(left_ms / _MS_PER_S):
             return await _wait_for_trial(
-                trials, fingerprint, plan, clock, deadline, keep_ms
+                trials, fingerprint, plan, clock, deadline, min_reservation_ms
             )
     except TimeoutError as error:
-        raise TimeSpent from error
+        raise DeadlineExceeded from error
 
 
 async def _wait_for_trial(
@@ -147,18 +151,18 @@
     plan: Callable[[frozenset[str]], Placed],
     clock: clock_module.Clock,
     deadline: int,
-    keep_ms: int,
-) -> Placed | Condemned:
+    min_reservation_ms: int,
+) -> Placed | QuarantinedRequest:
     """Retry until a route is reserved or the request is quarantined."""
     busy: frozenset[str] = frozenset()
     while True:
         verdict = trials.check(fingerprint)
         if isinstance(verdict, quarantine_messages.Condemned):
-            return Condemned(verdict.retry_after_ms)
+            return QuarantinedRequest(verdict.retry_after_ms)
         route = plan(busy)
         targets = route.list_targets()
-        longest_ms = max(1, deadline - clock.now(), keep_ms)
-        if await trials.may_run_on_all(fingerprint, targets, longest_ms):
+        longest_ms = max(1, deadline - clock.now(), min_reservation_ms)
+        if await trials.reserve_run_on_all(fingerprint, targets, longest_ms):
             return route
         busy = frozenset(targets)
         await asyncio.sleep(POLL_MS / _MS_PER_S)
--- a/src/thornspool/application/intake.py
+++ b/src/thornspool/application/intake.py
@@ -80,7 +80,7 @@
 
 
 @attrs.frozen
-class Gates:
+class AdmissionChecks:
     """Checks that decide whether a request is accepted.
 
     Attributes
@@ -91,14 +91,14 @@
         Returns False while the entry drains.
     is_isolated : callable
         Returns True while neither the platform nor any peer responds.
-    list_instead : callable
+    list_alternatives : callable
         Returns the URLs of entries to use instead.
     """
 
     admit: Callable[[WorkEstimate], AdmittedRequest]
     is_accepting: Callable[[], bool]
     is_isolated: Callable[[], bool]
-    list_instead: Callable[[], tuple[str, ...]]
+    list_alternatives: Callable[[], tuple[str, ...]]
 
 
 @attrs.frozen
@@ -135,7 +135,7 @@
         Source of time.
     snapshot : callable
         Returns the configuration in force.
-    gates : Gates
+    checks : AdmissionChecks
         Checks that decide whether a request is accepted.
     runners : Runners
         Services that run accepted requests.
@@ -152,7 +152,7 @@
         self,
         clock: clock.Clock,
         snapshot: Callable[[], documents.Snapshot],
-        gates: Gates,
+        checks: AdmissionChecks,
         runners: Runners,
         track: Callable[[], contextlib.AbstractContextManager[None]],
         metrics: metrics.Metrics,
@@ -160,7 +160,7 @@
     ) -> None:
         self._clock = clock
         self._snapshot = snapshot
-        self._gates = gates
+        self._checks = checks
         self._runners = runners
         self._operations = operations.OperationRunner(clock, runners)
         self._track = track
@@ -201,7 +201,7 @@
                 progress.result = result
                 return result
         except requests.RequestRefused as refused:
-            if request.resent and not resolved.operation.idempotent:
+            if request.is_resent and not resolved.operation.idempotent:
                 return operations.build_unknown_result(
                     refused.message, refused.retry_after_ms
                 )
@@ -323,7 +323,7 @@
         started_at = self._clock.now()
         try:
             self._check_accepting()
-            admitted = self._gates.admit(estimate)
+            admitted = self._checks.admit(estimate)
         except requests.RequestRefused as refused:
             self._metrics.count_event('request_refused')
             outcome = observation.Outcome.REFUSED
@@ -342,11 +342,11 @@
 
     def _check_accepting(self) -> None:
         """Refuse new work while the entry is draining or isolated."""
-        if not self._gates.is_accepting():
+        if not self._checks.is_accepting():
             raise requests.RequestRefused(
-                _DRAINING, DRAINING_RETRY_MS, self._gates.list_instead()
+                _DRAINING, DRAINING_RETRY_MS, self._checks.list_alternatives()
             )
-        if self._gates.is_isolated():
+        if self._checks.is_isolated():
             raise requests.RequestRefused(_ISOLATED, ISOLATED_RETRY_MS)
 
     def _record_end(
--- a/src/thornspool/application/ledger/writing.py
+++ b/src/thornspool/application/ledger/page_writers.py
@@ -52,7 +52,7 @@
         The platform's key-value service.
     layout : keys.Layout
         Dimensions of the ring of pages.
-    pace : writer.Pace
+    limits : writer.WriteLimits
         Limits on the writes of each page.
     max_pages : int
         Number of pages in memory above which idle ones are dropped.
@@ -65,14 +65,14 @@
         clock: clock.Clock,
         platform: ports.Platform,
         layout: keys.Layout,
-        pace: writer.Pace,
+        limits: writer.WriteLimits,
         max_pages: int = 32,
         max_page_bytes: int = pages.MAX_PAGE_BYTES,
     ) -> None:
         self._clock = clock
         self._platform = platform
         self._layout = layout
-        self._pace = pace
+        self._limits = limits
         self._max_pages = max_pages
         self._max_page_bytes = max_page_bytes
         self._breaker = breaker.Breaker()
@@ -107,7 +107,7 @@
         finally:
             self._breaker.end_probe()
 
-    def note_platform_back(self) -> None:
+    def record_platform_recovery(self) -> None:
         """Admit proposals again after the platform has recovered."""
         self._breaker.record_success()
 
@@ -138,7 +138,7 @@
             open_page = _OpenPage(
                 address,
                 writer.PageWriter(
-                    address.slot, self._pace, self._max_page_bytes
+                    address.slot, self._limits, self._max_page_bytes
                 ),
             )
             self._open_pages[address] = open_page
@@ -204,7 +204,7 @@
             # One malformed value must not affect the actions of other pages.
             logger.error('ledger_page_malformed', reason=str(error))
             self._handle(open_page, writer.ReadFailed(_MALFORMED_WAIT_MS))
-        except exceptions.PlatformHeldBack as error:
+        except exceptions.PlatformCallNotSent as error:
             now = self._clock.now()
             self._breaker.record_not_sent(now, error.retry_after_ms)
             wait_ms = self._breaker.compute_wait(now)
--- a/src/thornspool/application/ledger/remote_writers.py
+++ b/src/thornspool/application/ledger/remote_writers.py
@@ -13,7 +13,7 @@
 if typing.TYPE_CHECKING:
     from thornspool import clock as clock_module
     from thornspool.application import ports
-    from thornspool.application.ledger import writing as ledger
+    from thornspool.application.ledger import page_writers
 
 
 @attrs.frozen
@@ -50,7 +50,7 @@
         Source of time.
     peers : ports.Peers
         Messages to other entries; handlers are registered with it.
-    local : ledger.Ledger
+    local : page_writers.Ledger
         Page writers of this entry.
     settings : RemoteWriterSettings
         Time limits.
@@ -60,7 +60,7 @@
         self,
         clock: clock_module.Clock,
         peers: ports.Peers,
-        local: ledger.Ledger,
+        local: page_writers.Ledger,
         settings: RemoteWriterSettings,
     ) -> None:
         self._clock = clock
@@ -104,7 +104,7 @@
         """
         end = self._clock.now() + timeout_ms
         reply = asyncio.ensure_future(
-            self._peers.ask(address, proposal, timeout_ms)
+            self._peers.request(address, proposal, timeout_ms)
         )
         try:
             return await self._await_verdict(
@@ -136,7 +136,7 @@
         return None
 
     async def _is_open_at(self, address: str, attempt: str) -> bool:
-        report: messages.ProposalReport = await self._peers.ask(
+        report: messages.ProposalReport = await self._peers.request(
             address,
             messages.ProposalQuery(attempt),
             self._settings.query_timeout_ms,
--- a/src/thornspool/application/ledger/router.py
+++ b/src/thornspool/application/ledger/router.py
@@ -15,7 +15,7 @@
 
 if typing.TYPE_CHECKING:
     from thornspool import clock
-    from thornspool.application.ledger import writing as ledger
+    from thornspool.application.ledger import page_writers
 
 
 _MAX_REMOTE_WRITERS = 2
@@ -85,7 +85,7 @@
         This entry's view of the members.
     member : ports.Member
         This entry.
-    local : ledger.Ledger
+    local : page_writers.Ledger
         Page writers of this entry.
     settings : RouterSettings
         Time limits.
@@ -97,7 +97,7 @@
         peers: ports.Peers,
         members: ports.MemberView,
         member: ports.Member,
-        local: ledger.Ledger,
+        local: page_writers.Ledger,
         settings: RouterSettings,
     ) -> None:
         self._clock = clock
--- a/src/thornspool/application/membership.py
+++ b/src/thornspool/application/membership.py
@@ -63,7 +63,7 @@
 
 
 @attrs.frozen
-class EntriesAnswer:
+class EntriesResponse:
     """Addresses of entries for callers.
 
     Attributes
@@ -132,7 +132,7 @@
         self._read_version = read_version
         self._on_version = on_version
         self._host_watchers: list[HostWatcher] = []
-        self._machine = machine.Machine(
+        self._gossip_member = machine.GossipMember(
             _build_identity(own), clock.now(), random, settings
         )
         self._members: tuple[ports.Member, ...] = ()
@@ -156,7 +156,7 @@
         seeds : iterable of str, optional
             Peer addresses to try in addition to the platform's host list.
         """
-        self._machine.set_seeds(seeds)
+        self._gossip_member.set_seeds(seeds)
         self._tasks = [
             asyncio.create_task(self._run_ticks()),
             asyncio.create_task(self._run_reads(tuple(seeds))),
@@ -164,7 +164,7 @@
 
     async def stop(self) -> None:
         """Announce that this entry is gone, and stop."""
-        self._execute(self._machine.quit())
+        self._execute(self._gossip_member.announce_exit())
         for task in self._tasks:
             task.cancel()
         for task in self._tasks:
@@ -174,34 +174,38 @@
 
     def announce_leaving(self) -> None:
         """Announce that this entry is leaving; this can't be revoked."""
-        logger.info('membership_leaving', entry=self._machine.own.incarnation)
-        self._execute(self._machine.leave())
+        logger.info(
+            'membership_leaving', entry=self._gossip_member.own.incarnation
+        )
+        self._execute(self._gossip_member.announce_leaving())
 
     def announce_version(self) -> None:
         """Announce the local configuration version immediately."""
-        self._execute(self._machine.set_version(self._read_version()))
+        self._execute(self._gossip_member.set_version(self._read_version()))
 
-    def poll_versions(self, version: int) -> None:
+    def request_versions(self, version: int) -> None:
         """Request the versions of entries not known to have a version.
 
         Gossip reports the versions of all entries after some seconds. A
         publication, which waits for them, calls this twice a second.
         """
-        commands = self._machine.poll_versions(version, self._clock.now())
+        commands = self._gossip_member.request_versions(
+            version, self._clock.now()
+        )
         self._execute(commands)
 
     def tick(self) -> None:
         """Run the periodic work; called ten times a second."""
         self._detect_suspension()
         self.announce_version()
-        self._execute(self._machine.tick(self._clock.now()))
+        self._execute(self._gossip_member.tick(self._clock.now()))
 
     def list_members(self) -> tuple[ports.Member, ...]:
         """Return the live members, including this entry.
 
         The same tuple object is returned until a member changes.
         """
-        view = self._machine.view
+        view = self._gossip_member.view
         if view.revision != self._members_revision:
             found = (view.find(name) for name in view.list_live())
             self._members = tuple(_build_member(r) for r in found if r)
@@ -212,19 +216,19 @@
         """Return all recorded members, including dead ones."""
         return tuple(
             sorted(
-                (_build_member(record) for record in self._machine.view),
+                (_build_member(record) for record in self._gossip_member.view),
                 key=lambda member: member.incarnation,
             )
         )
 
     def find(self, incarnation: str) -> ports.Member | None:
         """Return a live member by incarnation; None if there is none."""
-        record = self._machine.view.find(incarnation)
-        if record is None or not record.is_live:
+        record = self._gossip_member.view.find(incarnation)
+        if record is None or not record.is_listed:
             return None
         return _build_member(record)
 
-    def list_entries(self) -> EntriesAnswer:
+    def list_entries(self) -> EntriesResponse:
         """Return the addresses for callers, with their cache lifetime."""
         members = self.list_members()
         staying = {
@@ -240,7 +244,7 @@
         # After a quick restart, the old and the new process of a host may
         # both be members. The address is then in use again.
         leaving.difference_update(entry.url for entry in staying)
-        return EntriesAnswer(
+        return EntriesResponse(
             tuple(sorted(staying, key=lambda entry: entry.url)),
             self._choose_cache_ms(len(members)),
             tuple(sorted(leaving)),
@@ -274,7 +278,7 @@
             logger.warning('host_list_not_read', reason=str(error))
             return
         addresses = [h.peer_address for h in hosts if h.peer_address]
-        self._machine.set_seeds(dict.fromkeys([*seeds, *addresses]))
+        self._gossip_member.set_seeds(dict.fromkeys([*seeds, *addresses]))
         for watcher in self._host_watchers:
             watcher(hosts)
 
@@ -283,7 +287,7 @@
         self._detect_suspension()
         if now - self._resumed_at >= RESUME_SETTLING_MS:
             self._last_message_at = now
-        self._execute(self._machine.receive(sender, message, now))
+        self._execute(self._gossip_member.receive(sender, message, now))
 
     def _detect_suspension(self) -> None:
         """Detect that this process was suspended.
@@ -301,7 +305,7 @@
         for command in commands:
             match command:
                 case messages.Send():
-                    self._peers.tell(command.address, command.message)
+                    self._peers.send(command.address, command.message)
                 case messages.ReportVersion():
                     self._on_version(command.address, command.version)
 
@@ -325,12 +329,12 @@
         # slowly than the fleet. A few members therefore read the list often,
         # and all others together at most ten times a second, regardless of
         # their number.
-        live = self._machine.view.list_live()
+        live = self._gossip_member.view.list_live()
         interval = max(
             MIN_READ_INTERVAL_MS, READ_INTERVAL_PER_MEMBER_MS * len(live)
         )
         readers = rendezvous.choose('host list', live, HOST_LIST_READERS)
-        if self._machine.own.incarnation in readers:
+        if self._gossip_member.own.incarnation in readers:
             interval = READER_INTERVAL_MS
         return interval * self._random.uniform(0.75, 1.25)
 
@@ -357,7 +361,7 @@
 
 def _build_member(record: records.Record) -> ports.Member:
     state = _STATES[record.status]
-    if record.is_live and record.leaving:
+    if record.is_listed and record.leaving:
         state = ports.MemberState.LEAVING
     identity = record.identity
     return ports.Member(
--- a/src/thornspool/application/objectives.py
+++ b/src/thornspool/application/objectives.py
@@ -191,7 +191,7 @@
     async def _request_counts(self, peer_address: str) -> CountsReply | None:
         """Request the counts of one entry; None without a timely reply."""
         try:
-            reply: CountsReply = await self._peers.ask(
+            reply: CountsReply = await self._peers.request(
                 peer_address, CountsAsked(), GATHER_TIMEOUT_MS
             )
         except exceptions.PeerUnreachable as error:
--- a/src/thornspool/application/operations.py
+++ b/src/thornspool/application/operations.py
@@ -74,7 +74,7 @@
                     request, resolved, targets, deadline
                 )
         except service_trials.Refused as refused:
-            if request.resent:
+            if request.is_resent:
                 return build_unknown_result(
                     refused.reason, refused.retry_after_ms
                 )
@@ -150,7 +150,7 @@
         targets=resolved.targets,
         deduplicates=resolved.operation.deduplicates,
         timeout_ms=resolved.operation.timeout_ms,
-        resent=request.resent,
+        is_resent=request.is_resent,
         fingerprint=fingerprint_operation(request),
     )
 
--- a/src/thornspool/application/outages.py
+++ b/src/thornspool/application/outages.py
@@ -56,7 +56,7 @@
     ----------
     clock : clock_module.Clock
         Source of time.
-    platform : ports.FailingPlatform
+    platform : ports.OutageSource
         Client of the platform.
     peers : ports.Peers
         Messaging between entries.
@@ -66,14 +66,14 @@
         Incarnation of the local entry.
     random_source : random.Random
         Chooses the entries to notify and the delay of reads.
-    note_back : callable
+    on_recovery : callable
         Called when an outage ends at this entry.
     """
 
     def __init__(
         self,
         clock: clock_module.Clock,
-        platform: ports.FailingPlatform,
+        platform: ports.OutageSource,
         peers: ports.Peers,
         members: ports.MemberView,
         incarnation: str,
@@ -90,7 +90,7 @@
         self._last_notice_at: int | None = None
         self._task: asyncio.Task[None] | None = None
         peers.handle(PlatformBack, self._handle_notice)
-        platform.follow_outages(
+        platform.set_outage_callbacks(
             self._count_members, self._start_probing, self._handle_recovery
         )
 
@@ -108,7 +108,7 @@
             self._task = loop.create_task(self._probe_until_recovered())
 
     async def _probe_until_recovered(self) -> None:
-        while (wait_ms := self._platform.read_backoff()) is not None:
+        while (wait_ms := self._platform.compute_backoff_ms()) is not None:
             await asyncio.sleep(max(wait_ms, _MIN_PROBE_DELAY_MS) / _MS_PER_S)
             await self._probe()
 
@@ -123,7 +123,7 @@
     async def _probe(self) -> None:
         try:
             await self._platform.probe()
-        except exceptions.PlatformHeldBack as error:
+        except exceptions.PlatformCallNotSent as error:
             await asyncio.sleep(error.retry_after_ms / _MS_PER_S)
         except exceptions.PlatformError as error:
             logger.debug('platform_probe_failed', reason=str(error))
@@ -139,12 +139,15 @@
         ]
         chosen = self._random.sample(others, min(NOTICE_FAN_OUT, len(others)))
         for member in chosen:
-            self._peers.tell(member.peer_address, PlatformBack())
+            self._peers.send(member.peer_address, PlatformBack())
 
     async def _handle_notice(
         self, _sender: str, _notice: PlatformBack
     ) -> None:
-        if self._platform.read_backoff() is None or not self._accept_notice():
+        if (
+            self._platform.compute_backoff_ms() is None
+            or not self._accept_notice()
+        ):
             return
         max_delay_ms = self._count_members() * READ_DELAY_PER_ENTRY_MS
         delay_ms = self._random.uniform(0, max_delay_ms)
--- a/src/thornspool/application/ports.py
+++ b/src/thornspool/application/ports.py
@@ -141,14 +141,14 @@
 """Takes the sender's incarnation and a message, and returns the reply."""
 
 
-class FailingPlatform(typing.Protocol):
+class OutageSource(typing.Protocol):
     """Client of the platform that detects outages and reports them."""
 
-    def follow_outages(
+    def set_outage_callbacks(
         self,
         count_entries: Callable[[], int],
-        note_failing: Callable[[], None],
-        note_back: Callable[[], None],
+        on_outage: Callable[[], None],
+        on_recovery: Callable[[], None],
     ) -> None:
         """Register the callbacks for outages.
 
@@ -156,14 +156,14 @@
         ----------
         count_entries : callable
             Returns the number of entries.
-        note_failing : callable
+        on_outage : callable
             Called when the client starts to reject calls.
-        note_back : callable
+        on_recovery : callable
             Called at the first response of the platform after that.
         """
         ...
 
-    def read_backoff(self) -> int | None:
+    def compute_backoff_ms(self) -> int | None:
         """Return the milliseconds until a call may be sent.
 
         None while calls are not rejected.
@@ -182,19 +182,19 @@
 class Peers(typing.Protocol):
     """Messaging between entries; delivery is at most once and unordered.
 
-    Messages and replies are frozen ``attrs`` classes. ``ask`` raises
+    Messages and replies are frozen ``attrs`` classes. ``request`` raises
     ``PeerUnreachable`` of ``application.exceptions`` when no reply arrives
     in time; the peer may nevertheless have handled the message, or may
     still do so.
     """
 
-    async def ask(
+    async def request(
         self, peer_address: str, message: typing.Any, timeout_ms: int
     ) -> typing.Any:
         """Send a message and wait for its reply."""
         ...
 
-    def tell(self, peer_address: str, message: typing.Any) -> None:
+    def send(self, peer_address: str, message: typing.Any) -> None:
         """Send a message without waiting for a reply; it may be lost."""
         ...
 
@@ -295,7 +295,7 @@
         Name of the target.
     fingerprint : str
         Hash of the content of the request, without its key; empty if unknown.
-    alone : bool
+    runs_alone : bool
         Whether the call needs a connection of its own. A connection that
         breaks then can't have been broken before the call.
     """
@@ -310,11 +310,11 @@
     timeout_ms: int
     target: str = ''
     fingerprint: str = ''
-    alone: bool = False
+    runs_alone: bool = False
 
 
 @attrs.frozen
-class ServiceAnswer:
+class ServiceResponse:
     """A complete response of a plain service.
 
     Attributes
@@ -335,12 +335,12 @@
 class Services(typing.Protocol):
     """Calls to plain services.
 
-    ``call`` raises ``TargetNotReached`` when no byte was written. It raises
-    ``TargetAnswerLost`` when a byte may have been written and no complete
+    ``call`` raises ``TargetUnreachable`` when no byte was written. It raises
+    ``TargetResponseLost`` when a byte may have been written and no complete
     response arrived, and its subclass ``TargetConnectionBroken`` when the
     connection closed during the call.
     """
 
-    async def call(self, call: ServiceCall) -> ServiceAnswer:
+    async def call(self, call: ServiceCall) -> ServiceResponse:
         """Call an operation once; never retries it."""
         ...
--- a/src/thornspool/application/quarantine.py
+++ b/src/thornspool/application/quarantine.py
@@ -26,7 +26,7 @@
 
 PEER_TIMEOUT_MS = 500
 SYNC_INTERVAL_MS = 3000
-SETTLE_MS = ownership_history.SETTLE_MS
+OWNER_SETTLE_MS = ownership_history.SETTLE_MS
 DEFAULT_TRIAL_MS = 60_000
 MAX_SYNC_RECORDS = 256
 _INITIAL_SYNC_PEERS = 3
@@ -87,7 +87,7 @@
         self._ownership = ownership_history.OwnershipHistory(
             incarnation, clock.now()
         )
-        peers.handle(messages.QuarantineNews, self._take_news)
+        peers.handle(messages.QuarantineNews, self._handle_update)
         peers.handle(messages.QuarantineDigest, self._handle_digest)
         peers.handle(messages.ReservationRequest, self._handle_reservation)
         peers.handle(messages.ReservationRelease, self._handle_release)
@@ -98,7 +98,9 @@
         self.verdicts[type(verdict).__name__.lower()] += 1
         return verdict
 
-    def leave_with(self, handler: Callable[[frozenset[str]], None]) -> None:
+    def set_suspect_handler(
+        self, handler: Callable[[frozenset[str]], None]
+    ) -> None:
         """Set the callback that receives new suspects and condemned requests.
 
         Parameters
@@ -120,7 +122,7 @@
         if suspects:
             self._on_suspects(suspects)
 
-    def is_proven(self, fingerprint: str) -> bool:
+    def has_completed_recently(self, fingerprint: str) -> bool:
         """Return whether a request recently completed via this entry."""
         return fingerprint in self._completed
 
@@ -129,7 +131,7 @@
         """Number of requests that have a record."""
         return self._records.count
 
-    async def may_run_on(
+    async def reserve_run_on(
         self,
         fingerprint: str,
         target: str,
@@ -137,11 +139,13 @@
     ) -> bool:
         """Return whether a request may run on a target now.
 
-        See `may_run_on_all`.
+        See `reserve_run_on_all`.
         """
-        return await self.may_run_on_all(fingerprint, (target,), longest_ms)
+        return await self.reserve_run_on_all(
+            fingerprint, (target,), longest_ms
+        )
 
-    async def may_run_on_all(
+    async def reserve_run_on_all(
         self,
         fingerprint: str,
         targets: tuple[str, ...],
@@ -151,8 +155,8 @@
 
         A suspect may run only on trial. Its fingerprint and the targets are
         reserved for the trial, with a message to the entry that owns each
-        name. After a result of True, the caller must call `start` and
-        `finish` for each target.
+        name. After a result of True, the caller must call `record_start` and
+        `record_end` for each target.
 
         Parameters
         ----------
@@ -215,7 +219,7 @@
         is_condemned = isinstance(verdict, messages.Condemned)
         return trial is not None and not trial.started and not is_condemned
 
-    def start(self, fingerprint: str, target: str) -> bool:
+    def record_start(self, fingerprint: str, target: str) -> bool:
         """Record that a request starts on a target.
 
         Returns
@@ -231,10 +235,10 @@
         return True
 
     def find_trial(self, fingerprint: str) -> object | None:
-        """Return the trial to pass to `give_up`; None if there is none."""
+        """Return the trial for `abandon_trial`, or None if there is none."""
         return self._trials.get(fingerprint)
 
-    def give_up(self, fingerprint: str, trial: object) -> None:
+    def abandon_trial(self, fingerprint: str, trial: object) -> None:
         """End a trial that has not started.
 
         A trial that has started, or a later trial of the same request, is
@@ -248,7 +252,9 @@
         trial = self._trials.get(fingerprint)
         return trial if trial and target in trial.targets else None
 
-    def finish(self, fingerprint: str, target: str, succeeded: bool) -> None:
+    def record_end(
+        self, fingerprint: str, target: str, succeeded: bool
+    ) -> None:
         """Record that a request ended on a target.
 
         The first call for a trial ends the trial on all its targets.
@@ -266,9 +272,9 @@
         if self._find_trial(fingerprint, target):
             self._end_trial(fingerprint)
         if succeeded:
-            self.clear(fingerprint)
+            self.record_completion(fingerprint)
 
-    def clear(self, fingerprint: str) -> None:
+    def record_completion(self, fingerprint: str) -> None:
         """Record that a target completed a request and still runs."""
         self._completed.add(fingerprint)
         update = self._records.record_completion(
@@ -277,10 +283,10 @@
         if update is not None:
             self._broadcast(update)
 
-    def note_death(self, target: str, fingerprints: Iterable[str]) -> None:
+    def record_crash(self, target: str, fingerprints: Iterable[str]) -> None:
         """Record that a target died.
 
-        Call this before `finish` of the requests that were in flight on it.
+        Call this before `record_end` of the requests in flight on it.
 
         Parameters
         ----------
@@ -301,7 +307,7 @@
             in_flight=len(in_flight),
             on_trial=len(on_trial),
         )
-        update = self._records.note_death(
+        update = self._records.record_death(
             target, in_flight, on_trial, self._clock.now()
         )
         self._broadcast(update)
@@ -332,7 +338,7 @@
     async def _sync_with(self, peer: ports.Member) -> None:
         digest = self._records.compute_digest(self._clock.now())
         try:
-            update = await self._peers.ask(
+            update = await self._peers.request(
                 peer.peer_address,
                 messages.QuarantineDigest(digest),
                 PEER_TIMEOUT_MS,
@@ -343,7 +349,7 @@
 
     def _broadcast(self, update: messages.QuarantineNews) -> None:
         for member in self._list_others():
-            self._peers.tell(member.peer_address, update)
+            self._peers.send(member.peer_address, update)
 
     async def _reserve(self, name: str, ttl_ms: int) -> bool:
         request = messages.ReservationRequest(name, self._incarnation, ttl_ms)
@@ -355,7 +361,7 @@
         if member is None:
             return False
         try:
-            reply = await self._peers.ask(
+            reply = await self._peers.request(
                 member.peer_address, request, PEER_TIMEOUT_MS
             )
         except exceptions.PeerUnreachable:
@@ -380,7 +386,7 @@
             if owner == self._incarnation or member is None:
                 self._reservations.release(name, self._incarnation)
             else:
-                self._peers.tell(member.peer_address, release)
+                self._peers.send(member.peer_address, release)
 
     def _refresh_view(self) -> tuple[str, ...]:
         view = tuple(
@@ -399,7 +405,7 @@
             and member.state is not ports.MemberState.DEAD
         ]
 
-    async def _take_news(
+    async def _handle_update(
         self, _sender: str, update: messages.QuarantineNews
     ) -> None:
         self._records.merge(update, self._clock.now())
--- a/src/thornspool/application/requests.py
+++ b/src/thornspool/application/requests.py
@@ -26,7 +26,7 @@
         Idempotency key; empty if the caller sent none.
     body : bytes
         JSON text.
-    resent : bool
+    is_resent : bool
         Whether the caller marked the key as sent before.
     """
 
@@ -35,7 +35,7 @@
     operation: str
     key: str
     body: bytes
-    resent: bool = False
+    is_resent: bool = False
 
 
 @attrs.frozen
@@ -79,7 +79,7 @@
         Reason, as one sentence.
     retry_after_ms : int
         Delay before the caller should retry, in milliseconds.
-    instead : tuple of str
+    alternatives : tuple of str
         Addresses of entries to use instead of this one.
     exceeds_workspace_limit : bool
         Whether the request exceeds a limit of its workspace.
@@ -89,10 +89,10 @@
         self,
         reason: str,
         retry_after_ms: int,
-        instead: tuple[str, ...] = (),
+        alternatives: tuple[str, ...] = (),
         exceeds_workspace_limit: bool = False,
     ) -> None:
         super().__init__(reason, f'Retry in {retry_after_ms} ms.')
         self.retry_after_ms = retry_after_ms
-        self.instead = instead
+        self.alternatives = alternatives
         self.exceeds_workspace_limit = exceeds_workspace_limit
--- a/src/thornspool/application/service_trials.py
+++ b/src/thornspool/application/service_trials.py
@@ -50,19 +50,19 @@
         """Return the current trial of a request; None if there is none."""
         ...
 
-    def give_up(self, fingerprint: str, trial: object) -> None:
+    def abandon_trial(self, fingerprint: str, trial: object) -> None:
         """End a trial that never started."""
         ...
 
-    def clear(self, fingerprint: str) -> None:
+    def record_completion(self, fingerprint: str) -> None:
         """Record that a target completed a request and is alive."""
         ...
 
-    def is_proven(self, fingerprint: str) -> bool:
+    def has_completed_recently(self, fingerprint: str) -> bool:
         """Return whether a request recently completed through this entry."""
         ...
 
-    def note_death(self, target: str, fingerprints: tuple[str, ...]) -> None:
+    def record_crash(self, target: str, fingerprints: tuple[str, ...]) -> None:
         """Record that a target crashed, and the requests in flight on it."""
         ...
 
@@ -78,17 +78,17 @@
         """Return that there is no trial."""
         return None
 
-    def give_up(self, fingerprint: str, trial: object) -> None:
+    def abandon_trial(self, fingerprint: str, trial: object) -> None:
         """Do nothing; there are no trials."""
 
-    def clear(self, fingerprint: str) -> None:
+    def record_completion(self, fingerprint: str) -> None:
         """Do nothing; completions are not recorded."""
 
-    def is_proven(self, fingerprint: str) -> bool:
+    def has_completed_recently(self, fingerprint: str) -> bool:
         """Return that every request completed recently."""
         return True
 
-    def note_death(self, target: str, fingerprints: tuple[str, ...]) -> None:
+    def record_crash(self, target: str, fingerprints: tuple[str, ...]) -> None:
         """Do nothing; crashes are not recorded."""
 
 
@@ -114,7 +114,7 @@
 
 
 @attrs.frozen
-class Place:
+class TargetPlan:
     """Plan of a call, which consists of one target."""
 
     target: documents.Target
@@ -151,7 +151,7 @@
     tuple of documents.Target
         The same targets, in the order in which to use them.
     """
-    if trials.is_proven(fingerprint):
+    if trials.has_completed_recently(fingerprint):
         return ready
     by_name = {target.name: target for target in ready}
     ranked = rendezvous.choose(fingerprint, by_name, len(by_name))
@@ -194,11 +194,11 @@
         No target is available.
     """
 
-    def plan(busy: frozenset[str]) -> Place:
+    def plan(busy: frozenset[str]) -> TargetPlan:
         target = choose(busy) or choose(frozenset())
         if target is None:
             raise NoTargetAvailable
-        return Place(target)
+        return TargetPlan(target)
 
     try:
         # An action may be sent just before the deadline and then run for
@@ -206,14 +206,14 @@
         # that missed the update on a crash during the trial would try the
         # call once more.
         trial_ms = TRIAL_MS + max(0, deadline - clock.now())
-        place = await generation_trials.find_route(
+        planned = await generation_trials.find_route(
             trials, fingerprint, plan, clock, deadline, trial_ms
         )
-    except generation_trials.TimeSpent:
+    except generation_trials.DeadlineExceeded:
         raise Refused(WAIT_EXPIRED, RETRY_AFTER_MS) from None
-    if isinstance(place, generation_trials.Condemned):
-        raise Refused(CONDEMNED, place.retry_after_ms)
-    return place.target
+    if isinstance(planned, generation_trials.QuarantinedRequest):
+        raise Refused(CONDEMNED, planned.retry_after_ms)
+    return planned.target
 
 
 @contextlib.asynccontextmanager
@@ -256,10 +256,10 @@
     finally:
         # A call that was sent ends its trial itself, possibly after its
         # caller cancelled. A call without a grant never starts its trial.
-        trials.give_up(fingerprint, trial)
+        trials.abandon_trial(fingerprint, trial)
 
 
-class WatchedServices:
+class CrashDetectingServices:
     """Implements the port ``Services`` and reports crashes to quarantine.
 
     A target counts as crashed if the connection closes during a call and its
@@ -274,7 +274,7 @@
         Quarantine, which allows calls and records how they end.
     is_refusing : coroutine function
         Returns whether connections to a URL are refused.
-    note_failure : callable
+    record_failure : callable
         Called with the name of a crashed target and the reason.
     """
 
@@ -292,12 +292,12 @@
         self._broken_calls: dict[str, set[str]] = {}
         self._crash_checks: dict[str, asyncio.Task[None]] = {}
 
-    async def call(self, call: ports.ServiceCall) -> ports.ServiceAnswer:
+    async def call(self, call: ports.ServiceCall) -> ports.ServiceResponse:
         """Call an operation once; never retries it.
 
         Raises
         ------
-        exceptions.TargetHeldBack
+        exceptions.TargetCallBlocked
             A target crashed while running the same request after this one
             got its target; nothing was sent.
         exceptions.TargetError
@@ -306,15 +306,15 @@
         if not call.fingerprint:
             return await self._services.call(call)
         if not self._trials.may_send(call.fingerprint, call.target):
-            raise exceptions.TargetHeldBack(
+            raise exceptions.TargetCallBlocked(
                 'A target crashed while it ran this request; it was not sent.',
                 'Nothing ran; send the request again.',
             )
-        on_trial = self._trials.start(call.fingerprint, call.target)
+        on_trial = self._trials.record_start(call.fingerprint, call.target)
         succeeded = False
         try:
             response = await self._services.call(
-                attrs.evolve(call, alone=on_trial)
+                attrs.evolve(call, runs_alone=on_trial)
             )
             succeeded = True
         except exceptions.TargetConnectionBroken:
@@ -323,7 +323,7 @@
             await self._detect_crash(call)
             await self._wait_for_updates(call)
             raise
-        except exceptions.TargetNotReached:
+        except exceptions.TargetUnreachable:
             await self._wait_for_updates(call)
             raise
         finally:
@@ -337,7 +337,7 @@
         the same call through another entry, whose update is in transit. If
         the call were retried at once, it would crash the next target.
         """
-        is_new = not self._trials.is_proven(call.fingerprint)
+        is_new = not self._trials.has_completed_recently(call.fingerprint)
         if is_new and self._trials.may_send(call.fingerprint, call.target):
             await asyncio.sleep(UPDATE_PROPAGATION_MS / _MS_PER_S)
 
@@ -345,9 +345,9 @@
         self, call: ports.ServiceCall, on_trial: bool, succeeded: bool
     ) -> None:
         if on_trial:
-            self._trials.finish(call.fingerprint, call.target, succeeded)
+            self._trials.record_end(call.fingerprint, call.target, succeeded)
         elif succeeded:
-            self._trials.clear(call.fingerprint)
+            self._trials.record_completion(call.fingerprint)
 
     async def _detect_crash(self, call: ports.ServiceCall) -> None:
         """Record a crash if the target of a broken call crashed.
@@ -372,4 +372,4 @@
         if not has_crashed:
             return
         self._record_failure(call.target, 'The target refuses connections.')
-        self._trials.note_death(call.target, tuple(sorted(fingerprints)))
+        self._trials.record_crash(call.target, tuple(sorted(fingerprints)))
--- a/src/thornspool/application/targets.py
+++ b/src/thornspool/application/targets.py
@@ -129,7 +129,7 @@
         document = self._read_snapshot().targets.get(target)
         if document is None:
             return Readiness.LEAVING
-        return availability.decide(
+        return availability.derive_readiness(
             self._get_availability(target),
             document.leaving,
             document.host in self._leaving_hosts,
@@ -139,23 +139,23 @@
         """Return the last load report of a target; None before the first."""
         return self._loads.get(target)
 
-    def note_failure(self, target: str, reason: str) -> None:
+    def record_failure(self, target: str, reason: str) -> None:
         """Record a failed call; the target gets no work for some time."""
-        self._record_failure(target, reason, is_certain=True)
+        self._record_failure(target, reason, is_conclusive=True)
 
-    def hear_load(self, report: messages.LoadReport) -> None:
+    def apply_load_report(self, report: messages.LoadReport) -> None:
         """Apply a load report of a response or a poll."""
         if report.target not in self._read_snapshot().targets:
             return
         self._loads[report.target] = report
         before = self._get_availability(report.target)
         now = self._clock.now()
-        after = availability.hear_word(before, report.readiness, now)
+        after = availability.apply_own_readiness(before, report.readiness, now)
         self._set_availability(report.target, after)
         if report.target in self._assigned:
             self._announce_change(report.target, before, after)
 
-    def hear_hosts(self, hosts: Iterable[ports.Host]) -> None:
+    def apply_host_list(self, hosts: Iterable[ports.Host]) -> None:
         """Apply the platform's host list and broadcast a change."""
         leaving = frozenset(
             host.name
@@ -176,7 +176,7 @@
         for target in self._list_due(now):
             self._start_poll(target, now)
 
-    async def is_answering(self, target: str) -> bool:
+    async def is_responsive(self, target: str) -> bool:
         """Probe a target immediately, for a request that waits for it.
 
         Many requests wait for the same target when it is unresponsive; they
@@ -216,12 +216,12 @@
         try:
             async with asyncio.timeout(timeout_ms / 1000):
                 report = await self._fetch_load(document)
-        except exceptions.TargetNotReached as error:
-            self._record_failure(target, str(error), is_certain=True)
+        except exceptions.TargetUnreachable as error:
+            self._record_failure(target, str(error), is_conclusive=True)
         except (exceptions.TargetError, TimeoutError) as error:
-            self._record_failure(target, str(error), is_certain=False)
+            self._record_failure(target, str(error), is_conclusive=False)
         else:
-            self.hear_load(report)
+            self.apply_load_report(report)
             return True
         return False
 
@@ -248,15 +248,15 @@
         self._availabilities[target] = current
 
     def _record_failure(
-        self, target: str, reason: str, is_certain: bool
+        self, target: str, reason: str, is_conclusive: bool
     ) -> None:
         if target not in self._read_snapshot().targets:
             return
-        current = availability.note_failure(
+        current = availability.record_failure(
             self._get_availability(target),
             self._clock.now(),
             self._random.random(),
-            is_certain,
+            is_conclusive,
         )
         self._set_availability(target, current, reason)
 
@@ -334,10 +334,10 @@
             + RECOVERY_POLLS_PER_S * TICK_INTERVAL_MS / 1000,
         )
         recovery_polls = sorted(
-            (current.check_at, target)
+            (current.probe_at, target)
             for target, current in self._availabilities.items()
             if not current.is_usable
-            and current.check_at <= now
+            and current.probe_at <= now
             and target not in self._assigned
         )
         chosen = recovery_polls[: int(self._recovery_poll_credit)]
@@ -354,7 +354,7 @@
             self._next_poll_at[target] = now + int(POLL_INTERVAL_MS * jitter)
         current = self._availabilities.get(target)
         if current is not None:
-            postponed = availability.postpone(current, now)
+            postponed = availability.postpone_check(current, now)
             self._availabilities[target] = postponed
         task = asyncio.create_task(self.poll(target))
         self._polls.add(task)
@@ -408,7 +408,7 @@
             if member.incarnation != self._incarnation
         ]
         for address in addresses[:SEND_BATCH_SIZE]:
-            self._peers.tell(address, update)
+            self._peers.send(address, update)
         if len(addresses) <= SEND_BATCH_SIZE:
             return
         task = asyncio.create_task(
@@ -426,7 +426,7 @@
         for start in range(0, len(addresses), SEND_BATCH_SIZE):
             await asyncio.sleep(0)
             for address in addresses[start : start + SEND_BATCH_SIZE]:
-                self._peers.tell(address, update)
+                self._peers.send(address, update)
 
     async def _apply_target_update(
         self, sender: str, update: messages.TargetNews
@@ -439,7 +439,9 @@
             for name in names:
                 if name in self._read_snapshot().targets:
                     current = self._get_availability(name)
-                    updated = availability.hear_news(current, readiness, now)
+                    updated = availability.apply_reported_readiness(
+                        current, readiness, now
+                    )
                     self._set_availability(name, updated)
 
     async def _apply_host_update(
--- a/src/thornspool/application/timed_services.py
+++ b/src/thornspool/application/timed_services.py
@@ -30,7 +30,7 @@
     observe : callable
         Called for each response with the service, the kind of work, the
         duration in milliseconds and the time.
-    note_late : callable
+    record_timeout : callable
         Called for each call without a timely response, with the service and
         the start and end of the call.
     """
@@ -47,7 +47,7 @@
         self._observe = observe
         self._record_timeout = record_timeout
 
-    async def call(self, call: ports.ServiceCall) -> ports.ServiceAnswer:
+    async def call(self, call: ports.ServiceCall) -> ports.ServiceResponse:
         """Call an operation once; never retries it."""
         started_at = self._clock.now()
         try:
--- a/src/thornspool/parts.py
+++ b/src/thornspool/composition.py
@@ -11,12 +11,12 @@
 from thornspool.adapters.targets import probes
 from thornspool.adapters.targets import services
 from thornspool.application import admission
+from thornspool.application import admission_gate
 from thornspool.application import calls
 from thornspool.application import capacity
 from thornspool.application import directory
 from thornspool.application import drain
 from thornspool.application import exceptions
-from thornspool.application import gates
 from thornspool.application import intake
 from thornspool.application import membership
 from thornspool.application import objectives
@@ -29,7 +29,7 @@
 from thornspool.application.generation import attempts as generation_attempts
 from thornspool.application.generation import planning as generation_planning
 from thornspool.application.generation import service as generation
-from thornspool.domain.pipelines import questions
+from thornspool.domain.pipelines import report_requests
 from thornspool.domain.retries import budget
 from thornspool.domain.targets import messages as target_messages
 
@@ -44,7 +44,7 @@
 
 
 @attrs.frozen
-class Outside:
+class Dependencies:
     """Dependencies of the application services of an entry.
 
     Attributes
@@ -71,16 +71,16 @@
     metrics: metrics_module.Metrics
 
 
-class Parts:
+class EntryServices:
     """Application services of one entry.
 
     Parameters
     ----------
-    dependencies : Outside
+    dependencies : Dependencies
         Clock, clients and metrics that the services use.
     """
 
-    def __init__(self, dependencies: Outside) -> None:
+    def __init__(self, dependencies: Dependencies) -> None:
         self._dependencies = dependencies
         self._retry_budgets: dict[str, budget.RetryBudget] = {}
         self._build_state_services()
@@ -101,8 +101,8 @@
             local_member,
             dependencies.random_source,
             lambda: self.configuration.version(),
-            lambda address, version: self.configuration.hear_version(
-                address, version
+            lambda address, version: (
+                self.configuration.record_reported_version(address, version)
             ),
         )
         self.configuration = configuration.ConfigurationService(
@@ -113,7 +113,7 @@
             local_member.incarnation,
             dependencies.random_source,
         )
-        self.configuration.ask_stragglers_with(self.members.poll_versions)
+        self.configuration.set_version_poll(self.members.request_versions)
         self.configuration.subscribe(
             lambda snapshot: self.members.announce_version()
         )
@@ -131,7 +131,7 @@
             self.load_reader.fetch,
             dependencies.random_source,
         )
-        self.members.watch_hosts(self.targets.hear_hosts)
+        self.members.watch_hosts(self.targets.apply_host_list)
         self.drain = drain.DrainService(clock, self.members.announce_leaving)
 
     def _build_request_services(self) -> None:
@@ -162,13 +162,13 @@
             clock,
             self.services,
             self.admission.observe,
-            self.admission.note_late,
+            self.admission.record_timeout,
         )
-        crash_detecting_services = service_trials.WatchedServices(
+        crash_detecting_services = service_trials.CrashDetectingServices(
             timed_client,
             self.quarantine,
             probes.is_refusing,
-            self.targets.note_failure,
+            self.targets.record_failure,
         )
         self.engines = engines.CurlEngines()
         self.actions = actions.ActionService(
@@ -195,22 +195,22 @@
             snapshot,
             self.targets,
             dependencies.random_source,
-            read_limits=lambda: questions.compute_limits(
+            read_limits=lambda: report_requests.compute_limits(
                 len(self.members.list_members())
             ),
         )
         hooks = generation_attempts.Hooks(
             take_retry=lambda: self._spend_retry('generation'),
-            note_failure=self._record_engine_failure,
-            note_death=self.quarantine.note_death,
-            note_loads=self._apply_loads,
-            is_answering=self.targets.is_answering,
+            record_failure=self._record_engine_failure,
+            record_crash=self.quarantine.record_crash,
+            record_loads=self._apply_loads,
+            is_responsive=self.targets.is_responsive,
             trials=self.quarantine,
         )
         self.generation = generation.GenerationService(
             clock, self.engines, planning, hooks
         )
-        self.quarantine.leave_with(self.generation.leave_suspects)
+        self.quarantine.set_suspect_handler(self.generation.abandon_suspects)
 
     def build_intake(
         self, list_alternatives: typing.Callable[[], tuple[str, ...]]
@@ -229,7 +229,7 @@
             The service.
         """
         dependencies = self._dependencies
-        gatekeeper = gates.Gatekeeper(
+        gate = admission_gate.AdmissionGate(
             dependencies.clock, self.admission, self.quarantine
         )
         runners = intake.Runners(
@@ -244,11 +244,11 @@
         return intake.Intake(
             dependencies.clock,
             self.configuration.snapshot,
-            intake.Gates(
-                admit=gatekeeper.admit,
+            intake.AdmissionChecks(
+                admit=gate.admit,
                 is_accepting=self.drain.is_accepting,
                 is_isolated=self.is_isolated,
-                list_instead=list_alternatives,
+                list_alternatives=list_alternatives,
             ),
             runners,
             self.drain.track,
@@ -309,7 +309,7 @@
         """Exclude a service target that failed or is leaving."""
         self._dependencies.metrics.count_event('target_failure')
         if isinstance(error, exceptions.TargetLeaving):
-            self.targets.hear_load(
+            self.targets.apply_load_report(
                 target_messages.LoadReport(
                     target,
                     self._dependencies.clock.now(),
@@ -317,20 +317,20 @@
                 )
             )
             return
-        self.targets.note_failure(target, error.message)
+        self.targets.record_failure(target, error.message)
 
     def _record_engine_failure(
         self, target: str, reason: pipeline_messages.Reason
     ) -> None:
         """Exclude an engine that failed."""
         self._dependencies.metrics.count_event('target_failure')
-        self.targets.note_failure(target, reason.value)
+        self.targets.record_failure(target, reason.value)
 
     def _apply_loads(self, stage_loads: list[frames.StageLoad]) -> None:
         """Apply the loads that engines report with a response."""
         now = self._dependencies.clock.now()
         for load in stage_loads:
-            self.targets.hear_load(
+            self.targets.apply_load_report(
                 target_messages.LoadReport(
                     load.target,
                     now,
--- a/src/thornspool/console/commands/check.py
+++ b/src/thornspool/console/commands/check.py
@@ -9,8 +9,8 @@
 from thornspool import settings
 from thornspool.console import base
 from thornspool.console import client
-from thornspool.console import collecting
 from thornspool.console import exceptions
+from thornspool.console import service_files
 from thornspool.domain.configuration import contents
 from thornspool.domain.configuration import files
 from thornspool.domain.configuration import publications
@@ -48,10 +48,10 @@
     found = _check_settings(options.settings)
     if options.settings and not options.paths:
         return _report_settings(console, options.settings, found)
-    collection = collecting.read_documents(options.paths)
+    collection = service_files.read_documents(options.paths)
     found.extend(collection.problems)
     if found:
-        collecting.write_problems(console, found)
+        service_files.write_problems(console, found)
         return exceptions.ExitCode.PROBLEM
     check = _check_at_entry if options.url else _check_locally
     return check(options, console, collection)
@@ -75,7 +75,7 @@
     found: Sequence[problems.Problem],
 ) -> exceptions.ExitCode:
     if found:
-        collecting.write_problems(console, found)
+        service_files.write_problems(console, found)
         return exceptions.ExitCode.PROBLEM
     console.write_result(
         {'settings': len(paths), 'problems': []},
@@ -87,7 +87,7 @@
 def _check_locally(
     _options: argparse.Namespace,
     console: base.Console,
-    collection: files.Collection,
+    collection: files.CollectedDocuments,
 ) -> exceptions.ExitCode:
     publication = publications.Publication(
         'check', '', 0, collection.documents
@@ -96,7 +96,7 @@
         contents.Contents(), publication, 0
     )
     if isinstance(planned, publications.Invalid):
-        collecting.report_problems(console, collection, planned.problems)
+        service_files.report_problems(console, collection, planned.problems)
         return exceptions.ExitCode.PROBLEM
     _write_result(console, collection, 'on their own')
     return exceptions.ExitCode.OK
@@ -105,7 +105,7 @@
 def _check_at_entry(
     options: argparse.Namespace,
     console: base.Console,
-    collection: files.Collection,
+    collection: files.CollectedDocuments,
 ) -> exceptions.ExitCode:
     version = client.expect_ok(
         client.send(options, 'GET', '/v1/configuration')
@@ -118,8 +118,8 @@
     }
     reply = client.send(options, 'POST', '/v1/publications', body)
     if reply.status == 422:
-        found = collecting.load_problems(reply.value['problems'])
-        collecting.report_problems(console, collection, found)
+        found = service_files.load_problems(reply.value['problems'])
+        service_files.report_problems(console, collection, found)
         return exceptions.ExitCode.PROBLEM
     if reply.status == 409:
         console.write_error(client.read_detail(reply))
@@ -130,7 +130,7 @@
 
 
 def _write_result(
-    console: base.Console, collection: files.Collection, context: str
+    console: base.Console, collection: files.CollectedDocuments, context: str
 ) -> None:
     count = len(collection.documents)
     result: dict[str, typing.Any] = {'documents': count, 'problems': []}
--- a/src/thornspool/console/commands/publish.py
+++ b/src/thornspool/console/commands/publish.py
@@ -9,8 +9,8 @@
 
 from thornspool.console import base
 from thornspool.console import client
-from thornspool.console import collecting
 from thornspool.console import exceptions
+from thornspool.console import service_files
 from thornspool.domain.configuration import files
 
 if typing.TYPE_CHECKING:
@@ -59,7 +59,7 @@
 ) -> exceptions.ExitCode:
     collection = _collect(options)
     if collection.problems:
-        collecting.report_problems(console, collection, collection.problems)
+        service_files.report_problems(console, collection, collection.problems)
         return exceptions.ExitCode.PROBLEM
     body = _build_body(options, collection)
     try:
@@ -71,9 +71,9 @@
     return _report(console, collection, body, reply)
 
 
-def _collect(options: argparse.Namespace) -> files.Collection:
+def _collect(options: argparse.Namespace) -> files.CollectedDocuments:
     if options.paths:
-        return collecting.read_documents(options.paths)
+        return service_files.read_documents(options.paths)
     if options.remove:
         return files.collect_documents(())
     raise exceptions.BadUsage(
@@ -82,7 +82,7 @@
 
 
 def _build_body(
-    options: argparse.Namespace, collection: files.Collection
+    options: argparse.Namespace, collection: files.CollectedDocuments
 ) -> dict[str, typing.Any]:
     base_version = options.base
     if base_version is None:
@@ -117,13 +117,13 @@
 
 def _report(
     console: base.Console,
-    collection: files.Collection,
+    collection: files.CollectedDocuments,
     body: dict[str, typing.Any],
     reply: client.Reply,
 ) -> exceptions.ExitCode:
     if reply.status == 422:
-        found = collecting.load_problems(reply.value['problems'])
-        collecting.report_problems(console, collection, found)
+        found = service_files.load_problems(reply.value['problems'])
+        service_files.report_problems(console, collection, found)
         return exceptions.ExitCode.PROBLEM
     if reply.status == 409:
         console.write_error(client.read_detail(reply))
--- a/src/thornspool/console/collecting.py
+++ b/src/thornspool/console/service_files.py
@@ -19,7 +19,7 @@
     from thornspool.console import base
 
 
-def read_documents(paths: Iterable[pathlib.Path]) -> files.Collection:
+def read_documents(paths: Iterable[pathlib.Path]) -> files.CollectedDocuments:
     """Read the documents of service files.
 
     Parameters
@@ -29,7 +29,7 @@
 
     Returns
     -------
-    files.Collection
+    files.CollectedDocuments
         Documents and problems of the files.
 
     Raises
@@ -53,7 +53,7 @@
 
 def report_problems(
     console: base.Console,
-    collection: files.Collection,
+    collection: files.CollectedDocuments,
     found: Iterable[problems.Problem],
 ) -> None:
     """Write problems of documents, located in the files they were read from.
@@ -62,7 +62,7 @@
     ----------
     console : base.Console
         Output of the command.
-    collection : files.Collection
+    collection : files.CollectedDocuments
         Documents with the files that they were read from.
     found : iterable of problems.Problem
         Problems with the documents.
--- a/src/thornspool/domain/actions/attempts.py
+++ b/src/thornspool/domain/actions/attempts.py
@@ -44,7 +44,7 @@
 
     request: events.ActionRequested
     deadline: int
-    phase: events.Phase = events.Phase.ASKING
+    phase: events.Phase = events.Phase.REQUESTING
     holder: str = ''
     holder_query: events.QueryHolder | None = None
     fencing_token: int = 0
@@ -92,7 +92,7 @@
     """
     if attempt.uncertain or (attempt.holder and not attempt.granted):
         return results.ActionUnknown(results.UNKNOWN_UNCHECKED, retry_after_ms)
-    if attempt.request.resent and not attempt.granted:
+    if attempt.request.is_resent and not attempt.granted:
         return results.ActionUnknown(results.UNKNOWN_UNCHECKED, retry_after_ms)
     return results.ActionNotRun(reason, retry_after_ms, attempt.granted)
 
@@ -101,7 +101,7 @@
     event: events.ActionRequested, reason: str, wait: int
 ) -> events.Answer:
     """Return the answer to a call refused before the ledger was read."""
-    if event.resent:
+    if event.is_resent:
         unknown = results.ActionUnknown(results.UNKNOWN_UNCHECKED, wait)
         return events.Answer(event.attempt, unknown)
     return events.Answer(event.attempt, results.ActionNotRun(reason, wait))
--- a/src/thornspool/domain/actions/bound_keys.py
+++ b/src/thornspool/domain/actions/bound_keys.py
@@ -78,14 +78,14 @@
         wall : int
             Milliseconds since the Unix epoch.
         """
-        horizon = wall - self._settings.max_age_ms
-        if horizon < self._horizon + _HORIZON_STEP_MS:
+        history_base_version = wall - self._settings.max_age_ms
+        if history_base_version < self._horizon + _HORIZON_STEP_MS:
             return
-        self._horizon = horizon
+        self._horizon = history_base_version
         self._outcomes = {
             name: stored
             for name, stored in self._outcomes.items()
-            if stored.time >= horizon
+            if stored.time >= history_base_version
         }
 
     def decide(
--- a/src/thornspool/domain/actions/conflicts.py
+++ b/src/thornspool/domain/actions/conflicts.py
@@ -108,7 +108,7 @@
         attempt.queries += 1
         if now >= attempt.deadline or attempt.queries > self._max_queries:
             return self._memory.end_unknown(attempt, results.UNKNOWN_RUNNING)
-        attempt.phase = events.Phase.ASKING
+        attempt.phase = events.Phase.REQUESTING
         attempt.uncertain = uncertain
         return [
             events.RequestGrant(attempt.request.attempt, displaces, uncertain)
--- a/src/thornspool/domain/actions/events.py
+++ b/src/thornspool/domain/actions/events.py
@@ -17,7 +17,7 @@
 class Phase(enum.Enum):
     """Progress of an attempt in memory.
 
-    ASKING
+    REQUESTING
         A grant was requested from the ledger.
     JOINING
         Another attempt holds the key; its runner is queried.
@@ -27,7 +27,7 @@
         The outcome is not yet recorded in the ledger.
     """
 
-    ASKING = 'asking'
+    REQUESTING = 'asking'
     JOINING = 'joining'
     DISPATCHED = 'dispatched'
     DONE = 'done'
@@ -53,7 +53,7 @@
         Number of targets that may be tried, in order.
     deduplicates : bool
         Whether the service itself runs a key at most once.
-    resent : bool
+    is_resent : bool
         Whether the key may have been sent before.
     bound_time : int
         Timestamp of a key that is bound to this process, in milliseconds
@@ -67,7 +67,7 @@
     deadline: int
     targets: int = 1
     deduplicates: bool = False
-    resent: bool = False
+    is_resent: bool = False
     bound_time: int = 0
 
 
@@ -103,14 +103,14 @@
 
 
 @attrs.frozen
-class TargetNotReached:
+class TargetUnreachable:
     """No byte of the call was sent to the target."""
 
     attempt: str
 
 
 @attrs.frozen
-class TargetAnswerLost:
+class TargetResponseLost:
     """The call was sent at least in part; its answer is incomplete."""
 
     attempt: str
@@ -135,8 +135,8 @@
     | LedgerTimedOut
     | HolderReported
     | TargetAnswered
-    | TargetNotReached
-    | TargetAnswerLost
+    | TargetUnreachable
+    | TargetResponseLost
     | DeadlinePassed
     | RecordConfirmed
 )
--- a/src/thornspool/domain/actions/runner.py
+++ b/src/thornspool/domain/actions/runner.py
@@ -77,8 +77,8 @@
             events.LedgerTimedOut: self._handle_ledger_timeout,
             events.HolderReported: self._conflicts.handle_report,
             events.TargetAnswered: self._handle_answer,
-            events.TargetNotReached: self._handle_not_reached,
-            events.TargetAnswerLost: self._handle_answer_lost,
+            events.TargetUnreachable: self._handle_not_reached,
+            events.TargetResponseLost: self._handle_answer_lost,
             events.DeadlinePassed: self._handle_deadline,
         }
 
@@ -198,7 +198,7 @@
         event: events.VerdictReceived,
         now: int,
     ) -> attempt_memory.Commands:
-        if attempt.phase is not events.Phase.ASKING:
+        if attempt.phase is not events.Phase.REQUESTING:
             return []
         verdict = event.verdict
         if isinstance(verdict, messages.GrantGiven):
@@ -274,7 +274,7 @@
     def _handle_ledger_timeout(
         self, attempt: attempts.Attempt, event: events.LedgerTimedOut, now: int
     ) -> attempt_memory.Commands:
-        if attempt.phase is not events.Phase.ASKING:
+        if attempt.phase is not events.Phase.REQUESTING:
             return []
         return self._memory.void(attempt, results.NOT_RUN_LEDGER)
 
@@ -292,7 +292,7 @@
     def _handle_not_reached(
         self,
         attempt: attempts.Attempt,
-        event: events.TargetNotReached,
+        event: events.TargetUnreachable,
         now: int,
     ) -> attempt_memory.Commands:
         if attempt.phase is not events.Phase.DISPATCHED:
@@ -307,7 +307,7 @@
     def _handle_answer_lost(
         self,
         attempt: attempts.Attempt,
-        event: events.TargetAnswerLost,
+        event: events.TargetResponseLost,
         now: int,
     ) -> attempt_memory.Commands:
         if attempt.phase is not events.Phase.DISPATCHED:
@@ -325,7 +325,7 @@
     ) -> attempt_memory.Commands:
         if now < attempt.deadline:
             return []
-        if attempt.phase is events.Phase.ASKING:
+        if attempt.phase is events.Phase.REQUESTING:
             return self._memory.void(attempt, results.NOT_RUN_DEADLINE)
         if attempt.phase is events.Phase.JOINING:
             return self._memory.end_unknown(attempt, results.UNKNOWN_RUNNING)
--- a/src/thornspool/domain/actions/writer.py
+++ b/src/thornspool/domain/actions/writer.py
@@ -28,7 +28,7 @@
 
 
 @attrs.frozen
-class Pace:
+class WriteLimits:
     """Limits on the writes of a page and on its queue.
 
     Attributes
@@ -156,7 +156,7 @@
     ----------
     slot : int
         Slot that the page is written for.
-    pace : Pace
+    limits : WriteLimits
         Limits on writes and on the queue.
     max_bytes : int
         Page size in bytes above which no grant is accepted.
@@ -165,11 +165,11 @@
     def __init__(
         self,
         slot: int,
-        pace: Pace,
+        limits: WriteLimits,
         max_bytes: int = pages.MAX_PAGE_BYTES,
     ) -> None:
         self._slot = slot
-        self._pace = pace
+        self._limits = limits
         self._max_bytes = max_bytes
         self._phase = _Phase.IDLE
         self._page: records.Page | None = None
@@ -216,9 +216,9 @@
     def _receive(
         self, event: ProposalReceived, now: int
     ) -> list[WriterCommand]:
-        if len(self._queue) >= self._pace.max_queue:
+        if len(self._queue) >= self._limits.max_queue:
             verdict = messages.LedgerUnavailable(
-                event.proposal.attempt, self._pace.max_age_ms, False
+                event.proposal.attempt, self._limits.max_age_ms, False
             )
             return [Reply(event.number, verdict)]
         self._queue.append(
@@ -277,7 +277,7 @@
         return commands + self._decide(self._page, now)
 
     def _drop_expired(self, now: int) -> list[WriterCommand]:
-        earliest = now - self._pace.max_age_ms
+        earliest = now - self._limits.max_age_ms
         expired = [
             pending
             for pending in self._queue
@@ -291,7 +291,7 @@
             if pending.received_at >= earliest
         ]
         return [
-            _build_unavailable(pending, self._pace.write_ms)
+            _build_unavailable(pending, self._limits.write_ms)
             for pending in expired
         ]
 
@@ -318,7 +318,7 @@
         for decided in batch.written:
             decided.pending.maybe_written = True
         self._draft_page = batch.page
-        self._next_write_at = now + self._pace.write_ms
+        self._next_write_at = now + self._limits.write_ms
         return [WritePage(self._draft_page, self._version)]
 
     def _compute_write_time(self) -> int:
@@ -328,7 +328,7 @@
                 return self._next_write_at
         received_at = min(pending.received_at for pending in self._queue)
         return max(
-            self._next_write_at, received_at + self._pace.max_deferral_ms
+            self._next_write_at, received_at + self._limits.max_deferral_ms
         )
 
     def _set_timer(self, at: int) -> list[WriterCommand]:
--- a/src/thornspool/domain/configuration/documents.py
+++ b/src/thornspool/domain/configuration/documents.py
@@ -266,7 +266,7 @@
 _KINDS = {kind_type: kind for kind, kind_type in DOCUMENT_TYPES.items()}
 
 
-def identify(document: Document) -> DocumentKey:
+def build_key(document: Document) -> DocumentKey:
     """Return the key of a document."""
     return DocumentKey(_KINDS[type(document)], document.name)
 
--- a/src/thornspool/domain/configuration/files.py
+++ b/src/thornspool/domain/configuration/files.py
@@ -58,7 +58,7 @@
 
 
 @attrs.frozen
-class Collection:
+class CollectedDocuments:
     """Documents and problems of a set of service files.
 
     Attributes
@@ -88,8 +88,8 @@
     origins: dict[str, Origin] = attrs.field(factory=dict)
     problems: list[problems.Problem] = attrs.field(factory=list)
 
-    def build(self) -> Collection:
-        return Collection(
+    def build(self) -> CollectedDocuments:
+        return CollectedDocuments(
             tuple(self.documents),
             tuple(self.raw),
             self.origins,
@@ -97,7 +97,7 @@
         )
 
 
-def collect_documents(files: Iterable[SourceFile]) -> Collection:
+def collect_documents(files: Iterable[SourceFile]) -> CollectedDocuments:
     """Read service files and check each document against the schema.
 
     Parameters
@@ -120,7 +120,7 @@
     return builder.build()
 
 
-def read_documents(value: validation.Json) -> Collection:
+def parse_documents(value: validation.Json) -> CollectedDocuments:
     """Check decoded documents, such as those in a publication's body.
 
     Parameters
@@ -138,9 +138,9 @@
     return builder.build()
 
 
-def write_document(document: documents.Document) -> dict[str, typing.Any]:
+def serialize_document(document: documents.Document) -> dict[str, typing.Any]:
     """Return a document in the form of a service file, without defaults."""
-    kind = documents.identify(document).kind.value
+    kind = documents.build_key(document).kind.value
     value: dict[str, typing.Any] = attrs.asdict(
         document, filter=_differs_from_default, value_serializer=_serialize
     )
--- a/src/thornspool/domain/configuration/head.py
+++ b/src/thornspool/domain/configuration/head.py
@@ -76,7 +76,7 @@
     format: int = FORMAT_VERSION
 
     @property
-    def horizon(self) -> int:
+    def history_base_version(self) -> int:
         """Latest version that the history does not cover."""
         if not self.history:
             return self.version
--- a/src/thornspool/domain/configuration/publications.py
+++ b/src/thornspool/domain/configuration/publications.py
@@ -108,7 +108,7 @@
     version: int
 
 
-Planned = Plan | Conflict | Invalid | Unchanged
+PlanResult = Plan | Conflict | Invalid | Unchanged
 FindConflicts = typing.Callable[
     [contents_module.Contents, Publication],
     'tuple[documents.DocumentKey, ...]',
@@ -135,7 +135,7 @@
     publication: Publication,
     wall: int,
     conflicts: FindConflicts = find_conflicts,
-) -> Planned:
+) -> PlanResult:
     """Plan the next version that a publication leads to.
 
     Parameters
@@ -198,7 +198,7 @@
     publication: Publication,
 ) -> Iterator[tuple[documents.DocumentKey, documents.Document | None]]:
     for document in publication.additions:
-        yield documents.identify(document), document
+        yield documents.build_key(document), document
     for key in publication.removals:
         yield key, None
 
@@ -214,7 +214,7 @@
         # Tombstones older than the history are dropped, so a base before
         # the history may contain a document that was removed since. Adding
         # it as a new document would silently undo the removal.
-        return publication.base_version < contents.head.horizon
+        return publication.base_version < contents.head.history_base_version
     if stored.document == document:
         return False
     return stored.version > publication.base_version
--- a/src/thornspool/domain/configuration/publishing.py
+++ b/src/thornspool/domain/configuration/publishing.py
@@ -158,14 +158,14 @@
 
     Attributes
     ----------
-    written : bool
+    head_sent : bool
         Whether a sent write may still take effect. If False, the publication
         is not accepted.
     reason : str
         Why the outcome is unknown.
     """
 
-    written: bool
+    head_sent: bool
     reason: str
 
 
@@ -250,7 +250,7 @@
     head = event.contents.head
     if head.version < attempt.plan.head.version:
         return progress, attrs.evolve(_build_head_write(attempt), delayed=True)
-    if head.horizon >= attempt.plan.head.version:
+    if head.history_base_version >= attempt.plan.head.version:
         reason = 'The history no longer covers the attempt.'
         return progress, Finish(Undecided(True, reason))
     return _plan_attempt(progress, event)
--- a/src/thornspool/domain/limits/buckets.py
+++ b/src/thornspool/domain/limits/buckets.py
@@ -25,23 +25,23 @@
     burst : float
         Maximum number of tokens.
     level : float
-        Tokens available at ``at``; negative when tokens were reserved in
-        advance.
-    at : int
+        Tokens available at ``updated_at``; negative when tokens were
+        reserved in advance.
+    updated_at : int
         Monotonic milliseconds of the last update.
     """
 
     rate_per_s: float
     burst: float
     level: float
-    at: int = 0
+    updated_at: int = 0
 
     def refill(self, now: int) -> None:
         """Add the tokens gained since the last update."""
-        elapsed = max(0, now - self.at)
+        elapsed = max(0, now - self.updated_at)
         gained = self.rate_per_s * elapsed / MS_PER_S
         self.level = min(self.burst, self.level + gained)
-        self.at = max(self.at, now)
+        self.updated_at = max(self.updated_at, now)
 
     def set_rate(self, rate_per_s: float, burst: float, now: int) -> None:
         """Change the rate; tokens over the new burst are discarded."""
@@ -67,7 +67,7 @@
             return None
         return math.ceil(missing * MS_PER_S / self.rate_per_s)
 
-    def take(self, amount: float, now: int) -> bool:
+    def try_acquire(self, amount: float, now: int) -> bool:
         """Remove an amount if it is available; return whether it was."""
         return self.reserve(amount, now, 0) is not None
 
--- a/src/thornspool/domain/limits/concurrency.py
+++ b/src/thornspool/domain/limits/concurrency.py
@@ -92,7 +92,7 @@
         guaranteed = int(self.share * self.share_factor)
         return max(_MIN_LIMIT, int(self.limit), guaranteed)
 
-    def hear_capacity(
+    def apply_capacity(
         self, capacity: messages.Capacity, entries: int, now: int
     ) -> None:
         """Apply the capacity that the targets report.
@@ -111,10 +111,12 @@
         now : int
             Monotonic milliseconds.
         """
-        if self.share == 0.0 and capacity.slots:
+        if self.share == 0.0 and capacity.concurrency:
             self.limit = min(self.limit, _INITIAL_REPORTED_LIMIT)
-        self.share = capacity.slots / entries
-        self.is_full = capacity.waiting > FULL_QUEUE_RATIO * capacity.slots
+        self.share = capacity.concurrency / entries
+        self.is_full = (
+            capacity.waiting > FULL_QUEUE_RATIO * capacity.concurrency
+        )
         is_over = self.limit > self.share
         if (
             self.is_full
@@ -124,13 +126,13 @@
             self._decrease(now, now)
 
     def admit(
-        self, request: messages.Asked, now: int
-    ) -> messages.Refused | None:
+        self, request: messages.RequestEstimate, now: int
+    ) -> messages.Rejection | None:
         """Admit a request, or refuse it because it would be late.
 
         Parameters
         ----------
-        request : messages.Asked
+        request : messages.RequestEstimate
             The request; if it is admitted, `release` must be called when it
             ends.
         now : int
@@ -138,16 +140,16 @@
 
         Returns
         -------
-        messages.Refused or None
+        messages.Rejection or None
             None when the request was admitted.
         """
         baseline = self._find_baseline(request.kind)
-        if now + self._predict(baseline, request.units) > request.deadline:
-            return messages.Refused(
+        if now + self._predict(baseline, request.max_units) > request.deadline:
+            return messages.Rejection(
                 messages.Reason.DEADLINE, self._compute_retry(baseline)
             )
         if self.in_flight >= self.bound:
-            return messages.Refused(
+            return messages.Rejection(
                 messages.Reason.OVERLOAD, self._compute_retry(baseline)
             )
         self.in_flight += 1
@@ -157,7 +159,7 @@
         """Record that an admitted request ended."""
         self.in_flight = max(0, self.in_flight - 1)
 
-    def observe(self, kind: str, duration_ms: int, now: int) -> None:
+    def observe_answer(self, kind: str, duration_ms: int, now: int) -> None:
         """Adapt the limit to an answer of a target, or to its first token.
 
         Parameters
@@ -179,7 +181,7 @@
         elif is_busy and not self.is_full:
             self._increase()
 
-    def observe_rest(
+    def observe_following_tokens(
         self, kind: str, units: int, duration_ms: int, now: int
     ) -> None:
         """Adapt the limit to the tokens after the first of a whole answer.
@@ -208,7 +210,7 @@
         if self._is_delayed(units * baseline.following.baseline_ms):
             self._decrease(now - duration_ms, now)
 
-    def note_late(self, started: int, now: int) -> None:
+    def record_timeout(self, started: int, now: int) -> None:
         """Record that a target did not answer in time.
 
         A target may report more concurrency than it has. If the report were
--- a/src/thornspool/domain/limits/limiter.py
+++ b/src/thornspool/domain/limits/limiter.py
@@ -63,7 +63,7 @@
 
     def admit(
         self, workspace: str, limits: documents.Limits, now: int
-    ) -> messages.Refused | None:
+    ) -> messages.Rejection | None:
         """Admit a request, or return the reason for its refusal.
 
         Parameters
@@ -77,9 +77,9 @@
 
         Returns
         -------
-        Refused or None
+        Rejection or None
             None when the request was admitted; the caller must then call
-            `finish` when it ends.
+            `finish_request` when it ends.
         """
         state = self._get_or_create(workspace, limits, now)
         state.meter.offered += 1
@@ -95,7 +95,7 @@
         )
         return None
 
-    def finish(self, workspace: str, tokens: int, now: int) -> None:
+    def finish_request(self, workspace: str, tokens: int, now: int) -> None:
         """End an admitted request and charge the tokens that it generated.
 
         The number of tokens is known only at the end. The bucket level may
@@ -120,7 +120,7 @@
         state.tokens.refill(now)
         state.tokens.level -= tokens
 
-    def withdraw(self, workspace: str, now: int) -> None:
+    def undo_admission(self, workspace: str, now: int) -> None:
         """Undo the admission of a request that a later check refused."""
         state = self._workspaces.get(workspace)
         if state is None:
@@ -132,7 +132,7 @@
             state.requests.burst, state.requests.level + 1.0
         )
 
-    def collect(
+    def collect_reports(
         self, now: int, max_reports: int
     ) -> tuple[messages.WorkspaceDemand, ...]:
         """Return the reports that are due, the longest overdue first.
@@ -157,7 +157,7 @@
             self._build_report(name, now) for _, name in due[:max_reports]
         )
 
-    def apply(self, grant: messages.WorkspaceGrant, now: int) -> None:
+    def apply_grant(self, grant: messages.WorkspaceGrant, now: int) -> None:
         """Apply a granted share, unless a later report has been sent."""
         state = self._workspaces.get(grant.workspace)
         if state is None or state.reported_at != grant.sequence:
@@ -171,7 +171,7 @@
         state.is_owner_unreachable = False
         self._set_rates(state, now)
 
-    def note_owner_lost(self, workspace: str, now: int) -> bool:
+    def record_owner_unreachable(self, workspace: str, now: int) -> bool:
         """Record that the owner of a workspace did not answer.
 
         The entry uses an equal share once its granted share expires.
@@ -225,11 +225,11 @@
 
     def _check(
         self, state: workspaces.WorkspaceState, now: int
-    ) -> messages.Refused | None:
+    ) -> messages.Rejection | None:
         limits = state.limits
         bound = self._compute_concurrency(state)
         if limits.concurrency is not None and state.in_flight >= bound:
-            return messages.Refused(
+            return messages.Rejection(
                 messages.Reason.CONCURRENCY, CONCURRENCY_RETRY_MS
             )
         if limits.tokens_per_s is not None:
@@ -240,7 +240,7 @@
             wait_ms = state.requests.compute_wait(1.0, now)
             if wait_ms != 0:
                 return self._refuse(state, messages.Reason.REQUESTS, wait_ms)
-            state.requests.take(1.0, now)
+            state.requests.try_acquire(1.0, now)
         return None
 
     def _refuse(
@@ -248,12 +248,12 @@
         state: workspaces.WorkspaceState,
         reason: messages.Reason,
         wait_ms: int | None,
-    ) -> messages.Refused:
+    ) -> messages.Rejection:
         max_ms = MAX_RETRY_MS
         if state.share is None and self._members > 1:
             max_ms = NO_SHARE_RETRY_MS
         retry_after_ms = max_ms if wait_ms is None else min(wait_ms, max_ms)
-        return messages.Refused(reason, retry_after_ms)
+        return messages.Rejection(reason, retry_after_ms)
 
     def _compute_concurrency(self, state: workspaces.WorkspaceState) -> int:
         limit = state.limits.concurrency or 0
--- a/src/thornspool/domain/limits/messages.py
+++ b/src/thornspool/domain/limits/messages.py
@@ -218,7 +218,7 @@
 
 
 @attrs.frozen
-class Refused:
+class Rejection:
     """Result of the admission of a request that may not run.
 
     Attributes
@@ -239,18 +239,18 @@
 
     Attributes
     ----------
-    slots : float
+    concurrency : float
         Requests that they can run concurrently; 0 if none has reported.
     waiting : float
         Requests in their queues.
     """
 
-    slots: float = 0.0
+    concurrency: float = 0.0
     waiting: float = 0.0
 
 
 @attrs.frozen
-class Asked:
+class RequestEstimate:
     """Request that is to be admitted to a target group.
 
     Attributes
@@ -260,7 +260,7 @@
     kind : str
         Kind of work, whose requests have similar durations: the model, or
         the operation of its service.
-    units : int
+    max_units : int
         Maximum number of tokens after the first; 0 for a call.
     deadline : int
         Monotonic milliseconds by which the caller expects the answer.
@@ -268,7 +268,7 @@
 
     group: str
     kind: str
-    units: int
+    max_units: int
     deadline: int
 
 
@@ -280,14 +280,14 @@
     ----------
     workspace : str
         Workspace of the caller.
-    asked : Asked
+    estimate : RequestEstimate
         The admitted request.
     admitted_at : int
         Monotonic milliseconds of the admission.
     """
 
     workspace: str
-    asked: Asked
+    estimate: RequestEstimate
     admitted_at: int
 
 
--- a/src/thornspool/domain/membership/machine.py
+++ b/src/thornspool/domain/membership/machine.py
@@ -28,7 +28,7 @@
 _MAX_POLLED_MEMBERS = 64
 
 
-class Machine:
+class GossipMember:
     """Gossip protocol of one member, without I/O.
 
     Methods return the commands to execute.
@@ -53,7 +53,7 @@
         settings: settings_module.Settings | None = None,
     ) -> None:
         self.settings = settings or settings_module.Settings()
-        self._beliefs = state.MembershipState(identity, self.settings)
+        self._state = state.MembershipState(identity, self.settings)
         self._random = random
         self._probes = probes.Probes(self.settings, random)
         self._seeds: tuple[str, ...] = ()
@@ -72,17 +72,17 @@
     @property
     def view(self) -> views.View:
         """The member table."""
-        return self._beliefs.view
+        return self._state.view
 
     @property
     def is_settled(self) -> bool:
         """Whether no update is waiting to be broadcast."""
-        return self._beliefs.is_settled
+        return self._state.is_settled
 
     @property
     def own(self) -> records.Record:
         """Record of this process."""
-        return self._beliefs.own
+        return self._state.own
 
     def set_seeds(self, addresses: Iterable[str]) -> None:
         """Replace the addresses at which other members may run."""
@@ -93,11 +93,13 @@
         """Record the configuration version in force and broadcast it."""
         if version <= self.own.version:
             return []
-        self._beliefs.set_version(version)
+        self._state.set_version(version)
         self._push(partners.list_behind(self.view, version))
         return self._pop_commands()
 
-    def poll_versions(self, version: int, now: int) -> list[messages.Command]:
+    def request_versions(
+        self, version: int, now: int
+    ) -> list[messages.Command]:
         """Probe members not known to have a version, at most 64 a call."""
         behind = partners.list_behind(self.view, version)
         for record in partners.sample(
@@ -106,27 +108,27 @@
             self._ping(record, self._probes.start(record.incarnation, now))
         return self._pop_commands()
 
-    def leave(self) -> list[messages.Command]:
+    def announce_leaving(self) -> list[messages.Command]:
         """Announce that this process leaves; it remains a member."""
-        self._beliefs.leave(messages.Status.ALIVE)
+        self._state.leave(messages.Status.ALIVE)
         self._push(partners.list_live_others(self.view))
         return self._pop_commands()
 
-    def quit(self) -> list[messages.Command]:
+    def announce_exit(self) -> list[messages.Command]:
         """Announce the exit of this process, to save its detection."""
-        self._beliefs.leave(messages.Status.LEFT)
+        self._state.leave(messages.Status.LEFT)
         self._push(partners.list_live_others(self.view))
         return self._pop_commands()
 
     def tick(self, now: int) -> list[messages.Command]:
         """Run the work that is due; called several times a period."""
-        if not self.own.is_live:
+        if not self.own.is_listed:
             return []
         self._handle_suspension(now)
         self._relay_slow_probes(now)
         for incarnation in self._probes.pop_failed(now):
-            self._beliefs.suspect(incarnation, now)
-        self._beliefs.expire(now)
+            self._state.suspect(incarnation, now)
+        self._state.expire(now)
         if now >= self._probe_at:
             self._probe_at = now + self.settings.period_ms
             self._probe(now)
@@ -154,15 +156,15 @@
         list of Command
             Commands to execute.
         """
-        if not self.own.is_live or sender == self.own.incarnation:
+        if not self.own.is_listed or sender == self.own.incarnation:
             return []
         live_count = len(self.view.list_live())
-        self._hear(sender, message.gossip, now)
+        self._apply_gossip(sender, message.gossip, now)
         match message:
             case messages.Ping():
                 self._answer_ping(sender, message)
             case messages.Ack():
-                self._pass_on(message)
+                self._relay_ack(message)
             case messages.PingRequest():
                 self._probe_on_behalf(message, now)
             case messages.SyncRequest():
@@ -173,17 +175,19 @@
 
     # Receiving.
 
-    def _hear(self, sender: str, gossip: messages.Gossip, now: int) -> None:
+    def _apply_gossip(
+        self, sender: str, gossip: messages.Gossip, now: int
+    ) -> None:
         own_update = messages.Update(
             sender,
             messages.Status.ALIVE,
             gossip.counter,
             version=gossip.version,
         )
-        self._beliefs.merge(own_update, now)
+        self._state.merge(own_update, now)
         for update in gossip.updates:
-            self._beliefs.merge(update, now)
-        self._beliefs.apply_versions(gossip.applied)
+            self._state.merge(update, now)
+        self._state.apply_versions(gossip.applied)
         self._report_version(sender, gossip, now)
         self._compare_views(sender, gossip, now)
 
@@ -198,7 +202,7 @@
         case, so no sync is requested then.
         """
         view = self.view.summarize_versions().view
-        if gossip.applied.view == view or not self._beliefs.is_settled:
+        if gossip.applied.view == view or not self._state.is_settled:
             return
         record = self.view.find(sender)
         if record is None or now < self._compare_at:
@@ -240,7 +244,7 @@
             self._ping(record, self._probes.start(record.incarnation, now))
 
     def _ping(self, record: records.Record, sequence: int) -> None:
-        gossip = self._beliefs.build_gossip(record.incarnation)
+        gossip = self._state.build_gossip(record.incarnation)
         address = self.own.identity.peer_address
         target = views.compute_short_digest(record.incarnation)
         self._send(record, messages.Ping(sequence, address, target, gossip))
@@ -248,16 +252,16 @@
     def _answer_ping(self, sender: str, ping: messages.Ping) -> None:
         if ping.target != views.compute_short_digest(self.own.incarnation):
             return
-        ack = messages.Ack(ping.sequence, self._beliefs.build_gossip(sender))
+        ack = messages.Ack(ping.sequence, self._state.build_gossip(sender))
         self._send_to(ping.address, ack)
         if self.view.find(sender) is None:
             self._request_sync(ping.address)
 
-    def _pass_on(self, ack: messages.Ack) -> None:
+    def _relay_ack(self, ack: messages.Ack) -> None:
         relay = self._probes.complete(ack.sequence)
         if relay is None:
             return
-        relayed = messages.Ack(relay.sequence, self._beliefs.build_gossip())
+        relayed = messages.Ack(relay.sequence, self._state.build_gossip())
         self._send_to(relay.address, relayed)
 
     def _probe_on_behalf(
@@ -278,7 +282,7 @@
             for relay in partners.sample(
                 others, self.settings.relays, self._random
             ):
-                gossip = self._beliefs.build_gossip(relay.incarnation)
+                gossip = self._state.build_gossip(relay.incarnation)
                 request = messages.PingRequest(
                     sequence, address, probe.target, gossip
                 )
@@ -299,10 +303,10 @@
         if elapsed_ms < self.settings.pause_ms:
             return
         self._probes.clear()
-        self._beliefs.postpone_expiry(elapsed_ms)
+        self._state.postpone_expiry(elapsed_ms)
         self._sync_at = now
         if elapsed_ms >= self.settings.dead_memory_ms:
-            addresses = self._beliefs.reset()
+            addresses = self._state.reset()
             self.set_seeds(dict.fromkeys([*self._seeds, *addresses]))
             self._join_tries = self.settings.join_tries
 
@@ -334,7 +338,7 @@
 
     def _request_sync(self, address: str) -> None:
         own_update = records.describe(self.own, with_identity=True)
-        gossip = self._beliefs.build_gossip()
+        gossip = self._state.build_gossip()
         gossip = attrs.evolve(gossip, updates=(own_update, *gossip.updates))
         request = messages.SyncRequest(
             self.own.identity.peer_address, self.view.pack_digests(), gossip
@@ -352,7 +356,7 @@
         # already have; broadcasting them would send each of them many times.
         should_broadcast = 2 * live_count > len(reply.records)
         for update in reply.records:
-            self._beliefs.merge(update, now, should_broadcast)
+            self._state.merge(update, now, should_broadcast)
         record = self.view.find(sender)
         if record is not None:
             address = record.identity.peer_address
@@ -371,20 +375,20 @@
             records.describe(record, with_identity=True)
             for record in self.view.list_bucket_records(buckets)
         )
-        gossip = self._beliefs.build_gossip(receiver)
+        gossip = self._state.build_gossip(receiver)
         reply = messages.SyncReply(wanted, updates, gossip)
         self._send_to(address, reply)
 
     # Sending.
 
     def _push_updates(self, now: int) -> None:
-        if self._beliefs.has_updates and self._push_at is None:
+        if self._state.has_updates and self._push_at is None:
             earliest = self._pushed_at + self.settings.push_interval_ms
             delayed = now + self.settings.push_delay_ms
             self._push_at = max(delayed, earliest)
         if self._push_at is None or now < self._push_at:
             return
-        self._beliefs.has_updates = False
+        self._state.has_updates = False
         self._push_at = None
         self._pushed_at = now
         self._push(partners.list_live_others(self.view))
@@ -392,7 +396,7 @@
     def _push(self, members: Sequence[records.Record]) -> None:
         count = self.settings.push_fanout
         for record in partners.sample(members, count, self._random):
-            gossip = self._beliefs.build_gossip(record.incarnation)
+            gossip = self._state.build_gossip(record.incarnation)
             self._send(record, messages.News(gossip))
 
     def _send(self, record: records.Record, message: messages.Message) -> None:
--- a/src/thornspool/domain/membership/partners.py
+++ b/src/thornspool/domain/membership/partners.py
@@ -57,7 +57,7 @@
         if record.status is messages.Status.DEAD
     )
     lost.difference_update(
-        record.identity.peer_address for record in view if record.is_live
+        record.identity.peer_address for record in view if record.is_listed
     )
     return sorted(lost)
 
--- a/src/thornspool/domain/membership/probes.py
+++ b/src/thornspool/domain/membership/probes.py
@@ -89,7 +89,7 @@
             self._random.shuffle(self._order)
         while self._order:
             record = view.find(self._order.pop())
-            if record is not None and record.is_live:
+            if record is not None and record.is_listed:
                 return record
         return None
 
--- a/src/thornspool/domain/membership/records.py
+++ b/src/thornspool/domain/membership/records.py
@@ -46,7 +46,7 @@
         return self.identity.incarnation
 
     @property
-    def is_live(self) -> bool:
+    def is_listed(self) -> bool:
         """Whether it is alive or suspected."""
         return self.status <= Status.SUSPECT
 
@@ -73,7 +73,7 @@
         The same object when nothing changes.
     """
     status = update.status
-    if status is Status.DEAD and current.is_live:
+    if status is Status.DEAD and current.is_listed:
         status = Status.SUSPECT
     merged = attrs.evolve(
         current,
--- a/src/thornspool/domain/membership/rendezvous.py
+++ b/src/thornspool/domain/membership/rendezvous.py
@@ -22,7 +22,7 @@
     return xxhash.xxh3_64_intdigest(f'{key} {incarnation}'.encode())
 
 
-def draw(key: str, incarnation: str) -> float:
+def compute_fraction(key: str, incarnation: str) -> float:
     """Return a number from 0 to 1 that is the same on every entry."""
     return compute_weight(key, incarnation) / _WEIGHT_RANGE
 
--- a/src/thornspool/domain/membership/state.py
+++ b/src/thornspool/domain/membership/state.py
@@ -63,7 +63,7 @@
             ``ALIVE`` while it still runs, ``LEFT`` when it exits.
         """
         self.view.put(attrs.evolve(self.own, leaving=True, status=status))
-        self._spread(self.own.incarnation, with_identity=False)
+        self._queue_broadcast(self.own.incarnation, with_identity=False)
 
     def set_version(self, version: int) -> None:
         """Record the configuration version in force here."""
@@ -105,9 +105,9 @@
             has_changed, with_identity = True, True
         else:
             has_changed = records.differs(current, merged)
-            with_identity = not current.is_live
+            with_identity = not current.is_listed
         if has_changed and should_broadcast:
-            self._spread(merged.incarnation, with_identity)
+            self._queue_broadcast(merged.incarnation, with_identity)
 
     def suspect(self, incarnation: str, now: int) -> None:
         """Suspect a member that did not answer a probe."""
@@ -115,7 +115,7 @@
         if record is None or record.status is not Status.ALIVE:
             return
         self._put(attrs.evolve(record, status=Status.SUSPECT), now)
-        self._spread(incarnation, with_identity=False)
+        self._queue_broadcast(incarnation, with_identity=False)
 
     def expire(self, now: int) -> None:
         """Apply the timers: suspects become dead, dead ones are removed.
@@ -210,7 +210,7 @@
         # A member that lists this process as dead may soon remove its
         # record, and its identity with it.
         is_dead = update.status is Status.DEAD
-        self._spread(self.own.incarnation, with_identity=is_dead)
+        self._queue_broadcast(self.own.incarnation, with_identity=is_dead)
 
     def _put(self, record: records.Record, now: int) -> None:
         """Replace a record and reset its timers if its status changed."""
@@ -223,11 +223,11 @@
         if record.status is Status.SUSPECT:
             deadline = now + self._settings.suspicion_ms
             self._suspects[record.incarnation] = deadline
-        if not record.is_live:
+        if not record.is_listed:
             remove_at = now + self._settings.dead_memory_ms
             self._remove_at[record.incarnation] = remove_at
 
-    def _spread(self, incarnation: str, with_identity: bool) -> None:
+    def _queue_broadcast(self, incarnation: str, with_identity: bool) -> None:
         self._broadcasts.add(incarnation, with_identity)
         self.has_updates = True
 
--- a/src/thornspool/domain/membership/views.py
+++ b/src/thornspool/domain/membership/views.py
@@ -58,17 +58,17 @@
     def put(self, record: records.Record) -> None:
         """Add or replace a record."""
         known = self._records.get(record.incarnation)
-        self._count(known)
-        self._count(record)
+        self._toggle_digest(known)
+        self._toggle_digest(record)
         self._records[record.incarnation] = record
         self._applied = None
         self.revision += 1
-        if known is None or known.is_live != record.is_live:
+        if known is None or known.is_listed != record.is_listed:
             self._live = None
 
     def remove(self, incarnation: str) -> None:
         """Remove a member."""
-        self._count(self._records.pop(incarnation))
+        self._toggle_digest(self._records.pop(incarnation))
         self._live = None
         self._applied = None
         self.revision += 1
@@ -77,7 +77,9 @@
         """Return the sorted incarnations of live members."""
         if self._live is None:
             self._live = tuple(
-                sorted(record.incarnation for record in self if record.is_live)
+                sorted(
+                    record.incarnation for record in self if record.is_listed
+                )
             )
             self._digest = _hash('\n'.join(self._live))
         return self._live
@@ -144,8 +146,8 @@
             packed = bits.to_bytes((len(live) + 7) // 8, 'little')
         return messages.Applied(highest, self._digest, packed)
 
-    def _count(self, record: records.Record | None) -> None:
-        if record is None or not record.is_live:
+    def _toggle_digest(self, record: records.Record | None) -> None:
+        if record is None or not record.is_listed:
             return
         self._digests[_choose_bucket(record)] ^= _digest(record)
 
--- a/src/thornspool/domain/objectives/counts.py
+++ b/src/thornspool/domain/objectives/counts.py
@@ -9,8 +9,8 @@
 
 MINUTE_MS = 60_000
 HOUR_MS = 60 * MINUTE_MS
-FINE_SLOTS = 60
-COARSE_SLOTS = 73
+MINUTE_SLOTS = 60
+HOUR_SLOTS = 73
 _TYPE_CODE = 'Q'
 _NUMBERS_PER_SLOT = 3
 
@@ -58,9 +58,9 @@
             not.
         """
         _add_to(self._minutes, now // MINUTE_MS, good, bad)
-        _drop_through(self._minutes, now // MINUTE_MS - FINE_SLOTS)
+        _drop_through(self._minutes, now // MINUTE_MS - MINUTE_SLOTS)
         _add_to(self._hours, now // HOUR_MS, good, bad)
-        _drop_through(self._hours, now // HOUR_MS - COARSE_SLOTS)
+        _drop_through(self._hours, now // HOUR_MS - HOUR_SLOTS)
 
     def read(self, now: int, window_ms: int) -> Counts:
         """Return the counts of the window that ends now.
--- a/src/thornspool/domain/paths/search.py
+++ b/src/thornspool/domain/paths/search.py
@@ -195,10 +195,10 @@
         max_end = min(held.end, start + candidate.max_layers)
         for end in _list_ends(split_points, start, max_end):
             hop = Hop(candidate.server, start, end)
-            total_ms = (
+            timeout_ms = (
                 cost_ms + hop_cost_ms + hop.count * candidate.layer_cost_ms
             )
-            extended.append(((end, domain), (total_ms, (*hops, hop))))
+            extended.append(((end, domain), (timeout_ms, (*hops, hop))))
     return extended
 
 
--- a/src/thornspool/domain/pipelines/messages.py
+++ b/src/thornspool/domain/pipelines/messages.py
@@ -89,7 +89,7 @@
 
 
 @attrs.frozen
-class TimePassed:
+class TimerExpired:
     """A timeout of the verifier may have been reached."""
 
 
@@ -182,6 +182,6 @@
 
 
 Event = (
-    Started | FramesReceived | StreamClosed | StageUnresponsive | TimePassed
+    Started | FramesReceived | StreamClosed | StageUnresponsive | TimerExpired
 )
 Command = Deliver | Finish | Fail | Cancel | Replan | ProbeStages
--- a/src/thornspool/domain/pipelines/questions.py
+++ b/src/thornspool/domain/pipelines/report_requests.py
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen
-class Tell:
+class ReportRequest:
     """Reports that the engines of a route add to their response.
 
     Attributes
@@ -31,11 +31,11 @@
     hops: bool = False
 
 
-NOTHING = Tell()
+NO_REPORTS = ReportRequest()
 
 
 @attrs.frozen
-class Limits:
+class ReportLimits:
     """Rate limits of an entry over all its requests.
 
     Attributes
@@ -52,14 +52,14 @@
 _MAX_LOADS_PER_S = 2.0
 
 
-def compute_limits(entries: int) -> Limits:
+def compute_limits(entries: int) -> ReportLimits:
     """Compute the rate limits of an entry from the number of entries.
 
     Admission counts the queues that were reported recently. In a small
     fleet each entry may request more reports, since the distribution of
     limits uses less of the budget for control messages there.
     """
-    default = Limits()
+    default = ReportLimits()
     loads_per_s = min(_MAX_LOADS_PER_S, _FLEET_LOADS_PER_S / max(1, entries))
     return attrs.evolve(
         default, loads_per_s=max(default.loads_per_s, loads_per_s)
--- a/src/thornspool/domain/pipelines/stage_times.py
+++ b/src/thornspool/domain/pipelines/stage_times.py
@@ -49,7 +49,7 @@
     updated_at: int
 
 
-class PaceMeter:
+class TokenIntervalMeter:
     """Measures the mean token interval of one stream."""
 
     def __init__(self) -> None:
@@ -113,7 +113,7 @@
             uncertainty * (1 - _LEARNED_TRUST * freshness),
         )
 
-    def note_pace(
+    def record_token_interval(
         self,
         expected: Sequence[tuple[str, float]],
         interval_ms: float,
--- a/src/thornspool/domain/pipelines/verifier.py
+++ b/src/thornspool/domain/pipelines/verifier.py
@@ -117,7 +117,7 @@
         if self.is_finished:
             return []
         if now >= self._bounds.deadline:
-            return self._give_up(messages.Reason.DEADLINE)
+            return self._fail(messages.Reason.DEADLINE)
         if isinstance(event, messages.FramesReceived):
             return self._receive(event, now)
         if isinstance(event, messages.StreamClosed):
@@ -125,11 +125,11 @@
         if isinstance(event, messages.Started):
             return self._start(event.route, now)
         if isinstance(event, messages.StageUnresponsive):
-            return self._take_silence(event)
+            return self._handle_unresponsive_stage(event)
         return self._check_timeouts(now)
 
     def read_wake_time(self) -> int:
-        """Return when ``TimePassed`` is due, in monotonic milliseconds."""
+        """Return when ``TimerExpired`` is due, in monotonic milliseconds."""
         due = min(self._stall_at, self._bounds.deadline)
         if self._slow_at is not None:
             due = min(due, self._slow_at)
@@ -139,7 +139,7 @@
         """Fail the request, for instance when no route can be planned."""
         if self.is_finished:
             return []
-        return self._give_up(reason)
+        return self._fail(reason)
 
     def _start(self, route: routes.Route, now: int) -> list[messages.Command]:
         self.route = route
@@ -172,7 +172,7 @@
             texts = tuple(self.tokens[first:])
             commands.append(messages.Deliver(first, texts))
         if rejected is not None:
-            commands.extend(self._judge(rejected))
+            commands.extend(self._handle_rejected_frame(rejected))
         return commands
 
     def _accept_tokens(
@@ -196,7 +196,9 @@
                 return frame
         return None
 
-    def _judge(self, frame: frames_module.Frame) -> list[messages.Command]:
+    def _handle_rejected_frame(
+        self, frame: frames_module.Frame
+    ) -> list[messages.Command]:
         """Handle a frame of this attempt that is not the next token."""
         assert self.route is not None
         if frame.failed:
@@ -239,7 +241,7 @@
             return [messages.ProbeStages()]
         return []
 
-    def _take_silence(
+    def _handle_unresponsive_stage(
         self, event: messages.StageUnresponsive
     ) -> list[messages.Command]:
         """Reroute when a stage is unresponsive, if a retry is available.
@@ -255,7 +257,7 @@
             return []
         if not self._take_retry():
             return []
-        return self._leave(messages.Reason.SILENT, '')
+        return self._reroute(messages.Reason.SILENT, '')
 
     def _reroute_slow(self) -> list[messages.Command]:
         """Reroute a slow stream, once a request, if a retry is available.
@@ -269,7 +271,7 @@
         self._was_rerouted_slow = True
         if not self._take_retry():
             return []
-        return self._leave(messages.Reason.SLOWED, '')
+        return self._reroute(messages.Reason.SLOWED, '')
 
     def _fail_over(
         self, reason: messages.Reason, suspect: str
@@ -283,9 +285,9 @@
         if needs_retry and not self._take_retry():
             cancel = messages.Cancel(self.attempt, self.route, reason, suspect)
             return [cancel, *self._end(messages.Reason.NO_RETRY)]
-        return self._leave(reason, suspect)
+        return self._reroute(reason, suspect)
 
-    def _leave(
+    def _reroute(
         self, reason: messages.Reason, suspect: str
     ) -> list[messages.Command]:
         """Cancel the attempt and replan the rest of the response."""
@@ -304,7 +306,7 @@
         avoided = frozenset(self._avoided)
         return [cancel, messages.Replan(self.attempt, excluded, avoided)]
 
-    def _give_up(self, reason: messages.Reason) -> list[messages.Command]:
+    def _fail(self, reason: messages.Reason) -> list[messages.Command]:
         if self.route is None:
             return self._end(reason)
         cancel = messages.Cancel(self.attempt, self.route, reason)
--- a/src/thornspool/domain/quarantine/records.py
+++ b/src/thornspool/domain/quarantine/records.py
@@ -5,8 +5,8 @@
 the trial, the suspect is condemned. It is not condemned if an entry that had
 not yet received the update about it ran another suspect on the same target:
 both then have two deaths, and the cause cannot be determined. Entries detect
-this from each other's updates, so a verdict is delayed for `GRACE_MS` and is
-computed again when a late update arrives.
+this from each other's updates, so a verdict is delayed for
+`VERDICT_DELAY_MS` and is computed again when a late update arrives.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 SUSPECT_TTL_MS = 600_000
 CONDEMNED_TTL_MS = 3_600_000
-GRACE_MS = 1000
+VERDICT_DELAY_MS = 1000
 """Delay of a verdict, in which other entries report what they ran there."""
 
 SAME_DEATH_MS = 10_000
@@ -64,7 +64,7 @@
         self._records: dict[str, _Record] = {}
         self._index = index.DeathIndex()
 
-    def note_death(
+    def record_death(
         self,
         target: str,
         in_flight: frozenset[str],
@@ -137,12 +137,12 @@
         return len(self._records)
 
     def is_awaiting_verdict(self, fingerprint: str, now: int) -> bool:
-        """Return whether a target died in its trial less than `GRACE_MS` ago.
+        """Return whether a death in its trial is below `VERDICT_DELAY_MS` old.
 
         The verdict on the request is not final before that.
         """
         return any(
-            death.on_trial and death.at + GRACE_MS > now
+            death.on_trial and death.at + VERDICT_DELAY_MS > now
             for death in self._list_deaths(fingerprint)
         )
 
@@ -202,7 +202,7 @@
     ) -> int:
         """Return how long a request stays condemned; 0 if it is not."""
         for death in reversed(deaths):
-            if not death.on_trial or death.at + GRACE_MS > now:
+            if not death.on_trial or death.at + VERDICT_DELAY_MS > now:
                 continue
             remaining_ms = death.at + CONDEMNED_TTL_MS - now
             if remaining_ms > 0 and not self._is_ambiguous(fingerprint, death):
--- a/src/thornspool/domain/quarantine/reservations.py
+++ b/src/thornspool/domain/quarantine/reservations.py
@@ -24,7 +24,7 @@
     """Reservations of the names that this entry owns."""
 
     def __init__(self) -> None:
-        self._kept: dict[str, _Reservation] = {}
+        self._by_name: dict[str, _Reservation] = {}
 
     def reserve(self, name: str, holder: str, ttl_ms: int, now: int) -> bool:
         """Reserve a name for a holder.
@@ -48,7 +48,7 @@
             False while another holder has the name, or when
             `MAX_RESERVATIONS` is reached.
         """
-        existing = self._kept.get(name)
+        existing = self._by_name.get(name)
         if (
             existing
             and existing.holder != holder
@@ -58,21 +58,21 @@
         if existing is None and not self._has_capacity(now):
             return False
         ttl_ms = min(ttl_ms, MAX_TTL_MS)
-        self._kept[name] = _Reservation(holder, now + ttl_ms)
+        self._by_name[name] = _Reservation(holder, now + ttl_ms)
         return True
 
     def release(self, name: str, holder: str) -> None:
         """Release a name if it is reserved for the holder."""
-        existing = self._kept.get(name)
+        existing = self._by_name.get(name)
         if existing and existing.holder == holder:
-            del self._kept[name]
+            del self._by_name[name]
 
     def _has_capacity(self, now: int) -> bool:
-        if len(self._kept) < MAX_RESERVATIONS:
+        if len(self._by_name) < MAX_RESERVATIONS:
             return True
-        self._kept = {
+        self._by_name = {
             name: reservation
-            for name, reservation in self._kept.items()
+            for name, reservation in self._by_name.items()
             if reservation.expires_at > now
         }
-        return len(self._kept) < MAX_RESERVATIONS
+        return len(self._by_name) < MAX_RESERVATIONS
--- a/src/thornspool/domain/retries/budget.py
+++ b/src/thornspool/domain/retries/budget.py
@@ -40,7 +40,7 @@
 
     def spend(self, now: int) -> bool:
         """Spend a token on a retry; return False without one."""
-        return self.bucket.take(1.0, now)
+        return self.bucket.try_acquire(1.0, now)
 
 
 def build_budget(
--- a/src/thornspool/domain/targets/availability.py
+++ b/src/thornspool/domain/targets/availability.py
@@ -26,7 +26,7 @@
         Failures since its last answer.
     is_failed : bool
         Whether it gets no new requests because of the failures.
-    check_at : int
+    probe_at : int
         Monotonic milliseconds from which an unavailable target may be
         probed again; ignored while the target is available.
     """
@@ -34,7 +34,7 @@
     is_leaving: bool = False
     failures: int = 0
     is_failed: bool = False
-    check_at: int = 0
+    probe_at: int = 0
 
     @property
     def is_usable(self) -> bool:
@@ -42,7 +42,7 @@
         return not self.is_leaving and not self.is_failed
 
 
-def hear_word(
+def apply_own_readiness(
     current: Availability, readiness: Readiness, now: int
 ) -> Availability:
     """Apply the readiness from an answer or a poll of the target.
@@ -54,10 +54,10 @@
         return current
     if readiness is Readiness.READY:
         return Availability()
-    return Availability(is_leaving=True, check_at=now + RECHECK_MS)
+    return Availability(is_leaving=True, probe_at=now + RECHECK_MS)
 
 
-def hear_news(
+def apply_reported_readiness(
     current: Availability, readiness: Readiness, now: int
 ) -> Availability:
     """Apply the readiness of a target that another entry reported.
@@ -67,12 +67,12 @@
     starting again with the shortest delay.
     """
     if readiness is not Readiness.READY:
-        return hear_word(current, readiness, now)
+        return apply_own_readiness(current, readiness, now)
     return attrs.evolve(current, is_leaving=False, is_failed=False)
 
 
-def note_failure(
-    current: Availability, now: int, jitter: float, is_certain: bool = True
+def record_failure(
+    current: Availability, now: int, jitter: float, is_conclusive: bool = True
 ) -> Availability:
     """Record a failed call to the target.
 
@@ -85,7 +85,7 @@
     jitter : float
         Random number from 0 to 1. It spreads the checks of entries that
         detected the same failure at the same time.
-    is_certain : bool, optional
+    is_conclusive : bool, optional
         False for a poll without an answer, which may have been lost or
         delayed by load; the target fails after `FAILURES_TO_FAIL` failures in
         a row.
@@ -101,13 +101,13 @@
         current,
         failures=failures,
         is_failed=current.is_failed
-        or is_certain
+        or is_conclusive
         or failures >= FAILURES_TO_FAIL,
-        check_at=now + int(backoff * (0.5 + jitter / 2)),
+        probe_at=now + int(backoff * (0.5 + jitter / 2)),
     )
 
 
-def decide(
+def derive_readiness(
     current: Availability, is_configured_leaving: bool, is_host_leaving: bool
 ) -> Readiness:
     """Return whether a target may receive new requests.
@@ -122,6 +122,6 @@
     return Readiness.READY
 
 
-def postpone(current: Availability, now: int) -> Availability:
+def postpone_check(current: Availability, now: int) -> Availability:
     """Postpone the next check while one is in progress."""
-    return attrs.evolve(current, check_at=now + RECHECK_MS)
+    return attrs.evolve(current, probe_at=now + RECHECK_MS)
--- a/src/thornspool/entry.py
+++ b/src/thornspool/entry.py
@@ -11,10 +11,10 @@
 import structlog
 from tornado import web
 
+from thornspool import composition
 from thornspool import identifiers
 from thornspool import metrics as metrics_module
-from thornspool import parts
-from thornspool import readings
+from thornspool import state_metrics
 from thornspool.adapters import servers
 from thornspool.adapters.callers import context
 from thornspool.adapters.callers import routes as caller_routes
@@ -146,21 +146,21 @@
         )
         self._metrics = metrics_module.Metrics()
         dependencies = self._build_dependencies(addresses)
-        self._parts = parts.Parts(dependencies)
+        self._services = composition.EntryServices(dependencies)
         self._create_outage_service(dependencies)
-        readings.add_readings(
+        state_metrics.add_state_metrics(
             self._metrics,
             self._clock,
-            self._parts,
+            self._services,
             dependencies.platform,
             self._peers.traffic,
         )
         self._start_listeners()
-        await self._parts.members.start(settings.peers.seeds)
-        await self._parts.targets.start()
-        self._start_loop(self._parts.configuration.run())
-        self._start_loop(self._parts.admission.run())
-        self._start_loop(self._parts.quarantine.run())
+        await self._services.members.start(settings.peers.seeds)
+        await self._services.targets.start()
+        self._start_loop(self._services.configuration.run())
+        self._start_loop(self._services.admission.run())
+        self._start_loop(self._services.quarantine.run())
         return addresses
 
     async def stop(self) -> None:
@@ -171,16 +171,16 @@
         departure of this process is announced, since only this process can
         record them.
         """
-        self._parts.drain.begin()
-        self._caller_listener.send_away()
-        await self._parts.drain.wait_drained()
-        if not await self._parts.actions.drain(OUTCOME_TIMEOUT_MS):
+        self._services.drain.begin()
+        self._caller_listener.disable_keep_alive()
+        await self._services.drain.wait_drained()
+        if not await self._services.actions.drain(OUTCOME_TIMEOUT_MS):
             logger.warning('outcomes_not_recorded')
-        await self._parts.generation.close()
+        await self._services.generation.close()
         await self._caller_listener.stop()
         await self._operator_listener.stop()
-        await self._parts.targets.stop()
-        await self._parts.members.stop()
+        await self._services.targets.stop()
+        await self._services.members.stop()
         if self._outages is not None:
             await self._outages.stop()
         for task in self._tasks:
@@ -189,9 +189,11 @@
             with contextlib.suppress(asyncio.CancelledError):
                 await task
         await self._peers.stop()
-        await self._parts.close()
+        await self._services.close()
 
-    def _build_dependencies(self, addresses: Addresses) -> parts.Outside:
+    def _build_dependencies(
+        self, addresses: Addresses
+    ) -> composition.Dependencies:
         """Build the dependencies of the services of this entry."""
         settings = self._settings
         local_member = ports.Member(
@@ -202,7 +204,7 @@
             peer_address=self._peers.address,
             caller_url=addresses.callers,
         )
-        return parts.Outside(
+        return composition.Dependencies(
             self._clock,
             self._random,
             self._create_platform_client(),
@@ -216,21 +218,23 @@
         self._caller_listener.start(
             caller_routes.make_application(
                 context.CallerContext(
-                    requests=self._parts.build_intake(self._list_alternatives),
-                    list_entries=self._parts.members.list_entries,
+                    requests=self._services.build_intake(
+                        self._list_alternatives
+                    ),
+                    list_entries=self._services.members.list_entries,
                     make_request_id=self._make_identifier,
-                    is_ready=self._parts.is_ready,
+                    is_ready=self._services.is_ready,
                 )
             )
         )
         routes = operator_handlers.make_handlers(
             self._clock,
-            self._parts.configuration,
-            self._parts.members,
+            self._services.configuration,
+            self._services.members,
             self._settings.operators.tokens,
             self._request_drain,
-            self._parts.actions.look_up,
-            self._parts.objectives.report,
+            self._services.actions.look_up,
+            self._services.objectives.report,
         )
         self._operator_listener.start(
             web.Application(
@@ -258,7 +262,9 @@
             self._random.random,
         )
 
-    def _create_outage_service(self, dependencies: parts.Outside) -> None:
+    def _create_outage_service(
+        self, dependencies: composition.Dependencies
+    ) -> None:
         """Create the service that announces the end of platform outages."""
         if not isinstance(dependencies.platform, store_client.StorePlatform):
             return
@@ -266,10 +272,10 @@
             self._clock,
             dependencies.platform,
             dependencies.peers,
-            self._parts.members,
+            self._services.members,
             dependencies.local_member.incarnation,
             self._random,
-            self._parts.actions.note_platform_back,
+            self._services.actions.record_platform_recovery,
         )
 
     def _make_identifier(self) -> str:
@@ -280,7 +286,7 @@
     def _list_alternatives(self) -> tuple[str, ...]:
         """Return the caller URLs of the other entries."""
         local_url = self._caller_listener.read_url()
-        listed = self._parts.members.list_entries().entries
+        listed = self._services.members.list_entries().entries
         return tuple(entry.url for entry in listed if entry.url != local_url)
 
     async def _request_drain(self) -> None:
--- a/src/thornspool/outputs.py
+++ b/src/thornspool/log_outputs.py
@@ -55,7 +55,7 @@
 
     def info(self, message: str) -> None:
         """Write a line, or drop it if the rate limit is exceeded."""
-        if self._bucket.take(1.0, self._clock.now()):
+        if self._bucket.try_acquire(1.0, self._clock.now()):
             self._write(message)
         else:
             self.dropped += 1
--- a/src/thornspool/logs.py
+++ b/src/thornspool/logs.py
@@ -9,12 +9,12 @@
 import structlog
 
 from thornspool import clock
-from thornspool import outputs
+from thornspool import log_outputs
 
 _KEY_ORDER = ['timestamp', 'level', 'event']
 
 
-def configure_logs(level: str, host: str, to_output: bool = False) -> None:
+def configure_logs(level: str, host: str, to_stdout: bool = False) -> None:
     """Configure the logs of the whole process.
 
     Parameters
@@ -23,7 +23,7 @@
         Lowest level to log: ``debug``, ``info``, ``warning`` or ``error``.
     host : str
         Host name, added to each line.
-    to_output : bool, optional
+    to_stdout : bool, optional
         Whether to write to standard output, where lines that the reader does
         not consume in time are dropped and counted. By default, lines go to
         standard error.
@@ -43,13 +43,13 @@
         wrapper_class=structlog.make_filtering_bound_logger(
             logging.getLevelNamesMapping()[level.upper()]
         ),
-        logger_factory=_make_logger_factory(to_output),
+        logger_factory=_make_logger_factory(to_stdout),
         cache_logger_on_first_use=True,
     )
 
 
-def _make_logger_factory(to_output: bool) -> typing.Any:
-    if not to_output:
+def _make_logger_factory(to_stdout: bool) -> typing.Any:
+    if not to_stdout:
         return structlog.WriteLoggerFactory(file=sys.stderr)
-    output = outputs.BoundedOutput(sys.stdout.fileno(), clock.Clock())
+    output = log_outputs.BoundedOutput(sys.stdout.fileno(), clock.Clock())
     return lambda *_arguments: output
--- a/src/thornspool/metrics.py
+++ b/src/thornspool/metrics.py
@@ -43,7 +43,7 @@
 
 
 @attrs.frozen
-class Reading:
+class Sample:
     """One sample of a metric family.
 
     Attributes
@@ -58,15 +58,17 @@
     labels: dict[str, str] = attrs.field(factory=dict)
 
 
-SampleReader = typing.Callable[[], 'Iterable[Reading]']
+SampleReader = typing.Callable[[], 'Iterable[Sample]']
 
 
-def read_one(read: Callable[[], float]) -> SampleReader:
+def make_sample_reader(read: Callable[[], float]) -> SampleReader:
     """Return a function that reads the sample of a family without labels."""
-    return lambda: (Reading(float(read())),)
+    return lambda: (Sample(float(read())),)
 
 
-def list_by(label: str, values: Mapping[str, float]) -> list[Reading]:
+def list_samples_by_label(
+    label: str, values: Mapping[str, float]
+) -> list[Sample]:
     """List samples that differ in one label.
 
     Parameters
@@ -76,12 +78,12 @@
     values : mapping of str to float
         Sample values by value of the label.
     """
-    return [Reading(value, {label: name}) for name, value in values.items()]
+    return [Sample(value, {label: name}) for name, value in values.items()]
 
 
 def count_by_label(
     label: str, all_values: Iterable[str], observed: Iterable[str]
-) -> list[Reading]:
+) -> list[Sample]:
     """Count occurrences of each value of a label.
 
     Values that do not occur are reported as 0, since the registry would
@@ -97,7 +99,9 @@
         Values to count.
     """
     counts = collections.Counter(observed)
-    return list_by(label, {name: counts[name] for name in all_values})
+    return list_samples_by_label(
+        label, {name: counts[name] for name in all_values}
+    )
 
 
 class Metrics:
@@ -229,9 +233,9 @@
         self._between_tokens.set_value({'workspace': workspace}, intervals)
         return intervals
 
-    def _read_token_counts(self) -> Iterable[Reading]:
+    def _read_token_counts(self) -> Iterable[Sample]:
         return [
-            Reading(count, {'workspace': workspace})
+            Sample(count, {'workspace': workspace})
             for workspace, count in self._tokens.items()
         ]
 
--- a/src/thornspool/platform/daemon.py
+++ b/src/thornspool/platform/daemon.py
@@ -40,9 +40,9 @@
 from thornspool.platform import engines
 from thornspool.platform import follower
 from thornspool.platform import peers
-from thornspool.platform import readings
 from thornspool.platform import registry
 from thornspool.platform import settings as settings_module
+from thornspool.platform import state_metrics
 from thornspool.platform import store as store_module
 
 if typing.TYPE_CHECKING:
@@ -151,7 +151,7 @@
         return EXIT_SETTINGS
     if options.check:
         return EXIT_OK
-    logs.configure_logs(options.log_level, settings.host, to_output=True)
+    logs.configure_logs(options.log_level, settings.host, to_stdout=True)
     try:
         asyncio.run(_run_entry(settings))
     except exceptions.ThornspoolError as error:
@@ -236,7 +236,7 @@
         deadline = started_at + self._settings.bounds.grace_ms - EXIT_MARGIN_MS
         self._membership.set_state(messages.State.LEAVING)
         logger.info('drain_began', in_flight=self._intake.in_flight)
-        self._caller_listener.send_away()
+        self._caller_listener.disable_keep_alive()
         self._streams.set_shutdown_time(deadline)
         await self._registration.release_leadership()
         while True:
@@ -396,9 +396,9 @@
                 self._intake.max_key_age_ms, clock.now()
             ),
         )
-        readings.add_entry_metrics(
+        state_metrics.add_entry_metrics(
             self._metrics,
-            readings.MetricSources(
+            state_metrics.MetricSources(
                 clock,
                 store,
                 self._routing_state,
