--- a/src/thornspool/platform/engines.py
+++ b/src/thornspool/platform/engines.py
@@ -75,12 +75,12 @@
 _JSON = (('Content-Type', 'application/json'),)
 
 _ENDINGS = {
-    transfers.Ending.WHOLE: ports.Completion.COMPLETE,
-    transfers.Ending.NOT_SENT: ports.Completion.NOT_SENT,
-    transfers.Ending.BROKEN: ports.Completion.BROKEN,
-    transfers.Ending.TIMED_OUT: ports.Completion.BROKEN,
-    transfers.Ending.MALFORMED: ports.Completion.BROKEN,
-    transfers.Ending.TOO_LARGE: ports.Completion.BROKEN,
+    transfers.TransferResult.COMPLETE: ports.Completion.COMPLETE,
+    transfers.TransferResult.NOT_SENT: ports.Completion.NOT_SENT,
+    transfers.TransferResult.BROKEN: ports.Completion.BROKEN,
+    transfers.TransferResult.TIMED_OUT: ports.Completion.BROKEN,
+    transfers.TransferResult.MALFORMED: ports.Completion.BROKEN,
+    transfers.TransferResult.TOO_LARGE: ports.Completion.BROKEN,
 }
 
 logger = structlog.get_logger(__name__)
@@ -198,8 +198,8 @@
         """
         request = transfers.Request(
             f'http://{server.address}/v1/report',
-            connect_ms=wait_ms,
-            total_ms=wait_ms,
+            connect_timeout_ms=wait_ms,
+            timeout_ms=wait_ms,
         )
         try:
             response = await self._session.fetch(request)
--- a/src/thornspool/platform/readings.py
+++ b/src/thornspool/platform/state_metrics.py
@@ -65,14 +65,14 @@
     metrics.add_gauge(
         'thornspool_serving',
         '1 while callers are led to this entry.',
-        metrics_module.read_one(
+        metrics_module.make_sample_reader(
             lambda: sources.membership.state is messages.State.SERVING
         ),
     )
     metrics.add_gauge(
         'thornspool_leads',
         '1 while this entry gives orders to engines.',
-        metrics_module.read_one(
+        metrics_module.make_sample_reader(
             lambda: sources.leader.may_act(sources.clock.now())
         ),
     )
@@ -84,17 +84,21 @@
     metrics.add_gauge(
         'thornspool_requests_in_flight',
         'Requests of callers that have not got their whole answer.',
-        metrics_module.read_one(lambda: sources.intake.in_flight),
+        metrics_module.make_sample_reader(lambda: sources.intake.in_flight),
     )
     metrics.add_counter(
         'thornspool_repeats_refused_total',
         'Repeats that were due and for which the budget had no room.',
-        metrics_module.read_one(lambda: sources.retry_budget.refused_count),
+        metrics_module.make_sample_reader(
+            lambda: sources.retry_budget.refused_count
+        ),
     )
     metrics.add_counter(
         'thornspool_orders_total',
         'Orders to engines that this entry gave.',
-        metrics_module.read_one(lambda: sources.placement.order_count),
+        metrics_module.make_sample_reader(
+            lambda: sources.placement.order_count
+        ),
     )
 
 
@@ -105,7 +109,7 @@
     metrics.add_gauge(
         'thornspool_configuration_version',
         'Version of the configuration in force here; 0 before the first.',
-        metrics_module.read_one(lambda: _read_version(sources)),
+        metrics_module.make_sample_reader(lambda: _read_version(sources)),
     )
     metrics.add_gauge(
         'thornspool_proof_age_seconds',
@@ -116,7 +120,7 @@
     metrics.add_counter(
         'thornspool_store_calls_total',
         'Calls that left for the store, by kind.',
-        lambda: metrics_module.list_by(
+        lambda: metrics_module.list_samples_by_label(
             'kind',
             {kind: sources.store.calls[kind] for kind in store.CALL_KINDS},
         ),
@@ -124,7 +128,7 @@
     metrics.add_counter(
         'thornspool_store_failures_total',
         'Calls to the store without a whole answer.',
-        metrics_module.read_one(lambda: sources.store.failures),
+        metrics_module.make_sample_reader(lambda: sources.store.failures),
     )
 
 
@@ -150,9 +154,9 @@
     )
 
 
-def _count_entries(sources: MetricSources) -> list[metrics_module.Reading]:
+def _count_entries(sources: MetricSources) -> list[metrics_module.Sample]:
     serving = len(sources.view.list_serving(sources.clock.now()))
-    return metrics_module.list_by(
+    return metrics_module.list_samples_by_label(
         'state',
         {'serving': serving, 'other': len(sources.view.peers) - serving},
     )
@@ -163,18 +167,18 @@
     return 0 if configuration is None else configuration.version
 
 
-def _read_proof_age(sources: MetricSources) -> list[metrics_module.Reading]:
+def _read_proof_age(sources: MetricSources) -> list[metrics_module.Sample]:
     age = sources.routing_state.freshness.compute_age(sources.clock.now())
-    return [] if age is None else [metrics_module.Reading(age / _MS_PER_S)]
+    return [] if age is None else [metrics_module.Sample(age / _MS_PER_S)]
 
 
-def _count_engines(sources: MetricSources) -> list[metrics_module.Reading]:
+def _count_engines(sources: MetricSources) -> list[metrics_module.Sample]:
     counts: collections.Counter[tuple[str, str]] = collections.Counter()
     servers = sources.routing_state.servers.values()
     for server in servers:
         counts[(server.failure_domain, _name_state(server, sources))] += 1
     return [
-        metrics_module.Reading(
+        metrics_module.Sample(
             counts[(domain, state)], {'domain': domain, 'state': state}
         )
         for domain in sorted({server.failure_domain for server in servers})
@@ -213,22 +217,20 @@
 def _read_groups(
     sources: MetricSources,
     compute: Callable[[fleet.Model, Iterable[fleet.Server]], float],
-) -> list[metrics_module.Reading]:
+) -> list[metrics_module.Sample]:
     """Compute a value for each service in each failure domain."""
-    readings = []
+    samples = []
     for (service, domain), engines in _group_engines(sources).items():
         model = sources.routing_state.find_model(service)
         assert model is not None
         labels = {'service': service, 'domain': domain}
-        readings.append(
-            metrics_module.Reading(compute(model, engines), labels)
-        )
-    return readings
+        samples.append(metrics_module.Sample(compute(model, engines), labels))
+    return samples
 
 
 def _count_uncovered_layers(
     sources: MetricSources,
-) -> list[metrics_module.Reading]:
+) -> list[metrics_module.Sample]:
     def count(model: fleet.Model, engines: Iterable[fleet.Server]) -> float:
         held = [
             server.layers for server in engines if server.layers is not None
@@ -241,7 +243,7 @@
 
 def _measure_reserved_ratio(
     sources: MetricSources,
-) -> list[metrics_module.Reading]:
+) -> list[metrics_module.Sample]:
     def measure(model: fleet.Model, engines: Iterable[fleet.Server]) -> float:
         placed = [server for server in engines if server.layers is not None]
         capacity = sum(
--- a/src/thornspool/platform/store.py
+++ b/src/thornspool/platform/store.py
@@ -314,10 +314,10 @@
         url = f'{self._base_url}{path}?{urllib.parse.urlencode(query)}'
         request = transfers.Request(
             url,
-            connect_ms=min(CONNECT_TIMEOUT_MS, self._timeout_ms),
-            total_ms=timeout_ms or self._timeout_ms,
-            pause_ms=IDLE_TIMEOUT_MS,
-            own_connection=False,
+            connect_timeout_ms=min(CONNECT_TIMEOUT_MS, self._timeout_ms),
+            timeout_ms=timeout_ms or self._timeout_ms,
+            idle_timeout_ms=IDLE_TIMEOUT_MS,
+            dedicated_connection=False,
         )
         response = await self._fetch(request)
         if response.status == _GONE:
@@ -330,7 +330,7 @@
 
     async def _call(
         self, method: str, path: str, body: object
-    ) -> transfers.Answer:
+    ) -> transfers.Response:
         # Writes use a new connection each. libcurl resends a request when a
         # reused connection breaks, and a resent conditional write fails
         # because its first attempt has changed the revision.
@@ -345,14 +345,14 @@
             )
         )
 
-    async def _fetch(self, request: transfers.Request) -> transfers.Answer:
+    async def _fetch(self, request: transfers.Request) -> transfers.Response:
         self.calls[_extract_call_kind(request.url)] += 1
         try:
             return await self._session.fetch(request)
         except transfer_errors.NotSent as error:
             self.failures += 1
             raise exceptions.StoreRefused(str(error)) from error
-        except transfer_errors.AnswerLost as error:
+        except transfer_errors.ResponseLost as error:
             self.failures += 1
             raise exceptions.StoreOutcomeUnknown(str(error)) from error
 
@@ -362,7 +362,7 @@
     return urllib.parse.urlsplit(url).path.split('/')[2]
 
 
-def _raise_for_status(response: transfers.Answer) -> None:
+def _raise_for_status(response: transfers.Response) -> None:
     if response.status == _OK:
         return
     reason = f'The store returned status {response.status}.'
@@ -374,7 +374,7 @@
     raise exceptions.StoreRefused(reason)
 
 
-def _decode_body(response: transfers.Answer, body_type: type[Body]) -> Body:
+def _decode_body(response: transfers.Response, body_type: type[Body]) -> Body:
     _raise_for_status(response)
     try:
         return msgspec.json.decode(response.body, type=body_type)
--- a/src/thornspool/readings.py
+++ b/src/thornspool/state_metrics.py
@@ -14,16 +14,16 @@
     from collections.abc import Iterator
 
     from thornspool import clock as clock_module
-    from thornspool import parts as parts_module
+    from thornspool import composition
     from thornspool.adapters.peers import traffic as traffic_module
 
 _MS_PER_S = 1000
 
 
-def add_readings(
+def add_state_metrics(
     metrics: metrics_module.Metrics,
     clock: clock_module.Clock,
-    parts: parts_module.Parts,
+    services: composition.EntryServices,
     platform: ports.Platform,
     traffic: traffic_module.Traffic,
 ) -> None:
@@ -35,15 +35,15 @@
         Metrics to add them to.
     clock : clock_module.Clock
         Source of time.
-    parts : parts_module.Parts
+    parts : parts_module.EntryServices
         Services whose state is exported.
     platform : ports.Platform
         Client of the platform; only that of the store counts its calls.
     traffic : traffic_module.Traffic
         Counts of the messages between entries.
     """
-    _add_configuration(metrics, clock, parts)
-    _add_requests(metrics, parts)
+    _add_configuration(metrics, clock, services)
+    _add_requests(metrics, services)
     _add_peer_traffic(metrics, traffic)
     if isinstance(platform, store_client.StorePlatform):
         _add_platform_calls(metrics, platform)
@@ -52,78 +52,78 @@
 def _add_configuration(
     metrics: metrics_module.Metrics,
     clock: clock_module.Clock,
-    parts: parts_module.Parts,
+    services: composition.EntryServices,
 ) -> None:
     """Add the version in force and the state of entries and targets."""
     age = _ConfigurationAge(clock)
-    parts.configuration.subscribe(lambda snapshot: age.reset())
+    services.configuration.subscribe(lambda snapshot: age.reset())
     metrics.add_gauge(
         'thornspool_configuration_version',
         'Version of the configuration in force here; 0 before the first.',
-        metrics_module.read_one(parts.configuration.version),
+        metrics_module.make_sample_reader(services.configuration.version),
     )
     metrics.add_gauge(
         'thornspool_configuration_age_seconds',
         'Time since it was applied here, or since the start before any.',
-        metrics_module.read_one(age.compute_age_s),
+        metrics_module.make_sample_reader(age.compute_age_s),
     )
     metrics.add_gauge(
         'thornspool_isolated',
         '1 while neither the platform nor any other entry answers.',
-        metrics_module.read_one(parts.is_isolated),
+        metrics_module.make_sample_reader(services.is_isolated),
     )
     metrics.add_gauge(
         'thornspool_ready',
         '1 while this entry takes new work.',
-        metrics_module.read_one(parts.is_ready),
+        metrics_module.make_sample_reader(services.is_ready),
     )
     metrics.add_gauge(
         'thornspool_members',
         'Entries by what this one believes of them, itself included.',
-        functools.partial(_count_members, parts),
+        functools.partial(_count_members, services),
     )
     metrics.add_gauge(
         'thornspool_targets',
         'Targets in force by whether they may be given new work.',
-        functools.partial(_count_targets, parts),
+        functools.partial(_count_targets, services),
     )
 
 
 def _add_requests(
-    metrics: metrics_module.Metrics, parts: parts_module.Parts
+    metrics: metrics_module.Metrics, services: composition.EntryServices
 ) -> None:
     """Add the requests in flight and the state of the quarantine."""
     metrics.add_gauge(
         'thornspool_requests_in_flight',
         'Requests of callers that have not got their whole answer.',
-        metrics_module.read_one(lambda: parts.drain.in_flight),
+        metrics_module.make_sample_reader(lambda: services.drain.in_flight),
     )
     metrics.add_gauge(
         'thornspool_group_in_flight_requests',
         'Requests in flight by the model or service that runs them.',
-        lambda: metrics_module.list_by(
+        lambda: metrics_module.list_samples_by_label(
             'group',
             {
                 name: group.in_flight
-                for name, group in parts.admission.groups.items()
+                for name, group in services.admission.groups.items()
             },
         ),
     )
     metrics.add_gauge(
         'thornspool_group_bound_requests',
         'Requests in flight past which more are refused for overload.',
-        lambda: metrics_module.list_by(
+        lambda: metrics_module.list_samples_by_label(
             'group',
             {
                 name: group.bound
-                for name, group in parts.admission.groups.items()
+                for name, group in services.admission.groups.items()
             },
         ),
     )
     metrics.add_gauge(
         'thornspool_attempts_open',
         'Attempts and records of actions that are not settled.',
-        metrics_module.read_one(lambda: parts.actions.open_count),
+        metrics_module.make_sample_reader(lambda: services.actions.open_count),
     )
     # The quarantine counts its verdicts as it returns them. Computing all
     # verdicts at each scrape would block the event loop, since each one
@@ -131,12 +131,16 @@
     metrics.add_counter(
         'thornspool_quarantine_verdicts_total',
         'Verdicts on whether requests may run.',
-        lambda: metrics_module.list_by('verdict', parts.quarantine.verdicts),
+        lambda: metrics_module.list_samples_by_label(
+            'verdict', services.quarantine.verdicts
+        ),
     )
     metrics.add_gauge(
         'thornspool_quarantine_records',
         'Requests that were in flight on a target that died.',
-        metrics_module.read_one(lambda: parts.quarantine.record_count),
+        metrics_module.make_sample_reader(
+            lambda: services.quarantine.record_count
+        ),
     )
 
 
@@ -157,7 +161,9 @@
     metrics.add_counter(
         'thornspool_peer_dropped_total',
         'Messages between entries that were dropped.',
-        lambda: metrics_module.list_by('reason', traffic.dropped),
+        lambda: metrics_module.list_samples_by_label(
+            'reason', traffic.dropped
+        ),
     )
 
 
@@ -168,12 +174,12 @@
     metrics.add_counter(
         'thornspool_platform_calls_total',
         'Calls that left for the platform.',
-        lambda: metrics_module.list_by('kind', platform.calls),
+        lambda: metrics_module.list_samples_by_label('kind', platform.calls),
     )
     metrics.add_counter(
         'thornspool_platform_errors_total',
         'Calls that failed, or that did not leave since it fails.',
-        lambda: metrics_module.list_by('kind', platform.errors),
+        lambda: metrics_module.list_samples_by_label('kind', platform.errors),
     )
 
 
@@ -192,32 +198,32 @@
 
 
 def _count_members(
-    parts: parts_module.Parts,
-) -> list[metrics_module.Reading]:
+    services: composition.EntryServices,
+) -> list[metrics_module.Sample]:
     return metrics_module.count_by_label(
         'state',
         [state.value for state in ports.MemberState],
-        [member.state.value for member in parts.members.list_members()],
+        [member.state.value for member in services.members.list_members()],
     )
 
 
 def _count_targets(
-    parts: parts_module.Parts,
-) -> list[metrics_module.Reading]:
+    services: composition.EntryServices,
+) -> list[metrics_module.Sample]:
     return metrics_module.count_by_label(
         'readiness',
         [readiness.value for readiness in target_messages.Readiness],
         [
-            parts.targets.read_readiness(name).value
-            for name in parts.configuration.snapshot().targets
+            services.targets.read_readiness(name).value
+            for name in services.configuration.snapshot().targets
         ],
     )
 
 
 def _list_traffic_samples(
     traffic: traffic_module.Traffic, unit: str
-) -> Iterator[metrics_module.Reading]:
+) -> Iterator[metrics_module.Sample]:
     for direction in ('sent', 'received'):
         for kind, count in getattr(traffic, direction).items():
             labels = {'direction': direction, 'kind': kind}
-            yield metrics_module.Reading(getattr(count, unit), labels)
+            yield metrics_module.Sample(getattr(count, unit), labels)
--- a/standins/kv_store.py
+++ b/standins/kv_store.py
@@ -94,7 +94,7 @@
 
     def loses_answer(self) -> bool:
         """Tell whether the answer to a write is lost."""
-        if self.faults.use('lose_writes'):
+        if self.faults.consume('lose_writes'):
             return True
         return self._random.random() < self.faults.lose_probability
 
@@ -206,7 +206,7 @@
         """Answer."""
         key = self.get_argument('key')
         item = self.store.items.get(key)
-        if self.store.faults.use('stale_reads'):
+        if self.store.faults.consume('stale_reads'):
             item = self.store.previous.get(key)
         if item is None:
             raise web.HTTPError(404)
@@ -284,9 +284,9 @@
             base64.b64decode(put['value'], validate=True)
             for put in body.get('puts', [])
         ]
-        if any(len(value) > memory.LARGEST_VALUE for value in values):
+        if any(len(value) > memory.MAX_VALUE_BYTES for value in values):
             raise web.HTTPError(413)
-        if self.store.faults.use('drop_writes'):
+        if self.store.faults.consume('drop_writes'):
             self.drop()
         late_ms = self._find_delay(guarded)
         if late_ms is None:
@@ -303,7 +303,7 @@
         """Find out how much later a write is carried out, if it is."""
         if guarded and self.store.list_lag_s:
             return self.store.list_lag_s * _MS_PER_S
-        if self.store.faults.use('late_writes'):
+        if self.store.faults.consume('late_writes'):
             return self.store.faults.late_ms
         return None
 
--- a/tests/adapters/callers/test_routes.py
+++ b/tests/adapters/callers/test_routes.py
@@ -102,7 +102,7 @@
 class RoutesTest(testing.AsyncHTTPTestCase):
     def get_app(self):
         self.requests = FakeRequests()
-        entries = membership.EntriesAnswer(
+        entries = membership.EntriesResponse(
             (membership.Entry('http://10.0.0.1:8000', 'a'),),
             10_000,
             ('http://10.0.0.9:8000',),
--- a/tests/adapters/operators/test_browsing.py
+++ b/tests/adapters/operators/test_browsing.py
@@ -290,9 +290,9 @@
                 )
                 self.assertEqual((), read.problems)
                 written = [
-                    files.write_document(document)
+                    files.serialize_document(document)
                     for document in read.documents
                 ]
-                again = files.read_documents(json.loads(json.dumps(written)))
+                again = files.parse_documents(json.loads(json.dumps(written)))
                 self.assertEqual(read.documents, again.documents)
                 self.assertEqual((), again.problems)
--- a/tests/adapters/operators/test_handlers.py
+++ b/tests/adapters/operators/test_handlers.py
@@ -86,7 +86,7 @@
         """Guards against a wrong outcome during an outage of the platform."""
         self.entry.faults.platform_up = False
         service = self.entry.service
-        timing = attrs.evolve(service._timing, decide=300)
+        timing = attrs.evolve(service._timing, decision_timeout_ms=300)
         service._timing = timing
         status, _, value = await self.publish()
         self.assertEqual(
--- a/tests/adapters/peers/test_kinds.py
+++ b/tests/adapters/peers/test_kinds.py
@@ -11,9 +11,9 @@
 from tests import builders as tests_builders
 from tests.adapters.peers import builders
 import thornspool
+from thornspool import composition
 from thornspool import entry
 from thornspool import metrics
-from thornspool import parts
 from thornspool.adapters.peers import kinds
 from thornspool.adapters.peers import node
 from thornspool.adapters.peers import registry
@@ -70,8 +70,8 @@
         )
         # An entry registers it only if its platform is a separate process.
         types.register(outages.PlatformBack)
-        entry_parts = parts.Parts(
-            parts.Outside(
+        services = composition.EntryServices(
+            composition.Dependencies(
                 clock,
                 random.Random(1),
                 memory.MemoryPlatform(clock),
@@ -80,6 +80,6 @@
                 metrics.Metrics(),
             )
         )
-        await entry_parts.close()
+        await services.close()
         self.assertIn('limits.DemandReport', types.kinds)
         self.assertEqual(set(), types.kinds - set(kinds.NUMBERS))
--- a/tests/adapters/peers/test_node.py
+++ b/tests/adapters/peers/test_node.py
@@ -62,7 +62,7 @@
     async def send_request(
         self, number: int, timeout_ms: int = TEST_TIMEOUT_MS
     ) -> object:
-        return await self.requester.ask(
+        return await self.requester.request(
             self.responder.address, builders.Request(number), timeout_ms
         )
 
@@ -91,7 +91,7 @@
     async def test_reply_carries_nested_parts(self) -> None:
         part = builders.Part('weights', b'\x00\xff')
         request = builders.Request(7, (part, builders.Part('more')))
-        reply = await self.requester.ask(
+        reply = await self.requester.request(
             self.responder.address, request, TEST_TIMEOUT_MS
         )
         self.assertEqual(builders.Reply(7, part), reply)
@@ -117,7 +117,7 @@
 
         self.responder.handle(builders.Request, record)
         for number in range(200):
-            self.requester.tell(
+            self.requester.send(
                 self.responder.address, builders.Request(number)
             )
         await wait_until(lambda: len(received) == 200)
@@ -125,7 +125,7 @@
 
     async def test_large_message_arrives_complete(self) -> None:
         part = builders.Part('large', bytes(range(256)) * 16 * 1024)
-        reply = await self.requester.ask(
+        reply = await self.requester.request(
             self.responder.address,
             builders.Request(1, (part,)),
             TEST_TIMEOUT_MS,
@@ -159,7 +159,7 @@
         self.assertEqual(public.address, hidden.address)
         self.assertNotEqual(public.address, bound)
         with self.assertRaises(application_exceptions.PeerUnreachable):
-            await hidden.ask(
+            await hidden.request(
                 self.responder.address, builders.Request(1), SHORT_TIMEOUT_MS
             )
         self.assertEqual(1, public.traffic.dropped['late reply'])
@@ -196,7 +196,9 @@
                     with self.assertRaisesRegex(
                         application_exceptions.PeerUnreachable, reason
                     ):
-                        await self.requester.ask(peer.address, message, 60_000)
+                        await self.requester.request(
+                            peer.address, message, 60_000
+                        )
 
     async def test_unresponsive_peer_results_in_a_timeout(self) -> None:
         """Guards against callers that wait forever.
@@ -212,7 +214,7 @@
                 self.subTest(address),
                 self.assertRaises(application_exceptions.PeerUnreachable),
             ):
-                await self.requester.ask(
+                await self.requester.request(
                     address, builders.Request(1), SHORT_TIMEOUT_MS
                 )
 
@@ -290,7 +292,7 @@
                 application_exceptions.PeerUnreachable, f'number {number}'
             ),
         ):
-            await self.requester.ask(
+            await self.requester.request(
                 self.responder.address, builders.Unregistered(1), 60_000
             )
 
@@ -351,7 +353,7 @@
         for _ in range(2):
             for number, responder in enumerate(responders):
                 responder.handle(builders.Request, reply_to)
-                reply = await requester.ask(
+                reply = await requester.request(
                     responder.address,
                     builders.Request(number),
                     TEST_TIMEOUT_MS,
@@ -368,7 +370,7 @@
         """
         await self.responder.stop()
         for number in range(links.SEND_BUFFER_MESSAGES + 10):
-            self.requester.tell(
+            self.requester.send(
                 self.responder.address, builders.Request(number)
             )
         self.assertEqual(10, self.requester.traffic.dropped['not sent'])
--- a/tests/adapters/store/test_contract.py
+++ b/tests/adapters/store/test_contract.py
@@ -66,7 +66,7 @@
 
 
 async def check_large(test: typing.Any, platform: typing.Any) -> None:
-    largest = b'x' * memory.LARGEST_VALUE
+    largest = b'x' * memory.MAX_VALUE_BYTES
     with test.assertRaises(exceptions.PlatformError):
         await platform.put('k', largest + b'x', 0)
     test.assertEqual(0, (await platform.get('k')).version)
--- a/tests/adapters/store/test_gate.py
+++ b/tests/adapters/store/test_gate.py
@@ -54,7 +54,7 @@
                 tested_gate.record_success(entries)
                 for _ in range(20):
                     tested_gate.record_failure(0)
-                delay_ms = tested_gate.read_backoff(0)
+                delay_ms = tested_gate.compute_backoff_ms(0)
                 self.assertIsNotNone(delay_ms)
                 self.assertLessEqual(entries * 1000 / (delay_ms or 1), 401)
                 self.assertLessEqual(delay_ms or 0, max(125, entries * 2.5))
@@ -78,7 +78,7 @@
         ledger page. With a lower rate limit, writes were delayed and callers
         received the error that the platform is unreachable.
         """
-        layout, limits = keys.Layout(), writer.Pace()
+        layout, limits = keys.Layout(), writer.WriteLimits()
         writes_per_s = layout.buckets * 1000 / limits.write_ms
         rate_limit = gate.GateSettings().calls_per_s
         self.assertGreaterEqual(rate_limit, 1.5 * writes_per_s)
--- a/tests/adapters/store/test_outages.py
+++ b/tests/adapters/store/test_outages.py
@@ -73,7 +73,7 @@
             lambda: None,
         )
 
-    def follow_outages(
+    def set_outage_callbacks(
         self,
         count_entries: typing.Any,
         on_outage: typing.Any,
@@ -85,8 +85,8 @@
             on_recovery,
         )
 
-    def read_backoff(self) -> int | None:
-        return self._gate.read_backoff(self._simulation.clock.now())
+    def compute_backoff_ms(self) -> int | None:
+        return self._gate.compute_backoff_ms(self._simulation.clock.now())
 
     def end_backoff(self) -> None:
         self._gate.end_backoff()
@@ -119,7 +119,7 @@
     def handle(self, message_type: type, handler: typing.Any) -> None:
         self._simulation.handlers[self._member.peer_address] = handler
 
-    def tell(self, address: str, message: typing.Any) -> None:
+    def send(self, address: str, message: typing.Any) -> None:
         handler = self._simulation.handlers[address]
         task = asyncio.ensure_future(handler('', message))
         self._simulation.tasks.append(task)
--- a/tests/adapters/targets/test_engines.py
+++ b/tests/adapters/targets/test_engines.py
@@ -22,7 +22,7 @@
     exceptions as generation_exceptions,
 )
 from thornspool.application.generation import messages as generation_messages
-from thornspool.domain.pipelines import questions
+from thornspool.domain.pipelines import report_requests
 from thornspool.domain.pipelines import routes
 
 
@@ -80,8 +80,8 @@
         """
         await self.generate()
         self.assertEqual(self.frames[-1].loads, [])
-        requested = questions.Tell(loads=True, hops=True)
-        await self.generate(attempt=1, tell=requested)
+        requested = report_requests.ReportRequest(loads=True, hops=True)
+        await self.generate(attempt=1, requested_reports=requested)
         self.assertEqual(self.frames[-1].loads[0].target, 'a-1')
 
     async def test_attachments_reach_the_engine(self):
@@ -130,13 +130,13 @@
         these were confused, an executed request would be reported as not
         run, or one that was not executed would use a retry.
         """
-        lost = exceptions.TargetAnswerLost
+        lost = exceptions.TargetResponseLost
         refused = generation_exceptions.EngineRefused
         cases = (
             ('leaving', {'leave': True}, {}, refused),
             ('slow', {'leave': False, 'slow': 500}, {'timeout_ms': 50}, lost),
             ('crashes', {'slow': 1, 'die_after': 3}, {}, lost),
-            ('exited', None, {}, exceptions.TargetNotReached),
+            ('exited', None, {}, exceptions.TargetUnreachable),
         )
         for name, orders, changes, error in cases:
             with self.subTest(name):
@@ -171,7 +171,7 @@
         A program at the address of the engine sends bytes without end.
         """
         limit = mock.patch.object(engines, 'MAX_STREAM_BYTES', 1_000)
-        with limit, self.assertRaises(exceptions.TargetAnswerLost):
+        with limit, self.assertRaises(exceptions.TargetResponseLost):
             await self.generate(max_tokens=500)
         self.assertLess(len(self.frames), 20)
 
--- a/tests/adapters/targets/test_services.py
+++ b/tests/adapters/targets/test_services.py
@@ -60,7 +60,7 @@
             with (
                 self.subTest(name),
                 opener() as url,
-                self.assertRaises(exceptions.TargetNotReached),
+                self.assertRaises(exceptions.TargetUnreachable),
             ):
                 await self.services.call(build_call(url))
 
@@ -82,7 +82,7 @@
         for name, reply in cases.items():
             with self.subTest(name):
                 async with broken.open_broken([reply, None]) as server:
-                    with self.assertRaises(exceptions.TargetAnswerLost):
+                    with self.assertRaises(exceptions.TargetResponseLost):
                         await self.services.call(build_call(server.url))
                     self.assertEqual(1, len(server.requests))
 
@@ -103,12 +103,14 @@
                 async with broken.open_broken([reply]) as server:
                     self.assertEqual(is_broken, await self.is_broken(server))
         with self.subTest('late'), broken.open_port(8) as url:
-            with self.assertRaises(exceptions.TargetAnswerLost) as caught:
+            with self.assertRaises(exceptions.TargetResponseLost) as caught:
                 await self.services.call(build_call(url))
-            self.assertIs(exceptions.TargetAnswerLost, type(caught.exception))
+            self.assertIs(
+                exceptions.TargetResponseLost, type(caught.exception)
+            )
 
     async def is_broken(self, server) -> bool:
-        with self.assertRaises(exceptions.TargetAnswerLost) as caught:
+        with self.assertRaises(exceptions.TargetResponseLost) as caught:
             await self.services.call(build_call(server.url))
         return isinstance(caught.exception, exceptions.TargetConnectionBroken)
 
@@ -123,7 +125,7 @@
             await self.services.call(build_call(server.url, key=''))
             with self.assertRaises(exceptions.TargetConnectionBroken):
                 await self.services.call(
-                    build_call(server.url, key='', alone=True)
+                    build_call(server.url, key='', runs_alone=True)
                 )
             self.assertEqual(2, len(server.requests))
 
@@ -139,7 +141,7 @@
 
         server = await asyncio.start_server(close, '127.0.0.1', 0)
         port = server.sockets[0].getsockname()[1]
-        with self.assertRaises(exceptions.TargetAnswerLost):
+        with self.assertRaises(exceptions.TargetResponseLost):
             await self.services.call(build_call(f'http://127.0.0.1:{port}'))
         server.close()
 
@@ -151,7 +153,7 @@
         """
         with (
             broken.open_port(8) as url,
-            self.assertRaises(exceptions.TargetAnswerLost),
+            self.assertRaises(exceptions.TargetResponseLost),
         ):
             await self.services.call(build_call(url))
 
@@ -164,7 +166,7 @@
         replies = [broken.DONE, None, broken.DONE]
         async with broken.open_broken(replies, close=False) as server:
             await self.services.call(build_call(server.url))
-            with self.assertRaises(exceptions.TargetAnswerLost):
+            with self.assertRaises(exceptions.TargetResponseLost):
                 await self.services.call(build_call(server.url))
             self.assertEqual(2, len(server.requests))
 
--- a/tests/adapters/test_servers.py
+++ b/tests/adapters/test_servers.py
@@ -84,7 +84,7 @@
         """
         head, _ = await self.read_response()
         self.assertNotIn('Connection: close', head)
-        self.listener.send_away()
+        self.listener.disable_keep_alive()
         self.send_request()
         head, size = await self.read_response()
         self.assertEqual(size, BODY_BYTES)
--- a/tests/adapters/test_transfers.py
+++ b/tests/adapters/test_transfers.py
@@ -89,7 +89,9 @@
             writer.write(b'0\r\n\r\n')
 
         await self.start(respond)
-        request = transfers.Request(self.peer.url, total_ms=300, pause_ms=300)
+        request = transfers.Request(
+            self.peer.url, timeout_ms=300, idle_timeout_ms=300
+        )
         response = await self.session.fetch(request)
         self.assertEqual(b'x' * 8, response.body)
 
@@ -108,10 +110,10 @@
 
                 await self.start(respond)
                 request = transfers.Request(
-                    self.peer.url, total_ms=200, pause_ms=200
+                    self.peer.url, timeout_ms=200, idle_timeout_ms=200
                 )
                 started_at = asyncio.get_running_loop().time()
-                with self.assertRaises(exceptions.AnswerLost):
+                with self.assertRaises(exceptions.ResponseLost):
                     await self.session.fetch(request)
                 duration = asyncio.get_running_loop().time() - started_at
                 self.assertLess(duration, 1.0)
@@ -132,7 +134,8 @@
         )
         await asyncio.wait_for(done.wait(), 5)
         self.assertEqual(
-            [(200, ('X-A', 'b')), b'ab', transfers.Ending.WHOLE], seen
+            [(200, ('X-A', 'b')), b'ab', transfers.TransferResult.COMPLETE],
+            seen,
         )
 
     async def test_request_is_not_resent_if_its_response_is_lost(self):
@@ -151,7 +154,7 @@
         await self.start(respond)
         request = transfers.Request(self.peer.url, 'POST', body=b'x')
         await self.session.fetch(request)
-        with self.assertRaises(exceptions.AnswerLost):
+        with self.assertRaises(exceptions.ResponseLost):
             await self.session.fetch(request)
         self.assertEqual(2, len(self.peer.requests))
 
@@ -162,7 +165,7 @@
             writer.close()
 
         await self.start(respond)
-        with self.assertRaises(exceptions.AnswerLost):
+        with self.assertRaises(exceptions.ResponseLost):
             await self.session.fetch(transfers.Request(self.peer.url))
 
     async def test_closed_port_raises_not_sent(self):
@@ -181,7 +184,7 @@
             writer.close()
 
         await self.start(respond)
-        with self.assertRaises(exceptions.AnswerLost):
+        with self.assertRaises(exceptions.ResponseLost):
             await self.session.fetch(transfers.Request(self.peer.url))
 
     async def test_cancellation_closes_the_connection(self):
--- a/tests/application/configuration_builders.py
+++ b/tests/application/configuration_builders.py
@@ -181,7 +181,7 @@
         self.handlers: dict[type, ports.Handler] = {}
         self.requests: list[typing.Any] = []
 
-    async def ask(
+    async def request(
         self, peer_address: str, message: typing.Any, timeout_ms: int
     ) -> typing.Any:
         self.requests.append(message)
@@ -204,7 +204,7 @@
             return attrs.evolve(reply, value=previous_bucket)
         return reply
 
-    def tell(self, peer_address: str, message: typing.Any) -> None:
+    def send(self, peer_address: str, message: typing.Any) -> None:
         raise NotImplementedError
 
     def handle(self, message_type: type, handler: ports.Handler) -> None:
@@ -296,7 +296,7 @@
 
     def _gossip_version(self, sender: Entry, receiver: Entry) -> None:
         version = sender.service.version()
-        receiver.service.hear_version(sender.address, version)
+        receiver.service.record_reported_version(sender.address, version)
         receiver.view.members[sender.member.incarnation] = attrs.evolve(
             sender.member, configuration_version=version
         )
--- a/tests/application/configuration_racing.py
+++ b/tests/application/configuration_racing.py
@@ -47,7 +47,7 @@
     """Treat each publication whose base is not the head as a conflict."""
     if contents.head.version == publication.base_version:
         return ()
-    return tuple(map(documents.identify, publication.additions))
+    return tuple(map(documents.build_key, publication.additions))
 
 
 async def _publish_often(entry: make.Entry, results: Results) -> None:
--- a/tests/application/crash_builders.py
+++ b/tests/application/crash_builders.py
@@ -15,10 +15,10 @@
 from tests.application import builders as application_builders
 from tests.application import fakes
 from thornspool import metrics
+from thornspool.application import admission_gate
 from thornspool.application import calls
 from thornspool.application import directory
 from thornspool.application import exceptions
-from thornspool.application import gates
 from thornspool.application import intake
 from thornspool.application import ports
 from thornspool.application import quarantine
@@ -58,7 +58,7 @@
     ----------
     crash_ms, latency_ms : int
         Time until a call crashes its target, and until it is answered.
-    breaking : int
+    connections_to_break : int
         Number of next calls that lose the connection to a live target.
     unreachable : bool
         Whether the host of a crashed target no longer answers either.
@@ -67,23 +67,23 @@
     def __init__(self) -> None:
         self.crash_ms = 3
         self.latency_ms = 5
-        self.breaking = 0
+        self.connections_to_break = 0
         self.unreachable = False
-        self.dead: list[str] = []
+        self.crashed: list[str] = []
         self.executions: collections.Counter[bytes] = collections.Counter()
         self.reached: collections.Counter[str] = collections.Counter()
         self.keys: collections.Counter[str] = collections.Counter()
         self._ends: dict[str, asyncio.Event] = {}
 
-    async def call(self, call: ports.ServiceCall) -> ports.ServiceAnswer:
+    async def call(self, call: ports.ServiceCall) -> ports.ServiceResponse:
         """Run a call; its connection breaks when the target crashes."""
-        if call.url in self.dead:
-            raise exceptions.TargetNotReached('Connection refused.')
+        if call.url in self.crashed:
+            raise exceptions.TargetUnreachable('Connection refused.')
         self.reached[call.url] += 1
         self.keys[call.key] += 1
         end = self._ends.setdefault(call.url, asyncio.Event())
-        if self.breaking:
-            self.breaking -= 1
+        if self.connections_to_break:
+            self.connections_to_break -= 1
             raise exceptions.TargetConnectionBroken('Connection reset.')
         crashes = MARKER in call.body
         delay = self.crash_ms if crashes else self.latency_ms
@@ -92,16 +92,18 @@
         except TimeoutError:
             if not crashes:
                 self.executions[call.body] += 1
-                return ports.ServiceAnswer(200, 'application/json', call.body)
+                return ports.ServiceResponse(
+                    200, 'application/json', call.body
+                )
             if not end.is_set():
-                self.dead.append(call.url)
+                self.crashed.append(call.url)
             end.set()
         raise exceptions.TargetConnectionBroken('Connection reset.')
 
     async def is_refusing(self, url: str) -> bool:
         """Return whether a probe of the target is refused."""
         await asyncio.sleep(0.001)
-        return url in self.dead and not self.unreachable
+        return url in self.crashed and not self.unreachable
 
 
 class CrashingEngines:
@@ -112,7 +114,7 @@
 
     def __init__(self) -> None:
         self.step_ms = 49
-        self.dead: list[str] = []
+        self.crashed: list[str] = []
         self.runs: collections.Counter[str] = collections.Counter()
         self.random = random.Random(5)
         self._ends: dict[str, asyncio.Event] = {}
@@ -122,8 +124,8 @@
     ) -> None:
         """Run an attempt until its first stage crashes or the step ends."""
         first = call.route.stages[0].target
-        if first in self.dead:
-            raise exceptions.TargetNotReached('Connection refused.')
+        if first in self.crashed:
+            raise exceptions.TargetUnreachable('Connection refused.')
         self.runs[call.request.prompt] += 1
         end = self._ends.setdefault(first, asyncio.Event())
         delay = self.random.uniform(0, self.step_ms)
@@ -134,9 +136,9 @@
                 deliver([_build_end(call)])
                 return
             if not end.is_set():
-                self.dead.append(first)
+                self.crashed.append(first)
             end.set()
-        raise exceptions.TargetAnswerLost('Connection reset.')
+        raise exceptions.TargetResponseLost('Connection reset.')
 
     async def cancel(self, *_: object) -> None:
         pass
@@ -154,7 +156,7 @@
 
     def read_readiness(self, target: str) -> messages.Readiness:
         failed = target in self._failed_at
-        if failed and f'http://{target}' not in self._services.dead:
+        if failed and f'http://{target}' not in self._services.crashed:
             # The next poll of a live target succeeds.
             waited = self._clock.now() - self._failed_at[target]
             failed = waited < FAILED_MS
@@ -164,7 +166,7 @@
     def read_load(self, target: str) -> None:
         return None
 
-    def note_failure(self, target: str, reason: typing.Any) -> None:
+    def record_failure(self, target: str, reason: typing.Any) -> None:
         self._failed_at[target] = self._clock.now()
 
 
@@ -222,7 +224,7 @@
         )
         view = fakes.FakeMembers(members)
         self.entries = [self._build_entry(one, view) for one in members]
-        self.clock.advance(quarantine.SETTLE_MS)
+        self.clock.advance(quarantine.OWNER_SETTLE_MS)
 
     def _build_entry(
         self, member: ports.Member, view: fakes.FakeMembers
@@ -234,11 +236,11 @@
             view, member.incarnation, peers, self.clock, rng.random
         )
         quarantine_service._refresh_view()
-        watched = service_trials.WatchedServices(
+        watched = service_trials.CrashDetectingServices(
             self.services,
             quarantine_service,
             self.services.is_refusing,
-            targets.note_failure,
+            targets.record_failure,
         )
         action_service = actions.ActionService(
             self.clock, self.platform, peers, watched, view, member, rng
@@ -250,7 +252,7 @@
             rng,
             lambda name: True,
             lambda name: None,
-            targets.note_failure,
+            targets.record_failure,
             quarantine_service,
         )
         runners = intake.Runners(
@@ -263,8 +265,8 @@
         intake_service = intake.Intake(
             self.clock,
             lambda: self.snapshot,
-            intake.Gates(
-                gates.Gatekeeper(
+            intake.AdmissionChecks(
+                admission_gate.AdmissionGate(
                     self.clock, _build_open(), quarantine_service
                 ).admit,
                 lambda: True,
@@ -296,17 +298,17 @@
             member.host, lambda: self.snapshot, targets, rng
         )
         hooks = generation_attempts.Hooks(
-            note_failure=targets.note_failure,
-            note_death=quarantine_service.note_death,
+            record_failure=targets.record_failure,
+            record_crash=quarantine_service.record_crash,
             trials=quarantine_service,
         )
         service = generation.GenerationService(
             self.clock, self.engines, planning, hooks
         )
-        quarantine_service.leave_with(service.leave_suspects)
+        quarantine_service.set_suspect_handler(service.abandon_suspects)
         return service
 
-    async def ask(
+    async def generate(
         self, entry: int, prompt: str
     ) -> generation_messages.GenerationEvent:
         """Request text generation and return the last event."""
@@ -316,7 +318,7 @@
         stream = self.entries[entry].generation.stream(request)
         return [event async for event in stream][-1]
 
-    def start(self) -> None:
+    def start_quarantine(self) -> None:
         """Run the quarantine exchange of all entries until the loop ends."""
         for entry in self.entries:
             task = asyncio.ensure_future(entry.quarantine.run())
@@ -328,13 +330,13 @@
         body: bytes = CRASHER,
         operation: str = 'status',
         key: str = '',
-        resent: bool = False,
+        is_resent: bool = False,
     ) -> results.ActionResult | requests.RequestRefused:
         """Send a call with a new key, or with the given one."""
         self.seed += 1
         key = key or builders.build_key(self.seed, self.clock.wall())
         request = requests.OperationRequest(
-            WORKSPACE, 'slots', operation, key, body, resent
+            WORKSPACE, 'slots', operation, key, body, is_resent
         )
         try:
             return await self.entries[entry].intake.run_operation(request)
--- a/tests/application/fakes.py
+++ b/tests/application/fakes.py
@@ -155,7 +155,7 @@
     ) -> None:
         self._handlers[message_type] = handler
 
-    async def ask(
+    async def request(
         self, peer_address: str, message: typing.Any, timeout_ms: int
     ) -> typing.Any:
         try:
@@ -165,7 +165,7 @@
         except TimeoutError:
             raise exceptions.PeerUnreachable('No reply in time.') from None
 
-    def tell(self, peer_address: str, message: typing.Any) -> None:
+    def send(self, peer_address: str, message: typing.Any) -> None:
         work = self._deliver(peer_address, message)
         self._send_tasks.append(asyncio.ensure_future(work))
 
@@ -206,22 +206,22 @@
         self.faults: dict[str, collections.deque[str]] = {}
         self.deduplicates = False
 
-    async def call(self, call: ports.ServiceCall) -> ports.ServiceAnswer:
+    async def call(self, call: ports.ServiceCall) -> ports.ServiceResponse:
         self.calls.append(call)
         faults = self.faults.get(call.url)
         fault = faults.popleft() if faults else ''
         if fault == 'refused':
-            raise exceptions.TargetNotReached('Connection refused.')
+            raise exceptions.TargetUnreachable('Connection refused.')
         if fault == 'lost-before':
-            raise exceptions.TargetAnswerLost('Connection reset.')
+            raise exceptions.TargetResponseLost('Connection reset.')
         if not (self.deduplicates and self.executions[call.key]):
             self.executions[call.key] += 1
         delay = self.slow_ms if fault == 'slow' else self.latency_ms
         await asyncio.sleep(delay / 1000)
         if fault == 'lost':
-            raise exceptions.TargetAnswerLost('Connection reset.')
+            raise exceptions.TargetResponseLost('Connection reset.')
         body = b'{"key": "%s"}' % call.key.encode()
-        return ports.ServiceAnswer(200, 'application/json', body)
+        return ports.ServiceResponse(200, 'application/json', body)
 
 
 class FakeMembers:
--- a/tests/application/fleet.py
+++ b/tests/application/fleet.py
@@ -18,10 +18,10 @@
         self.handlers: dict[str, dict[type, Handler]] = {}
         self.gone: set[str] = set()
         self.lose_replies = 0
-        self.lose_tells = 0
+        self.one_way_losses = 0
         self.queued: list[tuple[str, str, typing.Any]] = []
         self.failing: set[str] = set()
-        self.asked = 0
+        self.request_count = 0
 
     async def deliver(self) -> None:
         """Deliver the queued one-way messages in order."""
@@ -42,11 +42,11 @@
         handlers = self._network.handlers[self._member.peer_address]
         handlers[message_type] = handler
 
-    async def ask(
+    async def request(
         self, peer_address: str, message: typing.Any, timeout_ms: int
     ) -> typing.Any:
         network = self._network
-        network.asked += 1
+        network.request_count += 1
         if peer_address in network.gone:
             network.failing.add(self._member.incarnation)
             raise exceptions.PeerUnreachable('peer unreachable')
@@ -59,9 +59,9 @@
         network.failing.discard(self._member.incarnation)
         return reply
 
-    def tell(self, peer_address: str, message: typing.Any) -> None:
-        if self._network.lose_tells > 0:
-            self._network.lose_tells -= 1
+    def send(self, peer_address: str, message: typing.Any) -> None:
+        if self._network.one_way_losses > 0:
+            self._network.one_way_losses -= 1
             return
         sender = self._member.incarnation
         self._network.queued.append((sender, peer_address, message))
--- a/tests/application/test_admission.py
+++ b/tests/application/test_admission.py
@@ -21,7 +21,7 @@
 from thornspool.domain.limits import shares
 
 FAR = 10**9
-REQUEST = messages.Asked('m', 'm', 0, FAR)
+REQUEST = messages.RequestEstimate('m', 'm', 0, FAR)
 
 
 class Fleet:
@@ -54,7 +54,7 @@
         now = self.clock.now()
         for _ in range(count):
             answer = self.entries[entry].admit('w', REQUEST, now)
-            if isinstance(answer, messages.Refused):
+            if isinstance(answer, messages.Rejection):
                 continue
             self.admitted[entry] += 1
             self.tickets.append((entry, answer.ticket))
@@ -70,7 +70,7 @@
         self.clock.advance(admission.SHARE_INTERVAL_MS)
         for entry, member in zip(self.entries, self.members, strict=True):
             if member.peer_address not in self.network.gone:
-                await entry.share_demand(self.clock.now())
+                await entry.exchange_shares(self.clock.now())
         await self.network.deliver()
 
     async def run(self, offers: list[float], seconds: float) -> list[int]:
@@ -170,9 +170,9 @@
         subject = Fleet(1, documents.Limits())
         now = subject.clock.now()
         subject.entries[0].observe('m', 'm', 500, now)
-        request = messages.Asked('m', 'm', 0, now + 499)
+        request = messages.RequestEstimate('m', 'm', 0, now + 499)
         answer = subject.entries[0].admit('w', request, now)
-        assert isinstance(answer, messages.Refused)
+        assert isinstance(answer, messages.Rejection)
         self.assertIs(messages.Reason.DEADLINE, answer.reason)
         self.assertGreater(answer.retry_after_ms, 0)
 
@@ -194,7 +194,7 @@
         entry._configuration = lambda: documents.Snapshot(1, workspaces)
         seconds = 20
         line_count = 0
-        original_collect = entry._limiter.collect
+        original_collect = entry._limiter.collect_reports
 
         def count(now: int, max_lines: int) -> typing.Any:
             nonlocal line_count
@@ -202,7 +202,7 @@
             line_count += len(collected)
             return collected
 
-        entry._limiter.collect = count  # type: ignore[method-assign]
+        entry._limiter.collect_reports = count  # type: ignore[method-assign]
         for _ in range(seconds * 5):
             for name in workspaces:
                 entry.admit(name, REQUEST, subject.clock.now())
--- a/tests/application/test_gates.py
+++ b/tests/application/test_admission_gate.py
@@ -8,7 +8,7 @@
 import attrs
 
 from tests import builders
-from thornspool.application import gates
+from thornspool.application import admission_gate
 from thornspool.application import intake
 from thornspool.application import observation
 from thornspool.application import requests
@@ -17,7 +17,7 @@
 
 WORK = intake.WorkEstimate('swan-coast', 'drafter', 'f', 60_000, 40, 'drafter')
 TICKET = limits.Ticket(
-    'swan-coast', limits.Asked('drafter', 'drafter', 39, 60_000), 0
+    'swan-coast', limits.RequestEstimate('drafter', 'drafter', 39, 60_000), 0
 )
 
 # Reason of a refusal, and whether it is a limit of the workspace.
@@ -47,14 +47,14 @@
 )
 
 
-class GatekeeperTest(unittest.TestCase):
+class AdmissionGateTest(unittest.TestCase):
     def setUp(self) -> None:
         self.clock = builders.FakeClock()
         self.verdict = quarantine.Clear()
         self.result = limits.Admitted(TICKET)
         self.admitted_requests = []
         self.reset_records()
-        self.gatekeeper = gates.Gatekeeper(
+        self.gate = admission_gate.AdmissionGate(
             self.clock,
             self,
             types.SimpleNamespace(check=lambda fingerprint: self.verdict),
@@ -75,10 +75,12 @@
     def observe(self, group, kind, duration_ms, now) -> None:
         self.first_ms = duration_ms
 
-    def observe_rest(self, ticket, units, duration_ms, now) -> None:
+    def observe_following_tokens(
+        self, ticket, units, duration_ms, now
+    ) -> None:
         self.rest = (units, duration_ms)
 
-    def note_late(self, group, started, now) -> None:
+    def record_timeout(self, group, started, now) -> None:
         self.late = True
 
     def finish(self, ticket, tokens, now) -> None:
@@ -87,9 +89,9 @@
     def test_refusal_reasons_are_passed_on(self) -> None:
         for reason, exceeds_workspace_limit in REASONS:
             with self.subTest(reason=reason):
-                self.result = limits.Refused(reason, 350)
+                self.result = limits.Rejection(reason, 350)
                 with self.assertRaises(requests.RequestRefused) as caught:
-                    self.gatekeeper.admit(WORK)
+                    self.gate.admit(WORK)
                 self.assertEqual(350, caught.exception.retry_after_ms)
                 self.assertEqual(
                     exceeds_workspace_limit,
@@ -103,7 +105,7 @@
         """
         self.verdict = quarantine.Condemned(9_000)
         with self.assertRaises(requests.RequestRefused) as caught:
-            self.gatekeeper.admit(WORK)
+            self.gate.admit(WORK)
         self.assertEqual(9_000, caught.exception.retry_after_ms)
         self.assertEqual([], self.admitted_requests)
 
@@ -123,7 +125,7 @@
                 work = attrs.evolve(
                     WORK, tokens=tokens, deadline=started_at + 60_000
                 )
-                admitted = self.gatekeeper.admit(work)
+                admitted = self.gate.admit(work)
                 if first_token_ms is not None:
                     self.clock.advance(first_token_ms)
                     admitted.record_first_token()
@@ -136,8 +138,8 @@
 
     def test_kind_of_work_is_passed_on(self) -> None:
         work = attrs.evolve(WORK, group='slots', kind='slots/hold', tokens=0)
-        self.gatekeeper.admit(work)
+        self.gate.admit(work)
         self.assertEqual(
-            [limits.Asked('slots', 'slots/hold', 0, 60_000)],
+            [limits.RequestEstimate('slots', 'slots/hold', 0, 60_000)],
             self.admitted_requests,
         )
--- a/tests/application/test_calls.py
+++ b/tests/application/test_calls.py
@@ -16,10 +16,10 @@
 from thornspool.domain.configuration import documents
 from thornspool.domain.targets import messages
 
-REFUSED = exceptions.TargetNotReached('refused')
+REFUSED = exceptions.TargetUnreachable('refused')
 LEAVING = exceptions.TargetLeaving('leaving')
-LOST = exceptions.TargetAnswerLost('lost')
-RESPONSE = ports.ServiceAnswer(200, 'application/json', b'{}')
+LOST = exceptions.TargetResponseLost('lost')
+RESPONSE = ports.ServiceResponse(200, 'application/json', b'{}')
 
 # Result of each target, retries in the budget, whether the call succeeds,
 # the number of attempts, and whether a failed call may have run.
@@ -57,7 +57,7 @@
 class NewCalls(service_trials.NoTrials):
     """Treats every call as one that did not complete recently."""
 
-    def is_proven(self, fingerprint) -> bool:
+    def has_completed_recently(self, fingerprint) -> bool:
         return False
 
 
--- a/tests/application/test_configuration.py
+++ b/tests/application/test_configuration.py
@@ -158,7 +158,7 @@
             self.assertEqual([], _list_absent(cluster))
             if isinstance(result, publishing.Undecided):
                 self.assertEqual(
-                    heads.HEAD_KEY in entry.platform.writes, result.written
+                    heads.HEAD_KEY in entry.platform.writes, result.head_sent
                 )
 
         return scenario
--- a/tests/application/test_configuration_fuzzing.py
+++ b/tests/application/test_configuration_fuzzing.py
@@ -317,7 +317,7 @@
 
 def _is_rejected(result: configuration_results.PublishResult) -> bool:
     if isinstance(result, publishing.Undecided):
-        return not result.written
+        return not result.head_sent
     return not isinstance(result, configuration_results.Accepted)
 
 
@@ -325,7 +325,7 @@
     publication: publications.Publication,
 ) -> typing.Iterator[tuple[str, documents.Document | None]]:
     for document in publication.additions:
-        yield str(documents.identify(document)), document
+        yield str(documents.build_key(document)), document
     for key in publication.removals:
         yield str(key), None
 
@@ -356,7 +356,7 @@
         snapshot.targets,
     )
     found = [one for kind in kinds for one in kind.values()]
-    return {str(documents.identify(one)): one for one in found}
+    return {str(documents.build_key(one)): one for one in found}
 
 
 class ConfigurationFuzzing(unittest.TestCase):
--- a/tests/application/test_generation.py
+++ b/tests/application/test_generation.py
@@ -44,11 +44,11 @@
             return self.verdicts.pop(0)
         return super().check(fingerprint)
 
-    def start(self, fingerprint, target):
+    def record_start(self, fingerprint, target):
         self.calls.append(('start', target))
         return False
 
-    def finish(self, fingerprint, target, succeeded):
+    def record_end(self, fingerprint, target, succeeded):
         self.calls.append(('finish', target, succeeded))
 
 
@@ -86,10 +86,10 @@
         self.failures = []
         self.deaths = []
         hooks.setdefault(
-            'note_failure', lambda *failure: self.failures.append(failure)
+            'record_failure', lambda *failure: self.failures.append(failure)
         )
         hooks.setdefault(
-            'note_death', lambda *death: self.deaths.append(death)
+            'record_crash', lambda *death: self.deaths.append(death)
         )
         self.client = engines.CurlEngines(max_streams=32)
         self.addAsyncCleanup(self.client.close)
@@ -157,7 +157,7 @@
         for index in range(start, end):
             deliver([self.build_frame(call, index=index, token=f't{index}')])
         if call.attempt == 0:
-            raise exceptions.TargetAnswerLost('The stream broke.')
+            raise exceptions.TargetResponseLost('The stream broke.')
         deliver([self.build_frame(call, end=end)])
 
     async def cancel(self, *_):
@@ -187,7 +187,7 @@
         reasons = []
         service._context.hooks = attrs.evolve(
             service._context.hooks,
-            note_failure=lambda _, reason: reasons.append(reason),
+            record_failure=lambda _, reason: reasons.append(reason),
         )
         events = [
             event async for event in service.stream(self.build_request())
@@ -215,7 +215,9 @@
         service = self.build_service()
         service._context.engines = BacklogEngines(breaks_at=7)
         learned = []
-        self.planning.note_pace = lambda *arguments: learned.append(arguments)
+        self.planning.record_token_interval = lambda *arguments: (
+            learned.append(arguments)
+        )
         await self.check_whole_backlog(service, max_tokens=40)
         self.assertEqual(len(learned), 2)
         for route, pace, _ in learned:
@@ -287,7 +289,9 @@
         trials = RecordedTrials()
         service = self.build_service(
             trials=trials,
-            note_death=lambda *death: trials.calls.append(('death', death[0])),
+            record_crash=lambda *death: trials.calls.append(
+                ('death', death[0])
+            ),
         )
         await self.check_whole(service, self.build_request())
         self.assertEqual(
--- a/tests/application/test_generation_events.py
+++ b/tests/application/test_generation_events.py
@@ -72,7 +72,7 @@
                 self.assertEqual(build_tokens(0, 0), await get_task)
             last = self.clock.now()
             event = await self.queue.get(last + 400)
-            self.assertEqual(messages.TimePassed(), event)
+            self.assertEqual(messages.TimerExpired(), event)
             self.assertEqual(last + 400, self.clock.now())
 
         self.run_virtual(scenario())
@@ -91,7 +91,7 @@
             self.queue.put(build_tokens(0, 0))
             await get_task
             event = await self.queue.get(500)
-            self.assertEqual(messages.TimePassed(), event)
+            self.assertEqual(messages.TimerExpired(), event)
             self.assertEqual(500, self.clock.now())
 
         self.run_virtual(scenario())
--- a/tests/application/test_generation_planning.py
+++ b/tests/application/test_generation_planning.py
@@ -10,7 +10,7 @@
 from tests.domain.pipelines import builders
 from thornspool.application.generation import planning as generation_planning
 from thornspool.domain.pipelines import exceptions
-from thornspool.domain.pipelines import questions
+from thornspool.domain.pipelines import report_requests
 from thornspool.domain.targets import messages
 
 
@@ -31,7 +31,7 @@
         )
 
     def plan(self, planning, now=0, **changes):
-        request = generation_planning.Wish(
+        request = generation_planning.RouteRequest(
             self.snapshot.models['text'], 1, 10, **changes
         )
         return planning.plan(request, now).list_targets()[0]
@@ -94,7 +94,7 @@
             for number in range(6):
                 route = builders.build_route(f'a-{number}')
                 interval_ms = 100.0 if number == 3 else 10.0
-                planning.note_pace(route, interval_ms, 20_000)
+                planning.record_token_interval(route, interval_ms, 20_000)
             chosen[self.plan(planning, 20_000)] += 1
         self.assertEqual(chosen['a-3'], 0)
 
@@ -104,26 +104,28 @@
         At the design size this exceeded the budget for control messages.
         """
         planning = self.build_planning(
-            read_limits=lambda: questions.Limits(0.5, 2.0)
+            read_limits=lambda: report_requests.ReportLimits(0.5, 2.0)
         )
         route = builders.build_route('a-1', 'b-1')
         other = builders.build_route('a-3', 'b-3')
         fresh = builders.build_route('a-2', 'b-2')
-        check = functools.partial(self.check_tell, planning)
-        check(0, route, questions.Tell(loads=True, hops=True))
-        check(100, other, questions.NOTHING)
-        check(500, route, questions.NOTHING)
-        check(2_000, other, questions.Tell(loads=True))
-        check(5_000, route, questions.Tell(loads=True, hops=True))
-        planning.note_hops(route, [1.0], 6_000)
-        check(9_100, other, questions.Tell(loads=True))
+        check = functools.partial(self.check_reports, planning)
+        check(0, route, report_requests.ReportRequest(loads=True, hops=True))
+        check(100, other, report_requests.NO_REPORTS)
+        check(500, route, report_requests.NO_REPORTS)
+        check(2_000, other, report_requests.ReportRequest(loads=True))
+        check(
+            5_000, route, report_requests.ReportRequest(loads=True, hops=True)
+        )
+        planning.record_hops(route, [1.0], 6_000)
+        check(9_100, other, report_requests.ReportRequest(loads=True))
         for name in ('a-2', 'b-2'):
             self.view.loads[name] = builders.build_load(
                 name, received_at=29_999
             )
-        check(30_000, fresh, questions.Tell(hops=True))
-        check(32_000, route, questions.Tell(loads=True))
+        check(30_000, fresh, report_requests.ReportRequest(hops=True))
+        check(32_000, route, report_requests.ReportRequest(loads=True))
 
-    def check_tell(self, planning, now, route, tell):
+    def check_reports(self, planning, now, route, expected):
         with self.subTest(now):
-            self.assertEqual(planning.choose_tell(route, now), tell)
+            self.assertEqual(planning.choose_reports(route, now), expected)
--- a/tests/application/test_generation_trials.py
+++ b/tests/application/test_generation_trials.py
@@ -56,13 +56,13 @@
         ]
         for service in self.services:
             service._refresh_view()
-        self.clock.advance(quarantine.SETTLE_MS)
+        self.clock.advance(quarantine.OWNER_SETTLE_MS)
         patched = mock.patch.object(generation_trials, 'POLL_MS', 1)
         patched.start()
         self.addCleanup(patched.stop)
 
     async def kill(self, target, *fingerprints, entry=0):
-        self.services[entry].note_death(target, fingerprints)
+        self.services[entry].record_crash(target, fingerprints)
         await self.network.deliver()
 
     async def find(self, fingerprint, *choices, entry=0, wait_ms=WAIT_MS):
@@ -85,13 +85,13 @@
 
     def finish(self, fingerprint, route, succeeded, entry=0):
         for target in route.list_targets():
-            self.services[entry].finish(fingerprint, target, succeeded)
+            self.services[entry].record_end(fingerprint, target, succeeded)
 
     async def test_clear_request_sends_no_message(self, _):
         """Almost all requests are harmless; trials would slow them all."""
         route = await self.find('fresh', ('a', 'b'))
         self.assertEqual(route.list_targets(), ('a', 'b'))
-        self.assertEqual(self.network.asked, 0)
+        self.assertEqual(self.network.request_count, 0)
 
     async def test_two_suspects_never_share_a_stage(self, _):
         """Two requests were in flight when one of them crashed an engine.
@@ -148,19 +148,19 @@
         await self.kill('b', CRASHER)
         self.finish(CRASHER, route, succeeded=False)
         for entry in (0, 1):
-            with self.assertRaises(generation_trials.TimeSpent):
+            with self.assertRaises(generation_trials.DeadlineExceeded):
                 await self.find(CRASHER, ('c',), entry=entry, wait_ms=20)
-        self.clock.advance(records.GRACE_MS)
+        self.clock.advance(records.VERDICT_DELAY_MS)
         for entry in (0, 1):
             found = await self.find(CRASHER, ('c',), entry=entry)
-            self.assertIsInstance(found, generation_trials.Condemned)
+            self.assertIsInstance(found, generation_trials.QuarantinedRequest)
             self.assertGreater(found.retry_after_ms, 0)
 
     async def test_wait_ends_with_the_deadline(self, _):
         """Another suspect has reserved the only route for longer."""
         await self.kill('dead', CRASHER, INNOCENT)
         await self.find(CRASHER, ('a',))
-        with self.assertRaises(generation_trials.TimeSpent):
+        with self.assertRaises(generation_trials.DeadlineExceeded):
             await self.find(INNOCENT, ('a',), wait_ms=20)
 
     async def test_missing_route_fails_immediately(self, _):
@@ -187,19 +187,21 @@
         prompt = crash_builders.CRASHING_PROMPT
 
         async def work():
-            fleet.start()
+            fleet.start_quarantine()
             sends = []
             for number in range(entries):
-                sends.append(asyncio.ensure_future(fleet.ask(number, prompt)))
+                sends.append(
+                    asyncio.ensure_future(fleet.generate(number, prompt))
+                )
                 await asyncio.sleep(between / 1000)
             await asyncio.gather(*sends)
             for number in range(6):
                 await asyncio.sleep(1.5)
-                last = await fleet.ask(number % entries, prompt)
+                last = await fleet.generate(number % entries, prompt)
             self.assertIs(messages.Reason.CONDEMNED, last.reason)
 
         fakes.run(fleet.clock, work())
-        return len(fleet.engines.dead)
+        return len(fleet.engines.crashed)
 
     def test_prompt_through_many_entries_crashes_two_engines(self) -> None:
         """A prompt arrives at several entries before a crash is reported.
@@ -234,19 +236,19 @@
         If it ended the trial, the prompt would never complete.
         """
         fleet = crash_builders.CrashFleet(entries=2, targets=4)
-        update = records.QuarantineRecords('e').note_death(
+        update = records.QuarantineRecords('e').record_death(
             'slots-0', frozenset({FINGERPRINT}), frozenset(), 0
         )
 
         async def work():
             kept = fleet.entries[0].quarantine
-            await kept._take_news('e', update)
+            await kept._handle_update('e', update)
             sends = [
-                asyncio.ensure_future(fleet.ask(0, prompt))
+                asyncio.ensure_future(fleet.generate(0, prompt))
                 for prompt in (HARMLESS, 'other')
             ]
             await asyncio.sleep(0.01)
-            await kept._take_news('e', update)
+            await kept._handle_update('e', update)
             return await asyncio.gather(*sends)
 
         fleet.engines.step_ms = 500
--- a/tests/application/test_intake.py
+++ b/tests/application/test_intake.py
@@ -19,7 +19,7 @@
 from thornspool.domain.configuration import documents
 
 REFUSED = requests.RequestRefused('limit', 700)
-RESPONSE = ports.ServiceAnswer(200, 'application/json', b'{}')
+RESPONSE = ports.ServiceResponse(200, 'application/json', b'{}')
 SNAPSHOT = documents.Snapshot(
     1,
     workspaces={
@@ -113,7 +113,7 @@
         return intake.Intake(
             self.clock,
             lambda: SNAPSHOT,
-            intake.Gates(
+            intake.AdmissionChecks(
                 admit,
                 lambda: refusing_check != 'is_accepting',
                 lambda: refusing_check == 'is_isolated',
@@ -150,10 +150,14 @@
             self.clock.advance(delay_ms)
             yield event
 
-    def build_request(self, operation='hold', resent=False, **names):
+    def build_request(self, operation='hold', is_resent=False, **names):
         values = {'workspace': 'swan-coast', 'service': 'slots', **names}
         return requests.OperationRequest(
-            operation=operation, key='k', body=b'{}', resent=resent, **values
+            operation=operation,
+            key='k',
+            body=b'{}',
+            is_resent=is_resent,
+            **values,
         )
 
     async def test_refusals_run_nothing(self) -> None:
@@ -162,11 +166,13 @@
         A caller that resends its request to hold a slot must not receive
         "not run", which would make it book again under a new key.
         """
-        for check, operation, resent, expected in REFUSALS:
-            with self.subTest(check=check, operation=operation, resent=resent):
+        for check, operation, is_resent, expected in REFUSALS:
+            with self.subTest(
+                check=check, operation=operation, is_resent=is_resent
+            ):
                 intake_service = self.build(check)
                 running = intake_service.run_operation(
-                    self.build_request(operation, resent)
+                    self.build_request(operation, is_resent)
                 )
                 if expected == 'refused':
                     with self.assertRaises(requests.RequestRefused) as caught:
@@ -184,7 +190,9 @@
             await self.build('is_accepting').run_operation(
                 self.build_request()
             )
-        self.assertEqual(('http://10.0.0.2:8000',), caught.exception.instead)
+        self.assertEqual(
+            ('http://10.0.0.2:8000',), caught.exception.alternatives
+        )
 
     async def test_unknown_names_run_nothing(self) -> None:
         for workspace, service, operation, kind in UNKNOWN_NAMES:
--- a/tests/application/test_ledger_router.py
+++ b/tests/application/test_ledger_router.py
@@ -51,7 +51,7 @@
     def list_members(self) -> list[ports.Member]:
         return self._others
 
-    async def ask(
+    async def request(
         self, address: str, message: object, timeout_ms: int
     ) -> object:
         if isinstance(message, messages.ProposalQuery):
--- a/tests/application/test_membership.py
+++ b/tests/application/test_membership.py
@@ -53,7 +53,7 @@
     network: FakeNetwork
     member: ports.Member
 
-    def tell(self, peer_address: str, message: typing.Any) -> None:
+    def send(self, peer_address: str, message: typing.Any) -> None:
         self.network.queue.append(
             (self.member.incarnation, peer_address, message)
         )
--- a/tests/application/test_quarantine.py
+++ b/tests/application/test_quarantine.py
@@ -52,15 +52,15 @@
 
     async def start(self, entry: int, request: str, target: str) -> bool:
         service = self.entries[entry]
-        if not await service.may_run_on(request, target):
+        if not await service.reserve_run_on(request, target):
             return False
-        service.start(request, target)
+        service.record_start(request, target)
         self.running.append((entry, request, target))
         return True
 
     def finish(self, index: int, succeeded: bool = True) -> None:
         entry, request, target = self.running.pop(index)
-        self.entries[entry].finish(request, target, succeeded)
+        self.entries[entry].record_end(request, target, succeeded)
 
     def kill(self, target: str) -> None:
         """Report the death of a target to each entry that uses it."""
@@ -68,7 +68,7 @@
         affected = [one for one in self.running if one[2] == target]
         for entry in sorted({one[0] for one in affected}):
             requests = [one[1] for one in affected if one[0] == entry]
-            self.entries[entry].note_death(target, requests)
+            self.entries[entry].record_crash(target, requests)
         for one in affected:
             self.finish(self.running.index(one), succeeded=False)
 
@@ -87,7 +87,7 @@
         Without the quarantine it would crash all targets, one by one.
         """
         subject = Fleet()
-        subject.clock.advance(quarantine.SETTLE_MS)
+        subject.clock.advance(quarantine.OWNER_SETTLE_MS)
         await subject.start(0, CRASHER, 't1')
         await subject.start(1, 'innocent', 't1')
         subject.kill('t1')
@@ -100,7 +100,7 @@
         subject.kill('t2')
         self.assertFalse(await subject.start(1, CRASHER, 't3'))
         await subject.network.deliver()
-        subject.clock.advance(records.GRACE_MS)
+        subject.clock.advance(records.VERDICT_DELAY_MS)
         self.assertEqual({'Condemned'}, subject.check(CRASHER))
         self.assertFalse(await subject.start(2, CRASHER, 't3'))
         self.assertTrue(await subject.start(0, 'innocent', 't3'))
@@ -117,12 +117,12 @@
         request again.
         """
         subject = Fleet()
-        subject.clock.advance(quarantine.SETTLE_MS)
+        subject.clock.advance(quarantine.OWNER_SETTLE_MS)
         for target in ('t1', 't2'):
             await subject.start(0, CRASHER, target)
             subject.kill(target)
         await subject.network.deliver()
-        subject.clock.advance(records.GRACE_MS)
+        subject.clock.advance(records.VERDICT_DELAY_MS)
         fresh = subject.build_entry(builders.build_member('entry-9'))
         await fresh.fetch_initial_records()
         self.assertIsInstance(fresh.check(CRASHER), messages.Condemned)
@@ -132,7 +132,7 @@
     ) -> None:
         """The state update about a suspect is lost in transit."""
         subject = Fleet(2)
-        subject.network.lose_tells = 1
+        subject.network.one_way_losses = 1
         await subject.start(0, CRASHER, 't1')
         subject.kill('t1')
         self.assertEqual({'Suspect', 'Clear'}, subject.check(CRASHER))
@@ -148,15 +148,15 @@
         which would crash a third target.
         """
         subject = Fleet()
-        subject.clock.advance(quarantine.SETTLE_MS)
+        subject.clock.advance(quarantine.OWNER_SETTLE_MS)
         await subject.start(0, CRASHER, 't1')
         subject.kill('t1')
         await subject.network.deliver()
         await subject.start(1, CRASHER, 't2')
-        subject.network.lose_tells = 2
+        subject.network.one_way_losses = 2
         subject.kill('t2')
         await subject.network.deliver()
-        subject.clock.advance(records.GRACE_MS)
+        subject.clock.advance(records.VERDICT_DELAY_MS)
         for entry in range(3):
             self.assertFalse(await subject.start(entry, CRASHER, 't3'))
 
@@ -168,7 +168,7 @@
         Without a reservation, two suspects could run on one target.
         """
         subject = Fleet()
-        subject.clock.advance(quarantine.SETTLE_MS)
+        subject.clock.advance(quarantine.OWNER_SETTLE_MS)
         names = [one.incarnation for one in subject.members]
         request = next(
             f'r{number}'
@@ -186,9 +186,9 @@
 class RecordsTest(unittest.TestCase):
     def test_verdicts_expire(self) -> None:
         checked = records.QuarantineRecords('e')
-        checked.note_death('t', frozenset({'a', 'b'}), frozenset({'a'}), 0)
-        checked.note_death('u', frozenset({'c'}), frozenset(), 0)
-        now = records.GRACE_MS
+        checked.record_death('t', frozenset({'a', 'b'}), frozenset({'a'}), 0)
+        checked.record_death('u', frozenset({'c'}), frozenset(), 0)
+        now = records.VERDICT_DELAY_MS
         found = [type(checked.check(one, now)) for one in 'abc']
         wanted = [messages.Condemned, messages.Clear, messages.Suspect]
         self.assertEqual(wanted, found)
@@ -210,14 +210,14 @@
         """
         here = records.QuarantineRecords('e1')
         there = records.QuarantineRecords('e2')
-        here.note_death('t', frozenset({'a', 'b'}), frozenset(), 0)
-        here.note_death('u', frozenset({'a'}), frozenset({'a'}), 2000)
-        update = there.note_death('u', frozenset({'b'}), frozenset(), 2001)
+        here.record_death('t', frozenset({'a', 'b'}), frozenset(), 0)
+        here.record_death('u', frozenset({'a'}), frozenset({'a'}), 2000)
+        update = there.record_death('u', frozenset({'b'}), frozenset(), 2001)
         self.assertIsInstance(here.check('a', 2999), messages.Suspect)
         self.assertIsInstance(here.check('a', 3000), messages.Condemned)
         here.merge(update, 3001)
         self.assertIsInstance(here.check('a', 3002), messages.Suspect)
-        here.note_death('v', frozenset({'b'}), frozenset({'b'}), 4000)
+        here.record_death('v', frozenset({'b'}), frozenset({'b'}), 4000)
         self.assertIsInstance(here.check('b', 5000), messages.Condemned)
 
     def test_bounded_records_retain_condemned_requests(self) -> None:
@@ -228,10 +228,12 @@
         """
         checked = records.QuarantineRecords('e')
         bad = frozenset({'bad'})
-        checked.note_death('t', bad, bad, 0)
+        checked.record_death('t', bad, bad, 0)
         for number in range(records.MAX_RECORDS + 10):
-            checked.note_death('u', frozenset({f'r{number}'}), frozenset(), 1)
-        now = records.GRACE_MS
+            checked.record_death(
+                'u', frozenset({f'r{number}'}), frozenset(), 1
+            )
+        now = records.VERDICT_DELAY_MS
         update = checked.describe_latest(now, 10**6)
         self.assertEqual(records.MAX_RECORDS, len(update.records))
         self.assertIsInstance(checked.check('bad', now), messages.Condemned)
@@ -244,10 +246,10 @@
         """
         checked = records.QuarantineRecords('e')
         names = frozenset(f'a{one}' for one in range(records.MAX_RECORDS))
-        checked.note_death('t', names, frozenset(), 0)
+        checked.record_death('t', names, frozenset(), 0)
         other = records.QuarantineRecords('o')
         queue = frozenset(f'b{one}' for one in range(50))
-        update = other.note_death('u', queue, frozenset(), 1)
+        update = other.record_death('u', queue, frozenset(), 1)
         with mock.patch.object(
             checked, '_drop_expired', wraps=checked._drop_expired
         ) as search:
@@ -285,7 +287,7 @@
         self.logger_patch.start()
         self.loop = asyncio.new_event_loop()
         self.fleet = Fleet(2)
-        self.fleet.clock.advance(quarantine.SETTLE_MS)
+        self.fleet.clock.advance(quarantine.OWNER_SETTLE_MS)
         self.allowed_kills: int | None = None
         self.has_lost_updates = False
         self.placed: list[tuple[int, str, str, object | None]] = []
@@ -312,7 +314,7 @@
     def place(self, entry: int, request: str, on: str) -> None:
         """Place an action, which then waits for its grant."""
         service = self.fleet.entries[entry]
-        if self._run(service.may_run_on(request, on)):
+        if self._run(service.reserve_run_on(request, on)):
             trial = service.find_trial(request)
             self.placed.append((entry, request, on, trial))
 
@@ -324,11 +326,11 @@
         service = self.fleet.entries[entry]
         if granted and service.may_send(request, on):
             is_suspect = request == CRASHER and self.allowed_kills is not None
-            on_trial = service.start(request, on)
+            on_trial = service.record_start(request, on)
             assert on_trial or not is_suspect, 'sent after the update'
             self.fleet.running.append((entry, request, on))
         elif trial is not None:
-            service.give_up(request, trial)
+            service.abandon_trial(request, trial)
 
     @stateful.invariant()
     def no_trial_outlives_its_request(self) -> None:
@@ -376,7 +378,7 @@
 
     @stateful.rule(lost=strategies.integers(1, 3))
     def lose_updates(self, lost: int) -> None:
-        self.fleet.network.lose_tells += lost
+        self.fleet.network.one_way_losses += lost
         self.has_lost_updates = True
 
     @stateful.rule()
--- a/tests/application/test_service_fuzzing.py
+++ b/tests/application/test_service_fuzzing.py
@@ -61,11 +61,11 @@
         return result
 
     async def run(self, sends) -> None:
-        self.fleet.start()
+        self.fleet.start_quarantine()
         in_flight = []
         for wait_ms, entry, body, breaking, fault in sends:
             await asyncio.sleep(wait_ms / 1000)
-            self.fleet.services.breaking += breaking
+            self.fleet.services.connections_to_break += breaking
             if fault:
                 self.fleet.platform.faults.append(fault)
             work = asyncio.ensure_future(self.send(entry, body))
@@ -77,7 +77,7 @@
                 # at the entry that observed it.
                 self.max_crashed = ENTRIES + 1
         await asyncio.gather(*in_flight)
-        self.fleet.services.breaking = 0
+        self.fleet.services.connections_to_break = 0
         self.fleet.platform.faults.clear()
         await asyncio.sleep(SETTLING_S)
         self.check_harmless()
@@ -94,7 +94,7 @@
             result = await self.send(number % ENTRIES, crash_builders.CRASHER)
             await asyncio.sleep(SETTLING_S)
         assert isinstance(result, requests.RequestRefused), result
-        crashed = self.fleet.services.dead
+        crashed = self.fleet.services.crashed
         assert len(crashed) <= self.max_crashed, f'crashed targets: {crashed}'
         for number, body in enumerate(HARMLESS_BODIES):
             result = await self.send(number % ENTRIES, body)
--- a/tests/application/test_service_trials.py
+++ b/tests/application/test_service_trials.py
@@ -23,7 +23,7 @@
     fleet, operation, body=crash_builders.CRASHER, pause_s=SETTLING_S
 ):
     """Send a body repeatedly through all entries; return the results."""
-    fleet.start()
+    fleet.start_quarantine()
     received = []
     for number in range(SEND_COUNT):
         entry = number % len(fleet.entries)
@@ -50,7 +50,7 @@
                         fleet.clock,
                         send_again(fleet, operation, pause_s=pause_s),
                     )
-                    self.assertEqual(2, len(fleet.services.dead))
+                    self.assertEqual(2, len(fleet.services.crashed))
                     self.check_refused(fleet, received[-1], operation)
 
     def check_refused(self, fleet, result, operation):
@@ -82,7 +82,7 @@
                 fleet.network.latency_ms = latency_ms
                 work = self.send_simultaneously(fleet, operation, interval_ms)
                 fakes.run(fleet.clock, work)
-                self.assertLessEqual(len(fleet.services.dead), 2)
+                self.assertLessEqual(len(fleet.services.crashed), 2)
 
     def test_simultaneous_sends_through_one_entry_cost_two_targets(
         self,
@@ -106,7 +106,7 @@
                     await send_again(fleet, operation)
 
                 fakes.run(fleet.clock, work())
-                self.assertEqual(2, len(fleet.services.dead))
+                self.assertEqual(2, len(fleet.services.crashed))
 
     def test_lost_response_before_a_crash_costs_no_more_targets(self) -> None:
         """Of two simultaneous reads, one loses its response, one its target.
@@ -115,9 +115,9 @@
         before the update on the crash that the second one caused.
         """
         fleet = crash_builders.CrashFleet(entries=2)
-        fleet.services.breaking = 1
+        fleet.services.connections_to_break = 1
         fakes.run(fleet.clock, self.send_simultaneously(fleet, 'status', 0))
-        self.assertEqual(2, len(fleet.services.dead))
+        self.assertEqual(2, len(fleet.services.crashed))
 
     async def send_simultaneously(self, fleet, operation, interval_ms):
         sent = []
@@ -143,7 +143,7 @@
             ]
             await asyncio.sleep(SETTLING_S)
             received.append(
-                await fleet.send(1, operation='hold', key=KEY, resent=True)
+                await fleet.send(1, operation='hold', key=KEY, is_resent=True)
             )
             received.append(await fleet.send(1, operation='hold'))
             return received
@@ -152,7 +152,7 @@
         for item in unknown:
             self.assertIsInstance(item, results.ActionUnknown)
         self.assertIsInstance(refused, requests.RequestRefused)
-        self.assertEqual(2, len(fleet.services.dead))
+        self.assertEqual(2, len(fleet.services.crashed))
 
     def test_failures_without_a_crash_condemn_nothing(self) -> None:
         """Responses are lost repeatedly, but no target crashes.
@@ -165,7 +165,7 @@
             for operation in ('status', 'hold', 'pay'):
                 with self.subTest(name, operation=operation):
                     fleet = crash_builders.CrashFleet()
-                    fleet.services.breaking = 6 * (not unreachable)
+                    fleet.services.connections_to_break = 6 * (not unreachable)
                     fleet.services.unreachable = unreachable
                     body = HARMLESS
                     if unreachable:
@@ -186,7 +186,7 @@
                 served = fakes.run(
                     fleet.clock, self.share(fleet, operation, bodies)
                 )
-                self.assertLessEqual(len(fleet.services.dead), 2)
+                self.assertLessEqual(len(fleet.services.crashed), 2)
                 for body, done in zip(bodies, served, strict=True):
                     self.assertTrue(done, body)
                     self.assertEqual({'Clear'}, fleet.check(body, operation))
@@ -227,7 +227,7 @@
             return await asyncio.gather(first, fleet.send(1, operation='hold'))
 
         first, second = fakes.run(fleet.clock, work())
-        self.assertEqual(1, len(fleet.services.dead))
+        self.assertEqual(1, len(fleet.services.crashed))
         self.assertIsInstance(first, results.ActionUnknown)
         self.assertIsInstance(second, results.ActionNotRun)
 
@@ -250,7 +250,7 @@
         self.assertIsInstance(result, results.ActionNotRun)
         for entry in fleet.entries:
             self.assertEqual({}, entry.quarantine._trials)
-            self.assertEqual({}, entry.quarantine._reservations._kept)
+            self.assertEqual({}, entry.quarantine._reservations._by_name)
 
     def test_key_with_a_final_result_waits_for_no_trial(self) -> None:
         """A suspect's key is sent again while the suspect is on trial.
@@ -274,7 +274,7 @@
 
         for result in fakes.run(fleet.clock, work()):
             self.assertIsInstance(result, results.ActionUnknown)
-        self.assertEqual(1, len(fleet.services.dead))
+        self.assertEqual(1, len(fleet.services.crashed))
 
     def test_find_target_raises_without_a_target(self) -> None:
         async def work():
--- a/tests/application/test_targets.py
+++ b/tests/application/test_targets.py
@@ -78,7 +78,7 @@
     def handle(self, message_type: type, handler: ports.Handler) -> None:
         self.handlers[message_type] = handler
 
-    def tell(self, address: str, message: typing.Any) -> None:
+    def send(self, address: str, message: typing.Any) -> None:
         if address in self.fleet.entries and not self.fleet.is_lossy:
             self.fleet.entries[address].inbox.append(message)
 
@@ -130,11 +130,11 @@
 
     def list_leaving(self) -> None:
         host = build_host(ports.HostState.LEAVING)
-        self.entries[0].service.hear_hosts((host,))
+        self.entries[0].service.apply_host_list((host,))
 
     def list_ready(self) -> None:
         host = build_host(ports.HostState.LIVE)
-        self.entries[0].service.hear_hosts((host,))
+        self.entries[0].service.apply_host_list((host,))
 
     def publish_leaving(self) -> None:
         self.fleet.change_target('engine-0', leaving=True)
@@ -193,7 +193,7 @@
     ) -> None:
         self.report_leaving()
         service = self.entries[0].service
-        service.hear_load(
+        service.apply_load_report(
             messages.LoadReport('engine-0', 0, Readiness.LEAVING, running=3)
         )
         self.assertIs(Readiness.LEAVING, service.read_readiness('engine-0'))
@@ -218,15 +218,15 @@
         The target must get no work meanwhile, and must not stay idle
         afterwards.
         """
-        lost = exceptions.TargetAnswerLost('No answer.')
-        refused = exceptions.TargetNotReached('Refused.')
+        lost = exceptions.TargetResponseLost('No answer.')
+        refused = exceptions.TargetUnreachable('Refused.')
         for error in (lost, refused):
             for is_lossy in (False, True):
                 with self.subTest(error=error, is_lossy=is_lossy):
                     self.fleet.is_lossy = is_lossy
                     self.fleet.errors['engine-0'] = error
                     for entry in self.entries:
-                        entry.service.note_failure('engine-0', 'it broke')
+                        entry.service.record_failure('engine-0', 'it broke')
                     for _ in range(60):
                         await self.run_for(targets.TICK_INTERVAL_MS)
                         self.assertEqual({Readiness.UNREACHABLE}, self.read())
@@ -239,7 +239,7 @@
 
         If the target were excluded, the load of the others would increase.
         """
-        lost = exceptions.TargetAnswerLost('No answer.')
+        lost = exceptions.TargetResponseLost('No answer.')
         self.fleet.errors['engine-0'] = lost
         service = self.entries[0].service
         await service.poll('engine-0')
@@ -261,11 +261,11 @@
                 self.fleet.polls = 0
                 if is_unresponsive:
                     self.fleet.clock.advance(targets.PROBE_TTL_MS)
-                    lost = exceptions.TargetAnswerLost('timeout')
+                    lost = exceptions.TargetResponseLost('timeout')
                     self.fleet.errors['engine-0'] = lost
                 for _ in range(2):
                     responded = await asyncio.gather(
-                        *(service.is_answering('engine-0') for _ in range(9))
+                        *(service.is_responsive('engine-0') for _ in range(9))
                     )
                     self.assertEqual({not is_unresponsive}, set(responded))
                 self.assertEqual(2 if is_unresponsive else 1, self.fleet.polls)
@@ -279,11 +279,11 @@
         self.fleet = FakeFleet(builders.FakeClock(), count=40)
         self.entries = [Entry(self.fleet, i) for i in range(5)]
         await self.run_for(1000)
-        refused = exceptions.TargetNotReached('Refused.')
+        refused = exceptions.TargetUnreachable('Refused.')
         self.fleet.errors = dict.fromkeys(self.fleet.snapshot.targets, refused)
         for entry in self.entries:
             for target in self.fleet.snapshot.targets:
-                entry.service.note_failure(target, 'it broke')
+                entry.service.record_failure(target, 'it broke')
         await self.run_for(3000)
         self.fleet.polls = 0
         await self.run_for(30_000)
@@ -305,5 +305,7 @@
         await self.run_for(1000)
         self.assertEqual({Readiness.LEAVING}, self.read())
         service = self.entries[0].service
-        service.hear_load(messages.LoadReport('engine-0', 0, Readiness.READY))
+        service.apply_load_report(
+            messages.LoadReport('engine-0', 0, Readiness.READY)
+        )
         self.assertIsNone(service.read_load('engine-0'))
--- a/tests/application/test_timed_services.py
+++ b/tests/application/test_timed_services.py
@@ -9,7 +9,7 @@
 from thornspool.application import ports
 from thornspool.application import timed_services
 
-RESPONSE = ports.ServiceAnswer(200, 'application/json', b'{}')
+RESPONSE = ports.ServiceResponse(200, 'application/json', b'{}')
 CALL = ports.ServiceCall(
     'http://127.0.0.1:1', 'slots', 'hold', 'w', 'k', 1, b'{}', 900
 )
@@ -18,9 +18,9 @@
 # responses and the expected recorded timeouts.
 CASES = (
     (None, 300, [('slots', 'slots/hold', 300, 300)], []),
-    (exceptions.TargetNotReached('x'), 2, [], []),
-    (exceptions.TargetAnswerLost('x'), 300, [], []),
-    (exceptions.TargetAnswerLost('x'), 900, [], [('slots', 0, 900)]),
+    (exceptions.TargetUnreachable('x'), 2, [], []),
+    (exceptions.TargetResponseLost('x'), 300, [], []),
+    (exceptions.TargetResponseLost('x'), 900, [], [('slots', 0, 900)]),
 )
 
 
--- a/tests/domain/actions/simulation.py
+++ b/tests/domain/actions/simulation.py
@@ -278,7 +278,7 @@
         self, entry: Entry, slot: int, event: writer.WriterEvent
     ) -> None:
         if slot not in entry.writers:
-            entry.writers[slot] = writer.PageWriter(slot, writer.Pace())
+            entry.writers[slot] = writer.PageWriter(slot, writer.WriteLimits())
         for command in entry.writers[slot].handle(event, self.now):
             if isinstance(command, writer.Reply):
                 entry.replies.pop(command.number)(command.verdict)
@@ -344,9 +344,9 @@
         key = self.key_of[attempt]
 
         def act(mode: str) -> None:
-            event: events.RunnerEvent = events.TargetAnswerLost(attempt)
+            event: events.RunnerEvent = events.TargetResponseLost(attempt)
             if mode == 'drop':
-                event = events.TargetNotReached(attempt)
+                event = events.TargetUnreachable(attempt)
             elif mode == 'late':
                 self.maybe_lost.add(key)
             else:
--- a/tests/domain/actions/test_runner.py
+++ b/tests/domain/actions/test_runner.py
@@ -46,7 +46,7 @@
                 subject = build_runner()
                 result = find_result(subject.handle(event, now))
                 self.assertIsInstance(result, results.ActionNotRun)
-                for late in (GIVEN, events.TargetAnswerLost('a1'), GIVEN):
+                for late in (GIVEN, events.TargetResponseLost('a1'), GIVEN):
                     self.assertEqual([], subject.handle(late, now))
                 report = subject.report('a1')
                 self.assertIs(messages.AttemptState.VOID, report.state)
@@ -68,8 +68,8 @@
 
     def test_results_of_target_failures(self) -> None:
         """Targets refuse connections, or their answers are lost, in order."""
-        unreached = events.TargetNotReached('a1')
-        lost = events.TargetAnswerLost('a1')
+        unreached = events.TargetUnreachable('a1')
+        lost = events.TargetResponseLost('a1')
         table = {
             'unreached': (False, [unreached, unreached], results.ActionNotRun),
             'lost': (False, [lost], results.ActionUnknown),
@@ -162,12 +162,12 @@
 
         The first call may have run, so "not run" would be wrong.
         """
-        subject = build_runner(resent=True)
+        subject = build_runner(is_resent=True)
         down = messages.LedgerUnavailable('a1', 200, False)
         result = find_result(
             subject.handle(events.VerdictReceived('a1', down), 1)
         )
         self.assertIsInstance(result, results.ActionUnknown)
-        late = builders.build_requested('a2', resent=True, deadline=0)
+        late = builders.build_requested('a2', is_resent=True, deadline=0)
         result = find_result(subject.request(late, 1))
         self.assertIsInstance(result, results.ActionUnknown)
--- a/tests/domain/actions/test_writer.py
+++ b/tests/domain/actions/test_writer.py
@@ -13,7 +13,7 @@
 
 
 def build_writer() -> writer.PageWriter:
-    return writer.PageWriter(4, writer.Pace())
+    return writer.PageWriter(4, writer.WriteLimits())
 
 
 def receive(
--- a/tests/domain/configuration/test_files.py
+++ b/tests/domain/configuration/test_files.py
@@ -17,7 +17,7 @@
 }
 
 
-def _collect(*values: object) -> files.Collection:
+def _collect(*values: object) -> files.CollectedDocuments:
     return files.collect_documents(
         files.SourceFile(f'{index}.json', json.dumps(value))
         for index, value in enumerate(values)
--- a/tests/domain/configuration/test_publications.py
+++ b/tests/domain/configuration/test_publications.py
@@ -35,7 +35,7 @@
     base: int,
     *additions: documents.Document,
     removals: tuple[documents.DocumentKey, ...] = (),
-) -> publications.Planned:
+) -> publications.PlanResult:
     publication = publications.Publication(
         f'p{contents.head.version}-{base}', 'alice', base, additions, removals
     )
@@ -142,7 +142,7 @@
         )
         model = documents.Model('m', '1', 4, (documents.Stage('e', 0, 4),))
         with_model = _accept(contents_module.Contents(), target, model)
-        key = documents.identify(model)
+        key = documents.build_key(model)
         without = _accept(with_model, removals=(key,))
         user = documents.Workspace('a', ('m',))
         in_use = _accept(with_model, user)
--- a/tests/domain/configuration/test_publishing.py
+++ b/tests/domain/configuration/test_publishing.py
@@ -78,7 +78,7 @@
                 )
                 self.assertEqual(command, next_command)
                 self.assertEqual(
-                    head_sent, publishing.expire(after, '').written
+                    head_sent, publishing.expire(after, '').head_sent
                 )
 
     def test_lost_write_is_replanned_on_later_head(self) -> None:
@@ -91,7 +91,7 @@
         assert isinstance(command, publishing.WriteBuckets)
         assert after.attempt is not None
         self.assertEqual(2, after.attempt.plan.head.version)
-        self.assertFalse(publishing.expire(after, '').written)
+        self.assertFalse(publishing.expire(after, '').head_sent)
         lost_attempt = progress.attempt
         assert lost_attempt is not None
         self.assertEqual(tuple(lost_attempt.plan.values), after.garbage)
@@ -112,14 +112,14 @@
         _, command = publishing.decide(progress, _read(contents))
         assert isinstance(command, publishing.Finish)
         assert isinstance(command.outcome, publishing.Undecided)
-        self.assertTrue(command.outcome.written)
+        self.assertTrue(command.outcome.head_sent)
 
     def test_failed_step_causes_delayed_read(self) -> None:
         """The platform does not respond, or returns an old head."""
         progress = publishing.Progress(PUBLICATION)
         after, command = publishing.decide(progress, publishing.StepFailed())
         self.assertEqual(publishing.ReadHead(delayed=True), command)
-        self.assertFalse(publishing.expire(after, '').written)
+        self.assertFalse(publishing.expire(after, '').head_sent)
 
     def test_base_later_than_head_causes_delayed_read(self) -> None:
         """The platform returns a head that is older than the base version."""
--- a/tests/domain/configuration/test_rules.py
+++ b/tests/domain/configuration/test_rules.py
@@ -27,7 +27,7 @@
         kind: {} for kind in documents.DocumentKind
     }
     for one in (ENGINE, BOOKING, SERVICE, MODEL, ALPHA, *changed):
-        by_kind[documents.identify(one).kind][one.name] = one
+        by_kind[documents.build_key(one).kind][one.name] = one
     snapshot = documents.Snapshot(
         1, *(by_kind[kind] for kind in documents.DocumentKind)
     )
--- a/tests/domain/configuration/test_storage.py
+++ b/tests/domain/configuration/test_storage.py
@@ -31,7 +31,7 @@
             documents.DocumentKind.TARGET, 'gone'
         )
         bucket = {
-            documents.identify(workspace): storage.StoredDocument(
+            documents.build_key(workspace): storage.StoredDocument(
                 4, workspace
             ),
             removed_key: storage.StoredDocument(3, None),
@@ -45,7 +45,7 @@
         expected, other = (
             storage.encode_bucket(
                 {
-                    documents.identify(one): storage.StoredDocument(1, one),
+                    documents.build_key(one): storage.StoredDocument(1, one),
                 }
             )
             for one in map(make.build_workspace, ('alpha', 'beta'))
--- a/tests/domain/limits/test_buckets.py
+++ b/tests/domain/limits/test_buckets.py
@@ -10,7 +10,7 @@
 class TokenBucketTest(unittest.TestCase):
     def test_tokens_are_limited_to_the_rate_after_the_burst(self) -> None:
         bucket = buckets.build_bucket(10.0, 5.0, 0)
-        taken = [bucket.take(1.0, now) for now in range(0, 1000, 10)]
+        taken = [bucket.try_acquire(1.0, now) for now in range(0, 1000, 10)]
         self.assertEqual(5 + 9, sum(taken))
         self.assertEqual(10, bucket.compute_wait(1.0, 990))
 
@@ -20,10 +20,10 @@
         Tokens would be added twice for the same interval.
         """
         bucket = buckets.build_bucket(10.0, 5.0, 1000)
-        self.assertTrue(bucket.take(5.0, 1000))
-        self.assertFalse(bucket.take(1.0, 0))
-        self.assertFalse(bucket.take(1.0, 1099))
-        self.assertTrue(bucket.take(1.0, 1100))
+        self.assertTrue(bucket.try_acquire(5.0, 1000))
+        self.assertFalse(bucket.try_acquire(1.0, 0))
+        self.assertFalse(bucket.try_acquire(1.0, 1099))
+        self.assertTrue(bucket.try_acquire(1.0, 1100))
 
     def test_reservation_succeeds_within_the_maximum_wait(self) -> None:
         bucket = buckets.build_bucket(10.0, 1.0, 0)
--- a/tests/domain/limits/test_concurrency.py
+++ b/tests/domain/limits/test_concurrency.py
@@ -15,7 +15,7 @@
 
 
 def build_request(deadline=FAR_DEADLINE_MS, units=0):
-    return messages.Asked('service', KIND, units, deadline)
+    return messages.RequestEstimate('service', KIND, units, deadline)
 
 
 def run_requests(group, durations_ms, now=0):
@@ -23,7 +23,7 @@
     for duration_ms in durations_ms:
         group.admit(build_request(), now)
         now += duration_ms
-        group.observe(KIND, duration_ms, now)
+        group.observe_answer(KIND, duration_ms, now)
         group.release()
     return now
 
@@ -79,10 +79,10 @@
         group.in_flight = int(group.limit)
         for _ in range(60):
             now += 100
-            group.observe(KIND, 900, now)
+            group.observe_answer(KIND, 900, now)
         group.in_flight = int(group.limit) - 1
         refused = group.admit(build_request(now + 200), now)
-        self.assertIsInstance(refused, messages.Refused)
+        self.assertIsInstance(refused, messages.Rejection)
         group.in_flight = 0
         self.assertIsNone(group.admit(build_request(now + 200), now))
 
@@ -93,7 +93,7 @@
         """
         group = concurrency.GroupLimit(limit=100.0, in_flight=100)
         for _ in range(100):
-            group.note_late(0, 500)
+            group.record_timeout(0, 500)
         self.assertEqual(90.0, group.limit)
 
     def test_variation_of_short_calls_is_no_overload(self) -> None:
@@ -111,7 +111,7 @@
             duration_ms = 4 if number % 60 < 30 else 20
             now += duration_ms
             for _ in range(3):
-                group.observe(KIND, duration_ms, now)
+                group.observe_answer(KIND, duration_ms, now)
                 group.release()
         self.assertGreaterEqual(group.limit, 16)
 
@@ -134,7 +134,7 @@
         Refusing requests would not shorten the answers.
         """
         group = concurrency.GroupLimit()
-        group.hear_capacity(messages.Capacity(64.0), 4, 0)
+        group.apply_capacity(messages.Capacity(64.0), 4, 0)
         now = run_requests(group, [100] * 50)
         now = run_requests(group, [900] * 200, now)
         admitted = [group.admit(build_request(), now) for _ in range(17)]
@@ -148,13 +148,13 @@
         When its answers are in time again, the full share is restored.
         """
         group = concurrency.GroupLimit()
-        group.hear_capacity(messages.Capacity(64.0), 1, 0)
+        group.apply_capacity(messages.Capacity(64.0), 1, 0)
         for now in range(1000, 31_000, 1000):
-            group.note_late(now - 900, now)
+            group.record_timeout(now - 900, now)
         self.assertLessEqual(group.bound, 2)
         for now in range(31_000, 431_000, 100):
             group.in_flight = group.bound
-            group.observe(KIND, 100, now)
+            group.observe_answer(KIND, 100, now)
         self.assertGreaterEqual(group.bound, 64)
 
     def test_initial_bound_is_small_for_groups_that_report(self) -> None:
@@ -163,7 +163,7 @@
         With a bound of 16 at each entry the first calls would all be late.
         """
         group = concurrency.GroupLimit()
-        group.hear_capacity(messages.Capacity(8.0), 3, 0)
+        group.apply_capacity(messages.Capacity(8.0), 3, 0)
         self.assertEqual(4, group.bound)
         self.assertEqual(16, concurrency.GroupLimit().bound)
 
@@ -179,9 +179,9 @@
         group = concurrency.GroupLimit(limit=100.0, in_flight=60)
         within_share = concurrency.GroupLimit(limit=4.0, in_flight=4)
         for now in range(0, 20_000, 100):
-            group.hear_capacity(full, 4, now)
-            group.observe(KIND, 300, now)
-            within_share.hear_capacity(full, 4, now)
+            group.apply_capacity(full, 4, now)
+            group.observe_answer(KIND, 300, now)
+            within_share.apply_capacity(full, 4, now)
         self.assertLess(group.limit, 11.0)
         self.assertEqual(4.0, within_share.limit)
 
@@ -196,12 +196,12 @@
         group = concurrency.GroupLimit()
         now = run_requests(group, [100] * 20)
         for _ in range(20):
-            group.observe_rest(KIND, 40, 40 * 50, now)
+            group.observe_following_tokens(KIND, 40, 40 * 50, now)
         group.in_flight = 16
         before = group.limit
         for _ in range(40):
             now += 10_000
-            group.observe_rest(KIND, 40, 40 * 150, now)
+            group.observe_following_tokens(KIND, 40, 40 * 150, now)
         self.assertLess(group.limit, before / 2)
 
     def test_retry_delay_grows_with_the_excess(self) -> None:
--- a/tests/domain/limits/test_limiter.py
+++ b/tests/domain/limits/test_limiter.py
@@ -18,9 +18,9 @@
 def exhaust_limit(subject: limiter.WorkspaceLimiter, now: int) -> int:
     for count in range(1000):
         refused = subject.admit('w', LIMITS, now)
-        if isinstance(refused, messages.Refused):
+        if isinstance(refused, messages.Rejection):
             return count
-        subject.finish('w', 0, now)
+        subject.finish_request('w', 0, now)
     raise AssertionError('no limit')
 
 
@@ -34,8 +34,8 @@
         """
         subject = limiter.WorkspaceLimiter(10)
         exhaust_limit(subject, 0)
-        self.assertEqual(1, len(subject.collect(0, 9)))
-        subject.apply(build_grant(0, 90.0), 1000)
+        self.assertEqual(1, len(subject.collect_reports(0, 9)))
+        subject.apply_grant(build_grant(0, 90.0), 1000)
         exhaust_limit(subject, 1000)
         exhaust_limit(subject, 5000)
         self.assertLessEqual(exhaust_limit(subject, 6000), 1)
@@ -48,11 +48,11 @@
         """
         subject = limiter.WorkspaceLimiter(10)
         exhaust_limit(subject, 0)
-        subject.collect(0, 9)
+        subject.collect_reports(0, 9)
         exhaust_limit(subject, 1000)
-        subject.collect(1000, 9)
-        subject.apply(build_grant(1000, 5.0), 1100)
-        subject.apply(build_grant(0, 90.0), 1200)
+        subject.collect_reports(1000, 9)
+        subject.apply_grant(build_grant(1000, 5.0), 1100)
+        subject.apply_grant(build_grant(0, 90.0), 1200)
         exhaust_limit(subject, 1200)
         self.assertLessEqual(exhaust_limit(subject, 2200), 6)
 
@@ -64,8 +64,8 @@
         """
         subject = limiter.WorkspaceLimiter(10)
         exhaust_limit(subject, 0)
-        subject.collect(0, 9)
-        subject.collect(limiter.IDLE_MS, 9)
+        subject.collect_reports(0, 9)
+        subject.collect_reports(limiter.IDLE_MS, 9)
         self.assertLessEqual(exhaust_limit(subject, limiter.IDLE_MS), 2)
 
     def test_first_refusal_has_a_short_retry_delay(self) -> None:
@@ -79,7 +79,7 @@
         refused = subject.admit('w', LIMITS, 0)
         assert refused is not None
         self.assertEqual(limiter.NO_SHARE_RETRY_MS, refused.retry_after_ms)
-        self.assertEqual(1, len(subject.collect(0, 9)))
+        self.assertEqual(1, len(subject.collect_reports(0, 9)))
 
     def test_rare_requests_at_many_entries_are_admitted_without_reports(
         self,
@@ -93,5 +93,5 @@
         limits = documents.Limits(requests_per_s=1.0, tokens_per_s=1000.0)
         for now in range(0, 20_000_000, 1_000_000):
             self.assertIsNone(subject.admit('w', limits, now))
-            subject.finish('w', 350, now)
-            self.assertEqual((), subject.collect(now, 9))
+            subject.finish_request('w', 350, now)
+            self.assertEqual((), subject.collect_reports(now, 9))
--- a/tests/domain/membership/builders.py
+++ b/tests/domain/membership/builders.py
@@ -32,7 +32,7 @@
 class Node:
     """One process; while suspended it keeps its messages unread."""
 
-    machine: machine.Machine
+    machine: machine.GossipMember
     is_suspended: bool = False
     inbox: list[tuple[str, messages.Message]] = attrs.field(factory=list)
     reports: list[messages.ReportVersion] = attrs.field(factory=list)
@@ -70,7 +70,7 @@
         """Start a process on a host that runs none."""
         self._processes += 1
         identity = build_identity(host, self._processes)
-        member = machine.Machine(
+        member = machine.GossipMember(
             identity, self.now, self._random, self._settings
         )
         node = Node(member)
@@ -92,7 +92,7 @@
 
     def quit(self, node: Node) -> None:
         """End a process that announces its exit."""
-        self.execute(node, node.machine.quit())
+        self.execute(node, node.machine.announce_exit())
         self.kill(node)
 
     def cut(self, one: list[Node], other: list[Node]) -> None:
--- a/tests/domain/membership/test_machine.py
+++ b/tests/domain/membership/test_machine.py
@@ -124,7 +124,7 @@
         until it exits.
         """
         leaving = self.nodes[0]
-        self.network.execute(leaving, leaving.machine.leave())
+        self.network.execute(leaving, leaving.machine.announce_leaving())
         self.network.run(1000)
         leaving.is_suspended = True
         self.network.run(8000)
@@ -139,7 +139,7 @@
     def test_member_that_quit_is_never_listed_again(self) -> None:
         """Messages of an exited process arrive after its LEFT update."""
         exited = self.nodes.pop()
-        late = exited.machine.leave()
+        late = exited.machine.announce_leaving()
         self.network.quit(exited)
         self.network.run(1000)
         self.assert_agreed()
@@ -163,7 +163,7 @@
             self.assertEqual(5, node.reports[0].version)
             self.assertEqual(origin.address, node.reports[0].address)
             self.network.execute(node, node.machine.set_version(5))
-        commands = origin.machine.poll_versions(5, self.network.now)
+        commands = origin.machine.request_versions(5, self.network.now)
         self.network.execute(origin, commands)
         self.network.run(500)
         versions = {r.version for r in origin.machine.view}
@@ -263,7 +263,7 @@
     def leave(self, number: int) -> None:
         node = self.choose(number)
         if node is not None and not node.is_suspended:
-            self.network.execute(node, node.machine.leave())
+            self.network.execute(node, node.machine.announce_leaving())
             self.leaving.add(node.name)
 
     @stateful.rule(number=strategies.integers(0, 5))
@@ -316,7 +316,7 @@
         if record.leaving:
             assert name in self.leaving | self.quitted, 'never left'
             self.seen_leaving.add(pair)
-        elif record.is_live:
+        elif record.is_listed:
             assert pair not in self.seen_leaving, 'leaving was reset'
 
     def teardown(self) -> None:
--- a/tests/domain/objectives/test_burn.py
+++ b/tests/domain/objectives/test_burn.py
@@ -58,7 +58,7 @@
         for minute in range(10_000):
             sliding.add(minute * MINUTE, 1, 0)
         held = (len(sliding._minutes) + len(sliding._hours)) // 3
-        self.assertLessEqual(held, counts.FINE_SLOTS + counts.COARSE_SLOTS)
+        self.assertLessEqual(held, counts.MINUTE_SLOTS + counts.HOUR_SLOTS)
         now = 9_999 * MINUTE
         self.assertEqual(60, sliding.read(now, HOUR).good)
 
--- a/tests/domain/pipelines/test_questions.py
+++ b/tests/domain/pipelines/test_report_requests.py
@@ -4,12 +4,12 @@
 
 import unittest
 
-from thornspool.domain.pipelines import questions
+from thornspool.domain.pipelines import report_requests
 
 
 class ReportLimiterTest(unittest.TestCase):
     def setUp(self):
-        self.limiter = questions.ReportLimiter(max_age_ms=4_000)
+        self.limiter = report_requests.ReportLimiter(max_age_ms=4_000)
 
     def test_rate_is_limited_over_all_subjects(self):
         requested = [
@@ -50,6 +50,8 @@
         """
         for entries, loads_per_s in ((1, 2.0), (9, 2.0), (50, 1.75)):
             with self.subTest(entries):
-                limits = questions.compute_limits(entries)
+                limits = report_requests.compute_limits(entries)
                 self.assertEqual(limits.loads_per_s, loads_per_s)
-        self.assertEqual(questions.compute_limits(350), questions.Limits())
+        self.assertEqual(
+            report_requests.compute_limits(350), report_requests.ReportLimits()
+        )
--- a/tests/domain/pipelines/test_resumption.py
+++ b/tests/domain/pipelines/test_resumption.py
@@ -192,7 +192,7 @@
     @stateful.rule(wait=strategies.integers(1, 400))
     def pass_time(self, wait):
         self.now += wait
-        self.handle(messages.TimePassed())
+        self.handle(messages.TimerExpired())
 
     @stateful.invariant()
     def a_finished_response_is_complete(self):
@@ -201,7 +201,7 @@
 
     def teardown(self):
         self.now += 10_000
-        self.handle(messages.TimePassed())
+        self.handle(messages.TimerExpired())
         assert self.ended is not None, 'the request never ended'
 
 
--- a/tests/domain/pipelines/test_stage_times.py
+++ b/tests/domain/pipelines/test_stage_times.py
@@ -13,7 +13,7 @@
 
         If it were included, a fast engine would count as slow.
         """
-        meter = stage_times.PaceMeter()
+        meter = stage_times.TokenIntervalMeter()
         self.assertIsNone(meter.count(1, 900_000))
         intervals = [
             meter.count(2, 900_000 + 20 * chunk) for chunk in range(1, 17)
@@ -35,7 +35,7 @@
         expected = [
             (target, self.read(target, now).time) for target in targets
         ]
-        self.times.note_pace(expected, interval_ms, now)
+        self.times.record_token_interval(expected, interval_ms, now)
 
     def test_streams_on_other_routes_identify_a_slow_stage(self):
         """One of three engines becomes ten times slower without a report."""
--- a/tests/domain/pipelines/test_verifier.py
+++ b/tests/domain/pipelines/test_verifier.py
@@ -129,8 +129,8 @@
         """
         self.receive(self.build(0), now=10)
         self.assertEqual(self.verifier.read_wake_time(), 110)
-        early = self.verifier.handle(messages.TimePassed(), 109)
-        cancel, _ = self.verifier.handle(messages.TimePassed(), 110)
+        early = self.verifier.handle(messages.TimerExpired(), 109)
+        cancel, _ = self.verifier.handle(messages.TimerExpired(), 110)
         self.assertEqual(early, [])
         self.assertEqual(cancel.reason, REASONS.STALLED)
 
@@ -141,7 +141,7 @@
         for index, interval in enumerate(intervals, first):
             while (wake_at := self.verifier.read_wake_time()) < now + interval:
                 commands += self.verifier.handle(
-                    messages.TimePassed(), wake_at
+                    messages.TimerExpired(), wake_at
                 )
             now += interval
             if self.verifier.attempt != attempt:
@@ -204,7 +204,7 @@
                 self.verifier = verifier.Verifier('r', bounds, self.take_retry)
                 self.verifier.handle(messages.Started(ROUTE), 0)
                 self.receive(self.build(0), now=10)
-                due = self.verifier.handle(messages.TimePassed(), 160)
+                due = self.verifier.handle(messages.TimerExpired(), 160)
                 self.assertEqual(due, [messages.ProbeStages()])
                 self.assertEqual(self.verifier.read_wake_time(), 410)
                 if token_after:
@@ -226,7 +226,7 @@
             with self.subTest(attempt):
                 self.verifier.handle(messages.Started(ROUTE), now)
                 now = self.verifier.read_wake_time()
-                due = self.verifier.handle(messages.TimePassed(), now)
+                due = self.verifier.handle(messages.TimerExpired(), now)
                 self.assertEqual(due, [messages.ProbeStages()])
                 unresponsive = messages.StageUnresponsive(attempt)
                 commands = self.verifier.handle(unresponsive, now)
@@ -252,7 +252,7 @@
         _, last = self.receive(self.build(5))
         self.assertEqual(last, messages.Fail(REASONS.NO_RETRY))
         self.setUp()
-        _, last = self.verifier.handle(messages.TimePassed(), 10_000)
+        _, last = self.verifier.handle(messages.TimerExpired(), 10_000)
         self.assertEqual(last, messages.Fail(REASONS.DEADLINE))
 
     def test_refusal_costs_no_retry(self):
--- a/tests/domain/quarantine/test_index.py
+++ b/tests/domain/quarantine/test_index.py
@@ -53,7 +53,7 @@
         now = 0
         for kind, in_flight, on_trial, target, elapsed in steps:
             now += elapsed
-            update = other.note_death(
+            update = other.record_death(
                 target,
                 frozenset(in_flight),
                 frozenset(on_trial & in_flight),
@@ -63,7 +63,7 @@
                 if kind == 'here':
                     checked.merge(update, now)
                 if kind == 'there':
-                    checked.note_death(
+                    checked.record_death(
                         target, frozenset(in_flight), frozenset(on_trial), now
                     )
                 if kind == 'finish':
@@ -77,7 +77,7 @@
     def test_expired_records_are_removed_from_the_index(self) -> None:
         checked = records.QuarantineRecords('here')
         for now, target in enumerate('tu'):
-            checked.note_death(target, frozenset('ab'), frozenset('a'), now)
+            checked.record_death(target, frozenset('ab'), frozenset('a'), now)
         checked.compute_digest(records.CONDEMNED_TTL_MS + 1)
         self.assertEqual(0, checked.count)
         self.assertEqual(
--- a/tests/processes/deployment.py
+++ b/tests/processes/deployment.py
@@ -90,7 +90,7 @@
         key: str,
         body: bytes = BODY,
         operation: str = HOLD,
-        resent: bool = False,
+        is_resent: bool = False,
     ) -> Reply:
         """Send an action through an entry.
 
@@ -101,7 +101,7 @@
         """
         path = f'/v1/workspaces/{WORKSPACE}/services/{SERVICE}/{operation}'
         headers = {'Idempotency-Key': key}
-        if resent:
+        if is_resent:
             headers['Idempotency-Resent'] = 'true'
         url = self.entries[entry].ready['callers'] + path
         try:
@@ -131,7 +131,7 @@
         async def is_done() -> bool:
             entry = entries[len(replies) % len(entries)]
             replies.append(
-                await self.act(entry, key, resent=bool(replies), **options)
+                await self.act(entry, key, is_resent=bool(replies), **options)
             )
             return replies[-1].outcome == 'done'
 
--- a/tests/processes/partitions.py
+++ b/tests/processes/partitions.py
@@ -117,11 +117,11 @@
         self._stopping = True
         await asyncio.gather(*self._tasks)
 
-    async def send(self, key: str, entries, resent: bool = False) -> None:
+    async def send(self, key: str, entries, is_resent: bool = False) -> None:
         """Send a key through some entries at once."""
         replies = await asyncio.gather(
             *(
-                self._deployment.act(entry, key, resent=resent)
+                self._deployment.act(entry, key, is_resent=is_resent)
                 for entry in entries
             )
         )
--- a/tests/processes/test_actions.py
+++ b/tests/processes/test_actions.py
@@ -113,11 +113,11 @@
         with self.assertRaises(ConnectionError):
             await first
         replies = [
-            await self.deployment.act(entry, key, resent=True)
+            await self.deployment.act(entry, key, is_resent=True)
             for entry in (1, 2)
         ]
         await self.deployment.wait_idle()
-        replies.append(await self.deployment.act(1, key, resent=True))
+        replies.append(await self.deployment.act(1, key, is_resent=True))
         self.assertEqual(['unknown'] * 3, [one.outcome for one in replies])
         self.assertEqual(1, await self.count_calls())
         self.assertEqual(1, await self.deployment.count_executions(key))
@@ -146,7 +146,7 @@
         await deployment.set_faults()
         await self.wait_granted(key)
         again = [
-            await deployment.act(1, key, operation=operation, resent=True)
+            await deployment.act(1, key, operation=operation, is_resent=True)
         ]
         if operation == deployments.QUICK:
             timeout_ms = deployments.TIMEOUTS_MS[operation]
@@ -154,7 +154,9 @@
         deployment.entries[0].send_signal(signal.SIGCONT)
         replies = [await first, *again]
         replies += [
-            await deployment.act(entry, key, operation=operation, resent=True)
+            await deployment.act(
+                entry, key, operation=operation, is_resent=True
+            )
             for entry in ALL
         ]
         await self.check_ran_once_at_most(key, replies)
@@ -240,7 +242,7 @@
         key = deployments.make_key()
         await self.behave(lose_answers=10)
         replies = [
-            await self.deployment.act(entry, key, resent=entry > 0)
+            await self.deployment.act(entry, key, is_resent=entry > 0)
             for entry in (*ALL, *ALL)
         ]
         self.assertEqual([504] * 6, [reply.status for reply in replies])
@@ -304,7 +306,7 @@
         replies = await asyncio.gather(*sending)
         deployment.entries[2].send_signal(signal.SIGCONT)
         replies += await asyncio.gather(
-            *(deployment.act(2, key, resent=True) for key in burst[:20])
+            *(deployment.act(2, key, is_resent=True) for key in burst[:20])
         )
         replies += await asyncio.gather(
             *(
--- a/tests/processes/test_domains.py
+++ b/tests/processes/test_domains.py
@@ -134,7 +134,7 @@
         key = deployments.make_key()
         for number in range(MOST_SENDS):
             try:
-                await self.senders.send(key, [entry], resent=number > 0)
+                await self.senders.send(key, [entry], is_resent=number > 0)
             except ConnectionError:
                 self.cut['holds'] += 1
                 entry = next(self.others)
--- a/tests/processes/test_quarantine.py
+++ b/tests/processes/test_quarantine.py
@@ -66,7 +66,7 @@
         """Guards against a prompt that takes down one engine after another."""
         cluster = self.cluster
         # An entry that came to own a name keeps nothing for so long.
-        await asyncio.sleep(quarantine.SETTLE_MS / 1000 + 1)
+        await asyncio.sleep(quarantine.OWNER_SETTLE_MS / 1000 + 1)
         enough = asyncio.Event()
         innocents = asyncio.gather(
             *(self.keep_asking(one, enough) for one in range(INNOCENTS))
--- a/tests/processes/test_service_quarantine.py
+++ b/tests/processes/test_service_quarantine.py
@@ -24,7 +24,7 @@
     async def asyncSetUp(self) -> None:
         await super().asyncSetUp()
         # An entry that came to own a name keeps nothing for so long.
-        await asyncio.sleep(quarantine.SETTLE_MS / 1000 + 1)
+        await asyncio.sleep(quarantine.OWNER_SETTLE_MS / 1000 + 1)
         await self.deployment.set_behaviour(slow_ms=SLOW_MS)
 
     def list_dead(self) -> list[str]:
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -115,8 +115,8 @@
         def take_body(chunk: bytes) -> None:
             sending.body += chunk
 
-        def take_end(ending: transfers.Ending) -> None:
-            sending.whole = ending is transfers.Ending.WHOLE
+        def take_end(ending: transfers.TransferResult) -> None:
+            sending.whole = ending is transfers.TransferResult.COMPLETE
             done.set()
 
         transfer = self._session.start(
@@ -143,8 +143,8 @@
                 ('Authorization', f'Bearer {sending.key}'),
             ),
             None if sending.kind == 'read' else b'{}',
-            connect_ms=1_000,
+            connect_timeout_ms=1_000,
             # libcurl sends a request again on a kept connection that broke,
             # which would count as a second run of one action.
-            own_connection=sending.kind == 'hold',
+            dedicated_connection=sending.kind == 'hold',
         )
--- a/tests/test_outputs.py
+++ b/tests/test_log_outputs.py
@@ -6,7 +6,7 @@
 import unittest
 
 from tests import builders
-from thornspool import outputs
+from thornspool import log_outputs
 
 
 class BoundedOutputTest(unittest.TestCase):
@@ -15,7 +15,7 @@
         self.addCleanup(os.close, self.reader)
         self.addCleanup(os.close, writer)
         self.clock = builders.FakeClock()
-        self.output = outputs.BoundedOutput(writer, self.clock)
+        self.output = log_outputs.BoundedOutput(writer, self.clock)
 
     def read(self):
         os.set_blocking(self.reader, False)
@@ -39,7 +39,7 @@
         self.assertIn('log_lines_left_out count=', self.read())
 
     def test_limits_the_rate_and_writes_the_number_of_dropped_lines(self):
-        for _ in range(int(outputs.BURST_LINES) + 50):
+        for _ in range(int(log_outputs.BURST_LINES) + 50):
             self.output.info('line')
         self.assertEqual(50, self.output.dropped)
         self.clock.advance(1_000)
@@ -47,7 +47,7 @@
         self.assertIn('count=50\nnext\n', self.read())
 
     def test_warnings_are_exempt_from_the_rate_limit(self):
-        for _ in range(int(outputs.BURST_LINES) + 50):
+        for _ in range(int(log_outputs.BURST_LINES) + 50):
             self.output.info('line')
         self.read()
         self.output.warning('refused')
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -6,7 +6,7 @@
 import unittest
 
 from thornspool import metrics
-from thornspool import readings
+from thornspool import state_metrics
 from thornspool.adapters.peers import traffic
 
 
@@ -16,7 +16,7 @@
         peer_traffic = traffic.Traffic()
         name = 'thornspool_peer_bytes_total'
         read = functools.partial(
-            readings._list_traffic_samples, peer_traffic, 'bytes'
+            state_metrics._list_traffic_samples, peer_traffic, 'bytes'
         )
         subject.add_counter(name, 'Bytes.', read)
         peer_traffic.sent['membership.Ping'].add(40)
--- a/tests/test_readings.py
+++ b/tests/test_state_metrics.py
@@ -8,7 +8,7 @@
 
 from tests import builders
 from thornspool import metrics as metrics_module
-from thornspool import readings
+from thornspool import state_metrics
 from thornspool.adapters.peers import traffic as traffic_module
 from thornspool.adapters.store import memory
 from thornspool.application import ports
@@ -31,7 +31,7 @@
             builders.build_member('two', state=ports.MemberState.SUSPECT),
         ]
         self.subscribers: list[object] = []
-        parts = types.SimpleNamespace(
+        services = types.SimpleNamespace(
             configuration=types.SimpleNamespace(
                 subscribe=self.subscribers.append,
                 version=lambda: self.version,
@@ -52,10 +52,10 @@
         )
         self.traffic = traffic_module.Traffic()
         self.metrics = metrics_module.Metrics()
-        readings.add_readings(
+        state_metrics.add_state_metrics(
             self.metrics,
             self.clock,
-            parts,  # type: ignore[arg-type]
+            services,  # type: ignore[arg-type]
             memory.MemoryPlatform(self.clock),
             self.traffic,
         )
--- a/tools/bench_actions.py
+++ b/tools/bench_actions.py
@@ -96,7 +96,7 @@
         """Register a handler."""
         self.handlers[message_type] = handler
 
-    async def ask(
+    async def request(
         self, peer_address: str, message: typing.Any, timeout_ms: int
     ) -> typing.Any:
         """Ask another entry."""
@@ -106,7 +106,7 @@
         await asyncio.sleep(PEER_S)
         return reply
 
-    def tell(self, peer_address: str, message: typing.Any) -> None:
+    def send(self, peer_address: str, message: typing.Any) -> None:
         """Tell nobody; actions only ask."""
 
 
@@ -116,11 +116,11 @@
     def __init__(self) -> None:
         self.called: dict[str, float] = {}
 
-    async def call(self, call: ports.ServiceCall) -> ports.ServiceAnswer:
+    async def call(self, call: ports.ServiceCall) -> ports.ServiceResponse:
         """Answer after a fixed time."""
         self.called[call.key] = time.perf_counter()
         await asyncio.sleep(TARGET_S)
-        return ports.ServiceAnswer(200, 'application/json', b'{"ok": true}')
+        return ports.ServiceResponse(200, 'application/json', b'{"ok": true}')
 
 
 @attrs.frozen
--- a/tools/bench_load.py
+++ b/tools/bench_load.py
@@ -119,14 +119,14 @@
         self.plan(REPORT_MS, self.report)
         capacity = limit_messages.Capacity(SERVERS, len(self.queue))
         for entry in self.entries:
-            entry.hear_capacity(capacity, ENTRIES, self.now)
+            entry.apply_capacity(capacity, ENTRIES, self.now)
 
     def refuse(self, job: _Job) -> bool:
-        asked = limit_messages.Asked(
+        asked = limit_messages.RequestEstimate(
             'group', job.kind, 0, self.now + DEADLINE_MS
         )
         answer = self.entries[job.entry].admit(asked, self.now)
-        return isinstance(answer, limit_messages.Refused)
+        return isinstance(answer, limit_messages.Rejection)
 
     def serve(self) -> None:
         if self.busy >= SERVERS or not self.queue:
@@ -149,9 +149,9 @@
         if self.limited:
             entry = self.entries[job.entry]
             if in_time:
-                entry.observe(job.kind, waited, self.now)
+                entry.observe_answer(job.kind, waited, self.now)
             else:
-                entry.note_late(job.started, self.now)
+                entry.record_timeout(job.started, self.now)
             entry.release()
         self.serve()
 
@@ -301,9 +301,9 @@
         now = number // 2
         name = f'w{number % 1000}'
         if subject.admit(name, limits, now) is None:
-            subject.finish(name, 1, now)
+            subject.finish_request(name, 1, now)
         if number % 400 == 0:
-            subject.collect(now, 6)
+            subject.collect_reports(now, 6)
     used = time.process_time() - started
     return round(used / ADMISSIONS * 1e6, 2)
 
--- a/tools/bench_membership.py
+++ b/tools/bench_membership.py
@@ -48,7 +48,7 @@
 class Node:
     """A machine with its counts."""
 
-    machine: machine.Machine
+    machine: machine.GossipMember
     address: str
     is_up: bool = True
     bytes: int = 0
@@ -95,7 +95,7 @@
             address,
             f'http://{ip_number}:8400',
         )
-        made = machine.Machine(
+        made = machine.GossipMember(
             identity, self.now, self._random, self._settings
         )
         known = [n.address for n in self.nodes.values() if n.is_up]
@@ -136,7 +136,7 @@
 
     def poll(self, node: Node, version: int) -> None:
         """Have a node ask members that seem to be behind."""
-        commands = node.machine.poll_versions(version, self.now)
+        commands = node.machine.request_versions(version, self.now)
         self._carry_out(node, commands)
 
     def _step(self, node: Node, what: str, data: bytes | int | None) -> None:
@@ -244,7 +244,7 @@
             if is_polled and (fleet.now - start) % POLL_MS == 0:
                 fleet.poll(origin, version)
             view = origin.machine.view
-            if all(r.version >= version for r in view if r.is_live):
+            if all(r.version >= version for r in view if r.is_listed):
                 break
         known.append(fleet.now - start)
         times = [node.applied_at[version] for node in _list_up(fleet)]
@@ -289,7 +289,7 @@
 
 def _is_live(node: Node, incarnation: str) -> bool:
     record = node.machine.view.find(incarnation)
-    return record is not None and record.is_live
+    return record is not None and record.is_listed
 
 
 def _measure_joins(fleet: Fleet) -> dict[str, float]:
@@ -378,7 +378,7 @@
     begin = time.process_time()
     for _ in range(count):
         arrived.clear()
-        sender.tell(address, ack)
+        sender.send(address, ack)
         await asyncio.wait_for(arrived.wait(), LIMIT_MS / 1000)
     spent = time.process_time() - begin
     await sender.stop()
--- a/tools/bench_quarantine.py
+++ b/tools/bench_quarantine.py
@@ -23,9 +23,9 @@
     known = records.QuarantineRecords('entry')
     for target in range(targets):
         names = frozenset(f'r{one}' for one in range(target, size, targets))
-        known.note_death(f't{target}', names, frozenset(), 0)
+        known.record_death(f't{target}', names, frozenset(), 0)
     tried = frozenset({'r0'})
-    known.note_death('u', tried, tried, 1)
+    known.record_death('u', tried, tried, 1)
     return known
 
 
@@ -33,7 +33,7 @@
     """Return the microseconds of one verdict."""
     started = time.perf_counter_ns()
     for _ in range(ROUNDS):
-        known.check(fingerprint, records.GRACE_MS // 2)
+        known.check(fingerprint, records.VERDICT_DELAY_MS // 2)
     return (time.perf_counter_ns() - started) / ROUNDS / _NS_PER_US
 
 
--- a/tools/bench_throughput.py
+++ b/tools/bench_throughput.py
@@ -18,7 +18,7 @@
 
 import attrs
 
-from thornspool.domain.pipelines import questions
+from thornspool.domain.pipelines import report_requests
 from thornspool.domain.pipelines import stage_times
 from thornspool.domain.targets import messages
 from tools import throughput_policies
@@ -50,7 +50,7 @@
     report_ms : int
         Time between two load reports of an engine; 0 for one at the start,
         when all are idle, which tells of their kinds.
-    limits : questions.Limits or None
+    limits : report_requests.ReportLimits or None
         How often entries ask engines to tell loads and times of links with
         an answer; None where loads are published, and times of links come
         with one token in sixteen.
@@ -58,14 +58,16 @@
 
     entries: int
     report_ms: int
-    limits: questions.Limits | None = None
+    limits: report_requests.ReportLimits | None = None
 
 
 USUAL = Scenario(entries=6, report_ms=500)
 STALE = Scenario(entries=60, report_ms=5_000)
 """Each entry knows a sixtieth of the load, from reports of seconds ago."""
 
-ASKED = Scenario(entries=60, report_ms=0, limits=questions.Limits(0.043, 1.3))
+ASKED = Scenario(
+    entries=60, report_ms=0, limits=report_requests.ReportLimits(0.043, 1.3)
+)
 """As often for each engine and each link as at the size to design for.
 
 There an entry asks for 0.25 answers a second with the loads of 4 engines of
@@ -74,7 +76,7 @@
 """
 
 ASKED_TODAY = Scenario(
-    entries=6, report_ms=0, limits=questions.compute_limits(6)
+    entries=6, report_ms=0, limits=report_requests.compute_limits(6)
 )
 
 BuildPolicy = typing.Callable[
@@ -109,11 +111,13 @@
     entry: int
     route: routes.Route
     left: int
-    tell: questions.Tell
+    tell: report_requests.ReportRequest
     done: int = 0
     position: int = 0
     hops: list[float] = attrs.field(factory=list)
-    meter: stage_times.PaceMeter = attrs.field(factory=stage_times.PaceMeter)
+    meter: stage_times.TokenIntervalMeter = attrs.field(
+        factory=stage_times.TokenIntervalMeter
+    )
 
 
 class Driver:
@@ -210,9 +214,9 @@
     def _begin(self, entry: int) -> None:
         policy = self._policies[entry]
         route = policy.plan(int(self._now))
-        tell = questions.NOTHING
+        tell = report_requests.NO_REPORTS
         if self._scenario.limits is not None:
-            tell = policy.choose_tell(route, int(self._now))
+            tell = policy.choose_reports(route, int(self._now))
         length = self._random.randint(*_TOKENS)
         self._arrive(_Request(entry, route, length, tell))
 
@@ -271,10 +275,10 @@
         if self._now >= _WARM_MS:
             self.tokens += 1
         if self._tells_hops(request):
-            policy.note_hops(request.route, request.hops, int(self._now))
+            policy.record_hops(request.route, request.hops, int(self._now))
         pace = request.meter.count(1, int(self._now))
         if pace is not None:
-            policy.note_pace(request.route, pace, int(self._now))
+            policy.record_token_interval(request.route, pace, int(self._now))
         request.hops = []
         request.left -= 1
         request.done += 1
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -286,10 +286,10 @@
     made = []
     for _ in range(size):
         counts = objective_counts.SlidingCounts()
-        for hour in range(objective_counts.COARSE_SLOTS):
+        for hour in range(objective_counts.HOUR_SLOTS):
             counts.add(hour * objective_counts.HOUR_MS, 1, 0)
-        last = objective_counts.COARSE_SLOTS * objective_counts.HOUR_MS
-        for minute in range(objective_counts.FINE_SLOTS):
+        last = objective_counts.HOUR_SLOTS * objective_counts.HOUR_MS
+        for minute in range(objective_counts.MINUTE_SLOTS):
             now = last + minute * objective_counts.MINUTE_MS
             counts.add(now, 1, 0)
         made.append(counts)
--- a/tools/capacity_control.py
+++ b/tools/capacity_control.py
@@ -88,7 +88,7 @@
         """Keep the handler of reports."""
         self.handler = handler
 
-    async def ask(
+    async def request(
         self, address: str, report: messages.DemandReport, timeout_ms: int
     ) -> messages.GrantReply:
         """Encode a report, and decode an answer that grants little."""
@@ -170,7 +170,7 @@
 def time_reporting(lines: int) -> float:
     """Return the milliseconds that one round of reports of lines takes."""
     service, _, clock, names = build_service()
-    asked = messages.Asked('text', 'text', 0, FAR_MS)
+    asked = messages.RequestEstimate('text', 'text', 0, FAR_MS)
     loop = asyncio.new_event_loop()
     seconds = 0.0
     for _ in range(ROUNDS):
@@ -179,7 +179,7 @@
             for _ in range(2):
                 service.admit(name, asked, clock.at)
         started = time.process_time()
-        loop.run_until_complete(service.share_demand(clock.at))
+        loop.run_until_complete(service.exchange_shares(clock.at))
         seconds += time.process_time() - started
     loop.close()
     return seconds / ROUNDS * 1000
@@ -253,9 +253,9 @@
     for number in range(workspaces):
         for _ in range(2):
             made.admit(f'workspace-{number:05}', LIMITS, 1_000)
-    for report in made.collect(2_000, workspaces):
+    for report in made.collect_reports(2_000, workspaces):
         share = messages.Amounts(1.0, 1_000.0, 1.0)
-        made.apply(
+        made.apply_grant(
             messages.WorkspaceGrant(
                 report.workspace, report.sequence, share, shares.GRANT_TTL_MS
             ),
@@ -284,7 +284,7 @@
         fingerprint = frozenset([f'{number:032x}'])
         for death in range(deaths):
             now = 1_000 + 2 * records.SAME_DEATH_MS * death
-            made.note_death(
+            made.record_death(
                 f'engine-{number % 690}', fingerprint, frozenset(), now
             )
     return made
--- a/tools/throughput_policies.py
+++ b/tools/throughput_policies.py
@@ -7,7 +7,7 @@
 import typing
 
 from thornspool.application.generation import planning as generation_planning
-from thornspool.domain.pipelines import questions
+from thornspool.domain.pipelines import report_requests
 from thornspool.domain.pipelines import routes
 from thornspool.domain.targets import messages
 from tools import throughput_world
@@ -18,7 +18,7 @@
     from thornspool.domain.configuration import documents
 
 _EXPECTED_TOKENS = 80
-_USUAL_LIMITS = questions.Limits()
+_USUAL_LIMITS = report_requests.ReportLimits()
 
 
 class LaggingView:
@@ -47,7 +47,9 @@
         """Choose a route."""
         ...
 
-    def choose_tell(self, route: routes.Route, now: int) -> questions.Tell:
+    def choose_reports(
+        self, route: routes.Route, now: int
+    ) -> report_requests.ReportRequest:
         """Choose what engines are asked to tell."""
         ...
 
@@ -55,13 +57,15 @@
         """Take note that a request is over."""
         ...
 
-    def note_hops(
+    def record_hops(
         self, route: routes.Route, hops: list[float], now: int
     ) -> None:
         """Take note of the times of links."""
         ...
 
-    def note_pace(self, route: routes.Route, pace: float, now: int) -> None:
+    def record_token_interval(
+        self, route: routes.Route, pace: float, now: int
+    ) -> None:
         """Take note of the milliseconds between tokens."""
         ...
 
@@ -74,7 +78,7 @@
         world: throughput_world.World,
         view: LaggingView,
         seed: int,
-        limits: questions.Limits = _USUAL_LIMITS,
+        limits: report_requests.ReportLimits = _USUAL_LIMITS,
     ) -> None:
         self._world = world
         self._planning = generation_planning.Planning(
@@ -84,14 +88,14 @@
             random.Random(seed),
             read_limits=lambda: limits,
         )
-        self.choose_tell = self._planning.choose_tell
-        self.note_hops = self._planning.note_hops
-        self.note_pace = self._planning.note_pace
+        self.choose_reports = self._planning.choose_reports
+        self.record_hops = self._planning.record_hops
+        self.record_token_interval = self._planning.record_token_interval
         self.end = self._planning.end
 
     def plan(self, now: int) -> routes.Route:
         """Plan and count a route."""
-        wish = generation_planning.Wish(
+        wish = generation_planning.RouteRequest(
             self._world.model, now, _EXPECTED_TOKENS
         )
         route = self._planning.plan(wish, now)
@@ -134,19 +138,23 @@
             boundary = stage.end_layer
         return routes.Route(tuple(stages))
 
-    def choose_tell(self, route: routes.Route, now: int) -> questions.Tell:
+    def choose_reports(
+        self, route: routes.Route, now: int
+    ) -> report_requests.ReportRequest:
         """Ask nothing."""
-        return questions.NOTHING
+        return report_requests.NO_REPORTS
 
     def end(self, route: routes.Route) -> None:
         """Take note of nothing."""
 
-    def note_hops(
+    def record_hops(
         self, route: routes.Route, hops: list[float], now: int
     ) -> None:
         """Take note of nothing."""
 
-    def note_pace(self, route: routes.Route, pace: float, now: int) -> None:
+    def record_token_interval(
+        self, route: routes.Route, pace: float, now: int
+    ) -> None:
         """Take note of nothing."""
 
 
