--- a/standins/kv_store.py
+++ b/standins/kv_store.py
@@ -109,7 +109,7 @@
 
     def drops_response(self) -> bool:
         """Return whether the response to a write is dropped."""
-        if self.faults.use('lose_writes'):
+        if self.faults.consume('lose_writes'):
             return True
         return self._random.random() < self.faults.lose_probability
 
@@ -229,7 +229,7 @@
         """Return the key, or its previous value as a stale read."""
         key = self.get_argument('key')
         item = self.store.items.get(key)
-        if self.store.faults.use('stale_reads'):
+        if self.store.faults.consume('stale_reads'):
             item = self.store.previous.get(key)
         if item is None:
             raise web.HTTPError(404)
@@ -307,9 +307,9 @@
             base64.b64decode(put['value'], validate=True)
             for put in body.get('puts', [])
         ]
-        if any(len(value) > memory.LARGEST_VALUE for value in values):
+        if any(len(value) > memory.MAX_VALUE_BYTES for value in values):
             raise web.HTTPError(413)
-        if self.store.faults.use('drop_writes'):
+        if self.store.faults.consume('drop_writes'):
             self.drop()
         delay_ms = self._choose_delay_ms(is_protected)
         if delay_ms is None:
@@ -326,7 +326,7 @@
         """Return the delay of a write in milliseconds; None for no delay."""
         if is_protected and self.store.list_lag_s:
             return self.store.list_lag_s * _MS_PER_S
-        if self.store.faults.use('late_writes'):
+        if self.store.faults.consume('late_writes'):
             return self.store.faults.late_ms
         return None
 
--- a/tests/processes/partitions.py
+++ b/tests/processes/partitions.py
@@ -119,11 +119,11 @@
         self._stopping = True
         await asyncio.gather(*self._tasks)
 
-    async def send(self, key: str, entries, resent: bool = False) -> None:
+    async def send(self, key: str, entries, is_resent: bool = False) -> None:
         """Send a key through some entries concurrently."""
         replies = await asyncio.gather(
             *(
-                self._deployment.send_action(entry, key, resent=resent)
+                self._deployment.send_action(entry, key, is_resent=is_resent)
                 for entry in entries
             )
         )
--- a/tests/processes/test_actions.py
+++ b/tests/processes/test_actions.py
@@ -120,11 +120,13 @@
         with self.assertRaises(ConnectionError):
             await first
         replies = [
-            await self.deployment.send_action(entry, key, resent=True)
+            await self.deployment.send_action(entry, key, is_resent=True)
             for entry in (1, 2)
         ]
         await self.deployment.wait_idle()
-        replies.append(await self.deployment.send_action(1, key, resent=True))
+        replies.append(
+            await self.deployment.send_action(1, key, is_resent=True)
+        )
         self.assertEqual(['unknown'] * 3, [one.outcome for one in replies])
         self.assertEqual(1, await self.count_calls())
         self.assertEqual(1, await self.deployment.count_executions(key))
@@ -156,7 +158,7 @@
         await self.wait_granted(key)
         resent_replies = [
             await deployment.send_action(
-                1, key, operation=operation, resent=True
+                1, key, operation=operation, is_resent=True
             )
         ]
         if operation == deployments.QUICK:
@@ -166,7 +168,7 @@
         replies = [await first, *resent_replies]
         replies += [
             await deployment.send_action(
-                entry, key, operation=operation, resent=True
+                entry, key, operation=operation, is_resent=True
             )
             for entry in ALL
         ]
@@ -255,7 +257,7 @@
         key = deployments.make_key()
         await self.set_behaviour(lose_answers=10)
         replies = [
-            await self.deployment.send_action(entry, key, resent=entry > 0)
+            await self.deployment.send_action(entry, key, is_resent=entry > 0)
             for entry in (*ALL, *ALL)
         ]
         self.assertEqual([504] * 6, [reply.status for reply in replies])
@@ -322,7 +324,7 @@
         deployment.entries[2].send_signal(signal.SIGCONT)
         replies += await asyncio.gather(
             *(
-                deployment.send_action(2, key, resent=True)
+                deployment.send_action(2, key, is_resent=True)
                 for key in burst[:20]
             )
         )
--- a/tests/processes/test_domains.py
+++ b/tests/processes/test_domains.py
@@ -139,7 +139,7 @@
         key = deployments.make_key()
         for number in range(MAX_ATTEMPTS):
             try:
-                await self.senders.send(key, [entry], resent=number > 0)
+                await self.senders.send(key, [entry], is_resent=number > 0)
             except ConnectionError:
                 self.broken['holds'] += 1
                 entry = next(self.others)
--- a/tests/processes/test_quarantine.py
+++ b/tests/processes/test_quarantine.py
@@ -73,7 +73,7 @@
         cluster = self.cluster
         # An entry records nothing under a name before it has owned the name
         # for this long.
-        await asyncio.sleep(quarantine.SETTLE_MS / 1000 + 1)
+        await asyncio.sleep(quarantine.OWNER_SETTLE_MS / 1000 + 1)
         stop = asyncio.Event()
         others = asyncio.gather(
             *(self.send_until_set(one, stop) for one in range(OTHER_CALLERS))
--- a/tests/processes/test_service_quarantine.py
+++ b/tests/processes/test_service_quarantine.py
@@ -25,7 +25,7 @@
         await super().asyncSetUp()
         # An entry records nothing under a name before it has owned the name
         # for this long.
-        await asyncio.sleep(quarantine.SETTLE_MS / 1000 + 1)
+        await asyncio.sleep(quarantine.OWNER_SETTLE_MS / 1000 + 1)
         await self.deployment.set_behaviour(slow_ms=SLOW_MS)
 
     def list_exited(self) -> list[str]:
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -127,8 +127,8 @@
         def handle_body(chunk: bytes) -> None:
             request.body += chunk
 
-        def handle_end(ending: transfers.Ending) -> None:
-            request.complete = ending is transfers.Ending.WHOLE
+        def handle_end(ending: transfers.TransferResult) -> None:
+            request.complete = ending is transfers.TransferResult.COMPLETE
             done.set()
 
         transfer = self._session.start(
@@ -155,8 +155,8 @@
                 ('Authorization', f'Bearer {request.key}'),
             ),
             None if request.kind == 'read' else b'{}',
-            connect_ms=1_000,
+            connect_timeout_ms=1_000,
             # libcurl resends a request when a reused connection breaks, which
             # would count as a second execution of one action.
-            own_connection=request.kind == 'hold',
+            dedicated_connection=request.kind == 'hold',
         )
--- a/tools/bench_actions.py
+++ b/tools/bench_actions.py
@@ -96,7 +96,7 @@
         """Register a handler."""
         self.handlers[message_type] = handler
 
-    async def ask(
+    async def request(
         self, peer_address: str, message: typing.Any, timeout_ms: int
     ) -> typing.Any:
         """Send a request to another entry and return its reply."""
@@ -106,7 +106,7 @@
         await asyncio.sleep(PEER_DELAY_S)
         return reply
 
-    def tell(self, peer_address: str, message: typing.Any) -> None:
+    def send(self, peer_address: str, message: typing.Any) -> None:
         """Do nothing, as actions send only requests with a reply."""
 
 
@@ -116,11 +116,11 @@
     def __init__(self) -> None:
         self.called_at: dict[str, float] = {}
 
-    async def call(self, call: ports.ServiceCall) -> ports.ServiceAnswer:
+    async def call(self, call: ports.ServiceCall) -> ports.ServiceResponse:
         """Respond after a fixed delay."""
         self.called_at[call.key] = time.perf_counter()
         await asyncio.sleep(TARGET_DELAY_S)
-        return ports.ServiceAnswer(200, 'application/json', b'{"ok": true}')
+        return ports.ServiceResponse(200, 'application/json', b'{"ok": true}')
 
 
 @attrs.frozen
--- a/tools/bench_load.py
+++ b/tools/bench_load.py
@@ -122,14 +122,14 @@
         self.schedule(REPORT_MS, self.report)
         capacity = limit_messages.Capacity(SERVERS, len(self.queue))
         for entry in self.entries:
-            entry.hear_capacity(capacity, ENTRIES, self.now)
+            entry.apply_capacity(capacity, ENTRIES, self.now)
 
     def refuse(self, job: _Job) -> bool:
-        request = limit_messages.Asked(
+        request = limit_messages.RequestEstimate(
             'group', job.kind, 0, self.now + DEADLINE_MS
         )
         answer = self.entries[job.entry].admit(request, self.now)
-        return isinstance(answer, limit_messages.Refused)
+        return isinstance(answer, limit_messages.Rejection)
 
     def serve(self) -> None:
         if self.busy >= SERVERS or not self.queue:
@@ -154,9 +154,9 @@
         if self.limited:
             entry = self.entries[job.entry]
             if in_time:
-                entry.observe(job.kind, waited, self.now)
+                entry.observe_answer(job.kind, waited, self.now)
             else:
-                entry.note_late(job.started, self.now)
+                entry.record_timeout(job.started, self.now)
             entry.release()
         self.serve()
 
@@ -307,9 +307,9 @@
         now = number // 2
         name = f'w{number % 1000}'
         if workspace_limiter.admit(name, limits, now) is None:
-            workspace_limiter.finish(name, 1, now)
+            workspace_limiter.finish_request(name, 1, now)
         if number % 400 == 0:
-            workspace_limiter.collect(now, 6)
+            workspace_limiter.collect_reports(now, 6)
     used = time.process_time() - started
     return round(used / ADMISSIONS * 1e6, 2)
 
--- a/tools/bench_membership.py
+++ b/tools/bench_membership.py
@@ -63,7 +63,7 @@
         milliseconds.
     """
 
-    machine: machine.Machine
+    machine: machine.GossipMember
     address: str
     is_up: bool = True
     bytes: int = 0
@@ -120,7 +120,7 @@
             address,
             f'http://{ip_number}:8400',
         )
-        new_machine = machine.Machine(
+        new_machine = machine.GossipMember(
             identity, self.now, self._random, self._settings
         )
         addresses = [
@@ -165,7 +165,7 @@
 
     def poll(self, node: Node, version: int) -> None:
         """Poll the members whose known version is older from a node."""
-        commands = node.machine.poll_versions(version, self.now)
+        commands = node.machine.request_versions(version, self.now)
         self._execute(node, commands)
 
     def _step(self, node: Node, event: str, data: bytes | int | None) -> None:
@@ -274,7 +274,9 @@
                 fleet.poll(origin, version)
             view = origin.machine.view
             if all(
-                record.version >= version for record in view if record.is_live
+                record.version >= version
+                for record in view
+                if record.is_listed
             ):
                 break
         confirmed.append(fleet.now - start)
@@ -322,7 +324,7 @@
 
 def _is_live(node: Node, incarnation: str) -> bool:
     record = node.machine.view.find(incarnation)
-    return record is not None and record.is_live
+    return record is not None and record.is_listed
 
 
 def _measure_joins(fleet: Fleet) -> dict[str, float]:
@@ -411,7 +413,7 @@
     begin = time.process_time()
     for _ in range(count):
         arrived.clear()
-        sender.tell(address, ack)
+        sender.send(address, ack)
         await asyncio.wait_for(arrived.wait(), TIMEOUT_MS / 1000)
     cpu_s = time.process_time() - begin
     await sender.stop()
--- a/tools/bench_quarantine.py
+++ b/tools/bench_quarantine.py
@@ -25,9 +25,9 @@
         names = frozenset(
             f'r{number}' for number in range(target, size, targets)
         )
-        quarantine.note_death(f't{target}', names, frozenset(), 0)
+        quarantine.record_death(f't{target}', names, frozenset(), 0)
     trial_requests = frozenset({'r0'})
-    quarantine.note_death('u', trial_requests, trial_requests, 1)
+    quarantine.record_death('u', trial_requests, trial_requests, 1)
     return quarantine
 
 
@@ -35,7 +35,7 @@
     """Return the microseconds of one check."""
     started = time.perf_counter_ns()
     for _ in range(ROUNDS):
-        quarantine.check(fingerprint, records.GRACE_MS // 2)
+        quarantine.check(fingerprint, records.VERDICT_DELAY_MS // 2)
     return (time.perf_counter_ns() - started) / ROUNDS / _NS_PER_US
 
 
--- a/tools/bench_throughput.py
+++ b/tools/bench_throughput.py
@@ -18,7 +18,7 @@
 
 import attrs
 
-from thornspool.domain.pipelines import questions
+from thornspool.domain.pipelines import report_requests
 from thornspool.domain.pipelines import stage_times
 from thornspool.domain.targets import messages
 from tools import throughput_policies
@@ -51,7 +51,7 @@
         Interval between load reports of an engine, in milliseconds; 0 for a
         single report at the start, when all engines are idle, which has
         their step times and batch limits.
-    limits : questions.Limits or None
+    limits : report_requests.ReportLimits or None
         Rates at which entries request reports of loads and link times with
         a response; None if loads are published and every 16th token has the
         link times.
@@ -59,7 +59,7 @@
 
     entries: int
     report_ms: int
-    limits: questions.Limits | None = None
+    limits: report_requests.ReportLimits | None = None
 
 
 PUBLISHED = Scenario(entries=6, report_ms=500)
@@ -67,7 +67,7 @@
 """Each entry sends 1/60 of the load, with reports that are seconds old."""
 
 REQUESTED = Scenario(
-    entries=60, report_ms=0, limits=questions.Limits(0.043, 1.3)
+    entries=60, report_ms=0, limits=report_requests.ReportLimits(0.043, 1.3)
 )
 """The same rate of reports for each engine and link as at the design size.
 
@@ -78,7 +78,7 @@
 """
 
 REQUESTED_CURRENT = Scenario(
-    entries=6, report_ms=0, limits=questions.compute_limits(6)
+    entries=6, report_ms=0, limits=report_requests.compute_limits(6)
 )
 
 BuildPolicy = typing.Callable[
@@ -113,11 +113,13 @@
     entry: int
     route: routes.Route
     remaining_tokens: int
-    requested_reports: questions.Tell
+    requested_reports: report_requests.ReportRequest
     completed_tokens: int = 0
     position: int = 0
     hops: list[float] = attrs.field(factory=list)
-    meter: stage_times.PaceMeter = attrs.field(factory=stage_times.PaceMeter)
+    meter: stage_times.TokenIntervalMeter = attrs.field(
+        factory=stage_times.TokenIntervalMeter
+    )
 
 
 class Simulation:
@@ -216,9 +218,9 @@
     def _start_request(self, entry: int) -> None:
         policy = self._policies[entry]
         route = policy.plan(int(self._now))
-        requested_reports = questions.NOTHING
+        requested_reports = report_requests.NO_REPORTS
         if self._scenario.limits is not None:
-            requested_reports = policy.choose_tell(route, int(self._now))
+            requested_reports = policy.choose_reports(route, int(self._now))
         length = self._random.randint(*_TOKEN_RANGE)
         self._arrive(_Request(entry, route, length, requested_reports))
 
@@ -281,10 +283,12 @@
         if self._now >= _WARM_UP_MS:
             self.tokens += 1
         if self._has_hops(request):
-            policy.note_hops(request.route, request.hops, int(self._now))
+            policy.record_hops(request.route, request.hops, int(self._now))
         interval_ms = request.meter.count(1, int(self._now))
         if interval_ms is not None:
-            policy.note_pace(request.route, interval_ms, int(self._now))
+            policy.record_token_interval(
+                request.route, interval_ms, int(self._now)
+            )
         request.hops = []
         request.remaining_tokens -= 1
         request.completed_tokens += 1
--- a/tools/capacity_control.py
+++ b/tools/capacity_control.py
@@ -97,7 +97,7 @@
         """Register the handler of reports."""
         self.handler = handler
 
-    async def ask(
+    async def request(
         self, address: str, report: messages.DemandReport, timeout_ms: int
     ) -> messages.GrantReply:
         """Encode a report and return a decoded reply with small grants."""
@@ -179,7 +179,7 @@
 def time_reports(lines: int) -> float:
     """Return the milliseconds of one round of reports."""
     service, _, clock, names = build_service()
-    request = messages.Asked('text', 'text', 0, FAR_DEADLINE_MS)
+    request = messages.RequestEstimate('text', 'text', 0, FAR_DEADLINE_MS)
     loop = asyncio.new_event_loop()
     seconds = 0.0
     for _ in range(ROUNDS):
@@ -188,7 +188,7 @@
             for _ in range(2):
                 service.admit(name, request, clock.now_ms)
         started = time.process_time()
-        loop.run_until_complete(service.share_demand(clock.now_ms))
+        loop.run_until_complete(service.exchange_shares(clock.now_ms))
         seconds += time.process_time() - started
     loop.close()
     return seconds / ROUNDS * 1000
@@ -262,9 +262,9 @@
     for number in range(workspaces):
         for _ in range(2):
             state.admit(f'workspace-{number:05}', LIMITS, 1_000)
-    for report in state.collect(2_000, workspaces):
+    for report in state.collect_reports(2_000, workspaces):
         share = messages.Amounts(1.0, 1_000.0, 1.0)
-        state.apply(
+        state.apply_grant(
             messages.WorkspaceGrant(
                 report.workspace, report.sequence, share, shares.GRANT_TTL_MS
             ),
@@ -301,7 +301,7 @@
         fingerprint = frozenset([f'{number:032x}'])
         for crash in range(crashes):
             now = 1_000 + 2 * records.SAME_DEATH_MS * crash
-            state.note_death(
+            state.record_death(
                 f'engine-{number % 690}', fingerprint, frozenset(), now
             )
     return state
