--- a/src/thornspool/domain/entries/leadership.py
+++ b/src/thornspool/domain/entries/leadership.py
@@ -109,7 +109,7 @@
         )
 
     def may_act(self, now: int) -> bool:
-        """Tell whether this entry is the leader and its lease is valid."""
+        """Return whether this entry is the leader and its lease is valid."""
         if not self.is_local or self.renewed_at is None:
             return False
         return now - self.renewed_at < ACTION_WINDOW_MS
--- a/src/thornspool/domain/entries/view.py
+++ b/src/thornspool/domain/entries/view.py
@@ -257,7 +257,7 @@
         return peer
 
     def is_alive(self, peer: Peer, now: int) -> bool:
-        """Tell whether a peer counts as alive."""
+        """Return whether a peer counts as alive."""
         if self._is_direct_sender(peer):
             return self._is_responsive(peer, now)
         if self._is_domain_unresponsive(peer, now):
@@ -267,7 +267,7 @@
         return absence is None or absence.until < now
 
     def _is_domain_unresponsive(self, peer: Peer, now: int) -> bool:
-        """Tell whether no entry of a peer's failure domain sends updates.
+        """Return whether no entry of a peer's failure domain sends updates.
 
         Collectors send their updates to each other, and report absent entries
         to the entries of their own domains.
@@ -285,7 +285,7 @@
         return now - last > DOMAIN_TIMEOUT_MS
 
     def _is_direct_sender(self, peer: Peer) -> bool:
-        """Tell whether a live peer sends its updates to this entry."""
+        """Return whether a live peer sends its updates to this entry."""
         if self.is_mesh:
             return True
         if peer.record.failure_domain != self.local.failure_domain:
@@ -303,7 +303,7 @@
         return now - peer.last_update_at <= self.update_timeout_ms
 
     def _is_detection_paused(self, now: int) -> bool:
-        """Tell whether a missing update is not yet a sign of a failure.
+        """Return whether a missing update is not yet a sign of a failure.
 
         After a change of collector, entries need time to send their updates
         to the new one. An isolated entry can't judge its peers: one that had
@@ -332,13 +332,13 @@
         return now - absence.since + self.update_timeout_ms
 
     def is_isolated(self, now: int) -> bool:
-        """Tell whether there are peers, and none of them counts as alive."""
+        """Return whether there are peers, and none of them counts as alive."""
         return bool(self.peers) and not any(
             self.is_alive(one, now) for one in self.peers.values()
         )
 
     def has_current_peer(self, bound_ms: float, now: int) -> bool:
-        """Tell whether another entry's copy of the store may be current.
+        """Return whether another entry's copy of the store may be current.
 
         Parameters
         ----------
--- a/src/thornspool/domain/fleet/messages.py
+++ b/src/thornspool/domain/fleet/messages.py
@@ -28,7 +28,7 @@
         return self.end - self.first
 
     def contains(self, other: LayerRange) -> bool:
-        """Tell whether this range includes every layer of another one."""
+        """Return whether this range includes every layer of another one."""
         return self.first <= other.first and other.end <= self.end
 
 
--- a/src/thornspool/domain/fleet/outliers.py
+++ b/src/thornspool/domain/fleet/outliers.py
@@ -162,7 +162,7 @@
         times.append(now)
 
     def is_outlier(self, server_hash: int, now: int) -> bool:
-        """Tell whether an engine has broken enough runs for an ejection."""
+        """Return whether an engine has broken enough runs for an ejection."""
         runs = self._runs.get(server_hash)
         if runs is not None and runs.share < FAULTY_SHARE:
             return False
@@ -172,7 +172,7 @@
         return now - times[0] <= WINDOW_MS
 
     def has_broken(self, server_hash: int) -> bool:
-        """Tell whether an engine has broken a run in the retention time."""
+        """Return whether an engine has broken a run in the retention time."""
         return server_hash in self._break_times
 
     def list_announced(self, now: int) -> tuple[int, ...]:
--- a/src/thornspool/domain/fleet/refusals.py
+++ b/src/thornspool/domain/fleet/refusals.py
@@ -81,7 +81,7 @@
     Attributes
     ----------
     jitter_factor : float
-        Jitter factor from 1 to ``MOST_PATIENCE`` for the lengths of this
+        Jitter factor from 1 to ``MAX_JITTER_FACTOR`` for the lengths of this
         entry's exclusions. It differs between entries, so that the first one
         to send a request to the engine announces a further refusal before
         the others send theirs.
@@ -122,7 +122,7 @@
         return True
 
     def is_half_open(self, name: str, now: int) -> bool:
-        """Tell whether an engine's exclusion has just ended."""
+        """Return whether an engine's exclusion has just ended."""
         exclusion = self._exclusions.get(
             server_hashes.compute_server_hash(name)
         )
@@ -181,7 +181,7 @@
                 self._exclude(server_hash, now, direct, max_ms)
 
     def is_refusing(self, name: str, now: int) -> bool:
-        """Tell whether an engine is excluded."""
+        """Return whether an engine is excluded."""
         exclusion = self._exclusions.get(
             server_hashes.compute_server_hash(name)
         )
--- a/src/thornspool/domain/fleet/slowdowns.py
+++ b/src/thornspool/domain/fleet/slowdowns.py
@@ -91,7 +91,7 @@
         return max(1.0, slowdown.factor)
 
     def is_fresh(self, name: str, now: int, within_ms: int = FRESH_MS) -> bool:
-        """Tell whether an engine's factor was received within a time."""
+        """Return whether an engine's factor was received within a time."""
         slowdown = self._slowdowns.get(server_hashes.compute_server_hash(name))
         return slowdown is not None and now - slowdown.received_at <= within_ms
 
--- a/src/thornspool/domain/freshness/confirmations.py
+++ b/src/thornspool/domain/freshness/confirmations.py
@@ -53,6 +53,6 @@
         return max(0, now - self.confirmed_at)
 
     def is_within(self, bound_ms: float, now: int) -> bool:
-        """Tell whether the age of the copy is within a bound."""
+        """Return whether the age of the copy is within a bound."""
         age = self.compute_age(now)
         return age is not None and age <= bound_ms
--- a/src/thornspool/domain/placement/planning.py
+++ b/src/thornspool/domain/placement/planning.py
@@ -70,7 +70,7 @@
     model : fleet.Model
         Sizes.
     stable : container of str, optional
-        Domains whose engines have not changed for ``STEADY_MS``.
+        Domains whose engines have not changed for ``STABLE_PERIOD_MS``.
 
     Returns
     -------
--- a/src/thornspool/domain/retries/pools.py
+++ b/src/thornspool/domain/retries/pools.py
@@ -138,7 +138,7 @@
         return local + others.requests
 
     def allows_retry(self, now: int, limit_share: float = 1.0) -> bool:
-        """Tell whether the budget allows one more retry of this entry.
+        """Return whether the budget allows one more retry of this entry.
 
         Parameters
         ----------
@@ -163,7 +163,7 @@
         return recent + 1 <= math.floor(share) + self._may_round_up(share, now)
 
     def _may_round_up(self, share: float, now: int) -> bool:
-        """Tell whether this entry may round its share up.
+        """Return whether this entry may round its share up.
 
         The result is drawn anew in each propagation interval. If all entries
         rounded their shares down, a large fleet would leave up to one retry
@@ -202,7 +202,7 @@
         return True
 
     def _fits_equal_share(self, limit_share: float) -> bool:
-        """Tell whether an equal share of the window allows one more retry."""
+        """Return whether an equal share of the window allows another retry."""
         slack = self.slack / self.entries
         allowed = limit_share * (slack + self.ratio * len(self._request_times))
         return len(self._retry_times) + 1 <= allowed
--- a/src/thornspool/platform/store.py
+++ b/src/thornspool/platform/store.py
@@ -298,7 +298,7 @@
         return Lease(granted.lease, granted.ttl_ms)
 
     async def renew_lease(self, lease: int) -> None:
-        """Renew a lease; raises ``LeaseEnded`` if it has expired."""
+        """Renew a lease; raises ``LeaseExpired`` if it has expired."""
         response = await self._call('POST', f'/v1/kv-keep/{lease}', None)
         if response.status == _NOT_FOUND:
             raise exceptions.LeaseExpired('The lease has expired.')
--- a/tools/bench_membership.py
+++ b/tools/bench_membership.py
@@ -50,7 +50,7 @@
 
     Attributes
     ----------
-    machine : machine.Machine
+    machine : machine.GossipMember
         The state machine of the entry.
     address : str
         Peer address.
