--- a/src/thornspool/application/observation.py
+++ b/src/thornspool/application/observation.py
@@ -43,7 +43,7 @@
 
     Parameters
     ----------
-    note_first_token : callable
+    record_first_token : callable
         Called once, with the first tokens.
     """
 
--- a/src/thornspool/state_metrics.py
+++ b/src/thornspool/state_metrics.py
@@ -35,7 +35,7 @@
         Metrics to add them to.
     clock : clock_module.Clock
         Source of time.
-    parts : composition.EntryServices
+    services : composition.EntryServices
         Services whose state is exported.
     platform : ports.Platform
         Client of the platform; only that of the store counts its calls.
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -29,7 +29,7 @@
 
     Parameters
     ----------
-    running : processes.Processes
+    scope : processes.Processes
         Starts processes and stops them by process id.
     source : random.Random
         Source of every random choice.
