--- a/src/thornspool/application/calls.py
+++ b/src/thornspool/application/calls.py
@@ -52,7 +52,7 @@
     ----------
     reason : str
         Reason of the last failure.
-    ran : bool
+    may_have_run : bool
         Whether an attempt may have run on a target.
     retry_after_ms : int
         Delay before the caller should retry, in milliseconds.
